--- /dev/null
+++ b/tests/golden/make.py
@@ -0,0 +1,43 @@
+"""Writes the golden files anew from the code as it is: `python -m tests.golden.make`, from the root.
+
+It is run by hand, and only where a change of bytes is meant; tests never write golden files. The files named
+`*.toml` and `*.sql`, `settings.json` and `settings_least.json` are written by hand.
+"""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from tests.golden_control import all_control
+from tests.golden_files import all_databases, all_files
+from tests.golden_handover import handover_packets, keepsake
+from tests.golden_links import export_request, first_bytes
+from tests.golden_samples import FOLDER, all_encoded
+from tests.golden_settings import all_errors, all_settings
+from tests.golden_texts import all_texts
+
+
+def write(name: str, value: Any) -> None:
+    """Write one golden file, its keys in order."""
+    text = json.dumps(value, indent=1, sort_keys=True)
+    (FOLDER / name).write_text(text + "\n", encoding="utf-8")
+
+
+def main() -> None:
+    """Write all golden files."""
+    write("messages.json", all_encoded())
+    write("links.json", first_bytes())
+    write("export_request.json", export_request())
+    write("handover.json", handover_packets())
+    write("keepsake.json", keepsake())
+    write("files.json", all_files())
+    write("databases.json", all_databases())
+    write("settings_values.json", all_settings())
+    write("settings_errors.json", all_errors())
+    write("control.json", all_control())
+    write("texts.json", all_texts())  # after the files, which it reads
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/tests/golden_files.py
@@ -0,0 +1,215 @@
+"""Every file that the program writes, by its name in its folder, as hexadecimal digits or as rows."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import queue
+import re
+import sqlite3
+from collections.abc import Callable
+from pathlib import Path
+from tempfile import TemporaryDirectory
+from typing import Any
+
+from grebestack.audit.recorder import Limits, Recorder
+from grebestack.audit.stamps import Stamps
+from grebestack.fleet.record import frame
+from grebestack.fleet.versions import Version, digest_of
+from grebestack.handover.frames import note
+from grebestack.jobs.records import Batch, Job, JobState
+from grebestack.jobs.store import EdgeRow, JobStore
+from grebestack.mesh.contents import Contents
+from grebestack.mesh.store import Files, Store, found
+from grebestack.program.auditing import Writer
+from grebestack.program.config import from_text
+from grebestack.program.fleet import form
+from grebestack.protocol.snapshot import save
+from grebestack.waiting.interface import Condition
+from tests.golden_samples import FOLDER, RECORDS, SERVER, STAMP, encoded_record
+
+WAIT_S = 10.0
+LIFE = 9_000_000_000_000  # later than any clock says: the next start counts on from it
+OLD_CONTENTS, CONTENTS = b"[settings]\nzone = 1\n", b"[settings]\nzone = 2\n"
+OLD_VERSION = Version(16, digest_of(OLD_CONTENTS), len(OLD_CONTENTS), "m-1", 1_700_000_000_001)
+VERSION = Version(17, digest_of(CONTENTS), len(CONTENTS), "m-2", 1_700_000_000_002)
+BANS = {"runner-2", "runner-1", "caf\u00e9"}
+LISTS = {"discovery": (1_700_000_000.5, [SERVER]), "empty": (1_700_000_001.5, [])}
+JOBS = [
+    Job("job-1", "key-1", '{"a":1}', "order", JobState.QUEUED, 100.5, 200.5),
+    Job(
+        "job-2", "key-2", '{"a":2}', "reading", JobState.FAILED, 101.5, 201.5, 151.5, b"\x00result\xff",
+        "the server broke", 3.5, False, 120.5, 30.5, True, 121.5, "batch-1", 7, "label-2",
+    ),
+]  # fmt: skip
+BATCH = Batch("batch-1", "key-3", '{"b":1}', 102.5, True, 4, True, 5)
+
+
+def contents_of(folder: str) -> dict[str, str]:
+    """The files of a folder, but for the lock, which is empty."""
+    names = sorted(name for name in os.listdir(folder) if name != "lock")
+    return {name: Path(folder, name).read_bytes().hex() for name in names}
+
+
+async def _wait_for(start: Callable[[Callable[[Any], None]], None]) -> Any:
+    """What a call that is answered later on the loop is answered with."""
+    answered: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
+    start(answered.set_result)
+    return await asyncio.wait_for(answered, WAIT_S)
+
+
+async def _member_files(folder: str) -> dict[str, dict[str, str]]:
+    """The records of a member as it is founded, goes on, begins its file anew and puts it aside."""
+    payloads = [encoded_record(record) for record in RECORDS.values()]
+    states = {}
+    synced: asyncio.Queue[int] = asyncio.Queue()
+    found(folder, payloads[:2])
+    states["founded"] = contents_of(folder)
+    store = Store(asyncio.get_running_loop(), folder, synced.put_nowait, lambda why: None)
+    store.open()
+    store.append(payloads[2])
+    await asyncio.wait_for(synced.get(), WAIT_S)
+    states["one more record"] = contents_of(folder)
+    store.shorten(payloads[3:])
+    await asyncio.wait_for(synced.get(), WAIT_S)
+    states["begun anew"] = contents_of(folder)
+    await _wait_for(store.anew)
+    states["put aside"] = contents_of(folder)
+    store.close()
+    return states
+
+
+async def _version_files(folder: str) -> dict[str, str]:
+    """The folder of a configuration with two versions and contents that are not decided."""
+    Path(folder, "life").write_text(str(LIFE), encoding="ascii")
+    contents = Contents(asyncio.get_running_loop(), folder, "fleet-a")
+    contents.open()
+    await _wait_for(lambda done: contents.store(OLD_VERSION, OLD_CONTENTS, 0, done))
+    await _wait_for(lambda done: contents.store(VERSION, CONTENTS, 16, done))
+    await _wait_for(lambda done: contents.keep(digest_of(b"kept"), b"kept", done))
+    contents.close()
+    return contents_of(folder)
+
+
+def audit_recorder() -> Recorder:
+    """A recorder that ends a segment with each batch."""
+    return Recorder("d-1", "f00d", Stamps(STAMP), Limits(2000.0, 20_000, 1, 100.25), 12)
+
+
+def _audit_files(folder: str) -> dict[str, str]:
+    """Two segments of the record of acts."""
+    told: queue.Queue[str] = queue.Queue()
+    writer = Writer(folder, 1e9, Files(), told.put)
+    writer.thread.start()
+    recorder = audit_recorder()
+    recorder.turned(1000.5)
+    recorder.act(1001.5, "send", "job-1", "runner-1")
+    _write_batch(recorder, writer, told)
+    recorder.act(1002.5, "operator", "cordon", "runner-2")
+    recorder.stop(1003.5)
+    _write_batch(recorder, writer, told)
+    writer.queue.put(None)
+    writer.thread.join(WAIT_S)
+    return contents_of(folder)
+
+
+def _write_batch(recorder: Recorder, writer: Writer, told: queue.Queue[str]) -> None:
+    segment = recorder.segment
+    batch = recorder.next(1004.5)
+    assert batch is not None
+    writer.queue.put((segment, *batch))
+    assert told.get(timeout=WAIT_S) == ""
+    recorder.written()
+
+
+def _founding_files(folder: str) -> dict[str, str]:
+    """What an operator's file with a fleet founds."""
+    text = (FOLDER / "operator_voter.toml").read_text(encoding="utf-8")
+    form(from_text(os.path.join(folder, "operator.toml"), text))
+    return contents_of(os.path.join(folder, "fleet"))
+
+
+def all_files() -> dict[str, Any]:
+    """All files but the database."""
+    with TemporaryDirectory() as top:
+        names = ("member", "founding", "configuration", "audit", "snapshot")
+        folders = {name: os.path.join(top, name) for name in names}
+        for folder in folders.values():
+            os.mkdir(folder)
+        save(os.path.join(folders["snapshot"], "servers.json"), LISTS)
+        return {
+            "member": asyncio.run(_member_files(folders["member"])),
+            "founding": _founding_files(folders["founding"]),
+            "configuration": asyncio.run(_version_files(folders["configuration"])),
+            "audit": _audit_files(folders["audit"]),
+            "snapshot": contents_of(folders["snapshot"]),
+            "bans": {"some": note(BANS).hex(), "none": note(set()).hex()},
+            "frame": {"first": frame(1, b"payload").hex(), "last": frame((1 << 64) - 1, b"").hex()},
+        }
+
+
+def fill(store: JobStore) -> None:
+    """Put rows into each table."""
+    store.add_batch(BATCH)
+    edges: list[EdgeRow] = [
+        ("job-2", "job-1", Condition.FAILED, None),
+        ("job-2", "job-0", Condition.DONE, True),
+    ]
+    store.add_all(JOBS, edges)
+    row = store.sending("job-1", "runner-1", 110.5)
+    store.ended([("reset", False, row)])
+    row = store.sending("job-1", "runner-2", 111.5)
+    store.ended([("rejected", True, row)])
+    store.drain("runner-3", True)
+
+
+def _plain(sql: str | None) -> str | None:
+    """A statement without its comments and its layout."""
+    return None if sql is None else " ".join(re.sub(r"--[^\n]*", "", sql).split())
+
+
+def dump(path: str) -> dict[str, Any]:
+    """The version, the schema without comments, and all rows of a database; no other may have it open."""
+    database = sqlite3.connect(path)
+    (version,) = database.execute("PRAGMA user_version").fetchone()
+    chosen = "SELECT type, name, tbl_name, sql FROM sqlite_master ORDER BY type, name"
+    schema = [[kind, name, table, _plain(sql)] for kind, name, table, sql in database.execute(chosen)]
+    tables = [name for kind, name, _, _ in schema if kind == "table"]
+    rows = {name: database.execute(f"SELECT * FROM {name} ORDER BY rowid").fetchall() for name in tables}
+    database.close()
+    shown = {name: [[repr(value) for value in row] for row in found] for name, found in rows.items()}
+    return {"version": version, "schema": schema, "rows": shown}
+
+
+def new_database(path: str) -> dict[str, Any]:
+    """What the store writes into a new file."""
+    store = JobStore(path)
+    fill(store)
+    store.close()
+    return dump(path)
+
+
+def old_database(path: str) -> None:
+    """A file of the first version, from the golden text."""
+    database = sqlite3.connect(path)
+    database.executescript((FOLDER / "jobs_1.sql").read_text(encoding="utf-8"))
+    database.close()
+
+
+def migrated_database(path: str) -> dict[str, Any]:
+    """What the store makes of a file of the first version."""
+    old_database(path)
+    JobStore(path).close()
+    return dump(path)
+
+
+def all_databases() -> dict[str, Any]:
+    """The dumps of an old file, of what it becomes, and of a new one."""
+    with TemporaryDirectory() as folder:
+        old = os.path.join(folder, "old.sqlite")
+        old_database(old)
+        return {
+            "old": dump(old),
+            "migrated": migrated_database(os.path.join(folder, "migrated.sqlite")),
+            "new": new_database(os.path.join(folder, "new.sqlite")),
+        }
--- /dev/null
+++ b/tests/golden_handover.py
@@ -0,0 +1,130 @@
+"""Every message that two processes of an upgrade send each other, as the packets of their channel."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from tempfile import TemporaryDirectory
+from typing import Any
+from unittest.mock import MagicMock
+
+from grebestack.core import keepsake as learned
+from grebestack.core.interface import ListKind, RequestArrived, WorkerEntry, WorkersListed
+from grebestack.core.policy import Policy
+from grebestack.handover import frames, pact
+from grebestack.program.upgrade import Upgrade
+from grebestack.protocol.platform import Answer
+from grebestack.protocol.runners import Said
+from grebestack.routing.session import Dispatch, Payload, Session
+from grebestack.routing.table import ServerTable
+from grebestack.transport.server import Request
+from tests.driver import BASE
+from tests.golden_samples import SERVER
+
+PEER = 1
+REQUEST = Request(
+    b"POST", b"/call?x=1", {b"x-call-id": b"job-1", b"x-caller": b"caf\xe9"}, b"\x00body\xff", False
+)
+
+
+class RecordingChannel:
+    """Keeps the messages that are sent."""
+
+    def __init__(self) -> None:
+        self.messages: list[dict[str, Any]] = []
+
+    def send(self, message: dict[str, Any], fds: Sequence[int] = ()) -> None:
+        """Keep a message."""
+        self.messages.append(message)
+
+
+def taught_policy() -> Policy:
+    """A policy that has learned a value of its own in each place."""
+    policy = Policy(BASE, 1)
+    policy.handle(1.0, WorkersListed(ListKind.FULL, (WorkerEntry("runner-1"),)))
+    view = policy.workers["runner-1"]
+    view.ceiling, view.pace, view.strikes, view.full_until, view.raise_after = 1.5, 2.5, 3, 4.5, 5.5
+    view.warm_at, view.good_ms, view.broke_ms, view.breaks = 6.5, 7.5, 8.5, 9
+    view.seen_free, view.seen_memory, view.told_ms = 10.5, 11.5, 12.5
+    view.others, view.others_memory, view.ours, view.luck = 13.5, 14.5, 15.5, 16.5
+    policy.learned.run_ms[:] = [101.0, 102.0, 103.0]
+    policy.learned.slots[:] = [1.25, 2.25, 3.25]
+    policy.learned.kind_slots, policy.learned.kind_weight = {0: 8.0, 4: 9.0}, {0: 18.0, 5: 19.0}
+    policy.learned.others, policy.learned.worth = (20.5, 21.5), 22.5
+    return policy
+
+
+def keepsake() -> dict[str, Any]:
+    """What is kept of what the policy has learned."""
+    return learned.kept(taught_policy())
+
+
+def keepsake_taken(raw: dict[str, Any]) -> dict[str, Any]:
+    """What a new policy keeps after it has taken this."""
+    policy = Policy(BASE, 2)
+    policy.handle(1.0, WorkersListed(ListKind.FULL, (WorkerEntry("runner-1"),)))
+    learned.take(policy, raw)
+    return learned.kept(policy)
+
+
+def pact_messages() -> list[dict[str, Any]]:
+    """What the pact itself says."""
+    heir, elder = pact.Pact(), pact.Pact()
+    actions = heir.found(PEER) + heir.started()
+    actions += heir.ask("cordon", "runner-1")[1]
+    actions += heir.called_back("the body of a call-back")[1]
+    actions += elder.heard(2, {"is": "hello", "version": frames.VERSION})
+    return [action.message for action in actions if isinstance(action, pact.Tell)]
+
+
+def busy_dispatcher() -> MagicMock:
+    """Stands in for a dispatcher that has one open job with a dispatch that is out."""
+    dispatcher = MagicMock()
+    table = ServerTable()
+    table.update(ListKind.FULL, [SERVER])
+    table.remember(["runner-9"])
+    answer = Answer(MagicMock(), MagicMock(), REQUEST)
+    asked = RequestArrived(41, 2, 5000.5, 1.5, 2.5)
+    session = Session("job-1", asked, Payload(b"head", b"body"), answer)
+    session.dispatches.append(Dispatch(session, 3, "runner-1", 4000.25))
+    dispatcher.table, dispatcher.life.quiesced, dispatcher.life.retired = table, True, True
+    dispatcher.reader.unix_to_clock_ms = -123.5
+    dispatcher.runners.called_back.return_value = Said.TAKEN
+    dispatcher.runners.let_go.return_value = "runner-1"
+    engine = dispatcher.engine
+    engine.policy, engine.settings = taught_policy(), BASE
+    engine.sessions, engine.open_by_call_id = {41: session}, {"job-1": session}
+    engine.open_sessions.return_value = [session]
+    engine.withdraw.return_value = True
+    engine.let_go.return_value = session.dispatches[0]
+    return dispatcher
+
+
+def upgrade_messages(folder: str) -> list[dict[str, Any]]:
+    """What the shell around the pact says, with the bans of operators among it."""
+    dispatcher, channel, connection = busy_dispatcher(), RecordingChannel(), MagicMock(asked=True, busy=False)
+    upgrade = Upgrade(dispatcher, folder)
+    channels: Any = upgrade.channels
+    channels[PEER] = channel
+    upgrade.pact.heir = PEER
+    upgrade._carry_out(pact.CarryOut(PEER, 5, "cordon", "runner-1"))
+    upgrade._carry_out(pact.CalledBack(PEER, 6, "the body of a call-back"))
+    upgrade._carry_out(pact.Welcome(PEER))
+    upgrade._carry_out(pact.Accept(False, PEER))
+    engine = dispatcher.engine
+    (session,) = engine.sessions.values()
+    engine.on_sent(session.dispatches[0])
+    engine.on_ended(session.dispatches[0])
+    engine.on_closed("job-1")
+    dispatcher.acceptor.hand_over.call_args.args[0](connection, True)
+    upgrade.let_go()
+    return channel.messages
+
+
+def handover_packets() -> dict[str, list[str]]:
+    """The packets of each message, by its name on the channel; a long one takes several."""
+    with TemporaryDirectory() as folder:
+        messages = pact_messages() + upgrade_messages(folder)
+    packets = {message["is"]: [packet.decode() for packet in frames.pack(message)] for message in messages}
+    long = frames.pack({"is": "call", "n": 1, "verb": "cordon", "server": "r" * frames.PIECE})
+    packets["call in two packets"] = [packet.decode() for packet in long]
+    return packets
--- /dev/null
+++ b/tests/golden_links.py
@@ -0,0 +1,128 @@
+"""What leaves a connection first, frame by frame, and what of it arrives at the other end."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any, cast
+from unittest.mock import MagicMock
+
+from grebestack.fleet.feed import Said, encode
+from grebestack.fleet.messages import Hello, Message
+from grebestack.mesh.feed import FeedLink
+from grebestack.mesh.frames import Frames, Traffic
+from grebestack.mesh.link import Link
+from grebestack.program.config import TalliesConfig
+from grebestack.program.fleet import Post
+from tests.golden_samples import EXPORTS, FEED, MEMBER
+
+DISK_SEQUENCE = 98
+TOKEN = 345
+
+
+class RecordingTransport(asyncio.Transport):
+    """Keeps what is written."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.data = b""
+
+    def write(self, data: Any) -> None:
+        """Keep some bytes."""
+        self.data += data
+
+    def is_closing(self) -> bool:
+        """It stays open."""
+        return False
+
+    def get_write_buffer_size(self) -> int:
+        """All is gone at once."""
+        return 0
+
+    def abort(self) -> None:
+        """Nothing to end."""
+
+
+class MemberOwner:
+    """One end of a connection between members."""
+
+    def __init__(self) -> None:
+        self.items: list[object] = []
+
+    def greeting(self) -> Hello:
+        """The sample of the first message."""
+        return cast(Hello, MEMBER["hello"])
+
+    def told(self) -> int:
+        """The sequence number that stands in each frame's head."""
+        return DISK_SEQUENCE
+
+    def greeted(self, link: Link, hello: Hello) -> str:
+        """Keep the first message."""
+        self.items.append(hello)
+        link.open("m-1")
+        return ""
+
+    def heard(self, link: Link, last: int, message: Message) -> None:
+        """Keep a message with the number in its frame's head."""
+        self.items += [last, message]
+
+    def ended(self, link: Link, why: str) -> None:
+        """Keep why it ended."""
+        self.items.append(why)
+
+
+class FeedEnd:
+    """One end of a connection between a follower and a relay."""
+
+    def __init__(self) -> None:
+        self.items: list[object] = []
+
+    def connected(self, link: FeedLink) -> None:
+        """Nothing is said unasked."""
+
+    def heard(self, link: FeedLink, message: Said) -> None:
+        """Keep a message."""
+        self.items.append(message)
+
+    def ended(self, link: FeedLink, why: str) -> None:
+        """Keep why it ended."""
+        self.items.append(why)
+
+
+def first_bytes() -> dict[str, str]:
+    """Two frames of each kind of connection, as hexadecimal digits."""
+    loop = asyncio.new_event_loop()
+    member, feed = RecordingTransport(), RecordingTransport()
+    link = Link(loop, MemberOwner())
+    link.connection_made(member)
+    link.send(cast(Message, MEMBER["prepare"]))
+    feed_link = FeedLink(loop, FeedEnd(), 1, Traffic())
+    feed_link.connection_made(feed)
+    feed_link.write(encode(cast(Said, FEED["greeting"])))
+    feed_link.write(encode(cast(Said, FEED["poll"])))
+    loop.close()
+    return {"member": member.data.hex(), "feed": feed.data.hex()}
+
+
+def received(frames: dict[str, str]) -> dict[str, list[object]]:
+    """What each kind of connection reads of bytes that come in two pieces."""
+    loop = asyncio.new_event_loop()
+    member, feed = MemberOwner(), FeedEnd()
+    links: dict[str, Frames] = {"member": Link(loop, member), "feed": FeedLink(loop, feed, 1, Traffic())}
+    for name, link in links.items():
+        data = bytes.fromhex(frames[name])
+        link.connection_made(RecordingTransport())
+        link.data_received(data[:17])
+        link.data_received(data[17:])
+    loop.close()
+    return {"member": member.items, "feed": feed.items}
+
+
+def export_request() -> str:
+    """The request by which the holder of the task exports tallies, head and body."""
+    owner = MagicMock()
+    owner.node.token.return_value = TOKEN
+    owner.config = TalliesConfig(("10.0.0.9", 9009), "/tallies", 5.0)
+    request = Post(owner, cast(Any, EXPORTS["export"])).begin()
+    assert request is not None
+    return request.decode()
--- /dev/null
+++ b/tests/golden_texts.py
@@ -0,0 +1,132 @@
+"""Texts in which names from the code could show: refusals of messages, the audit's report, the schema."""
+
+from __future__ import annotations
+
+import json
+from enum import Enum
+from random import Random
+from typing import Any, cast
+from unittest.mock import MagicMock
+
+from grebestack.audit.merge import as_data, as_text, merge
+from grebestack.audit.page import as_page
+from grebestack.audit.reading import assemble
+from grebestack.core.interface import Effect, Group, ListKind, Outcome, WorkerState
+from grebestack.drmaa.template import schema
+from grebestack.fleet.actions import Close
+from grebestack.fleet.feed import Greeting, Said
+from grebestack.fleet.follower import Follower
+from grebestack.fleet.relay import Relay
+from grebestack.fleet.versions import Version, check, sound
+from grebestack.jobs.records import JobState, Kind
+from grebestack.program.dispatcher import Dispatcher
+from grebestack.program.life import Stage
+from grebestack.waiting.interface import Condition
+from tests.golden_samples import DIGEST, FEED, VERSION, load
+from tests.golden_settings import golden_text, operators_config
+
+LINK = 1
+
+
+def _reasons(actions: list[Any]) -> list[str]:
+    return [action.why for action in actions if isinstance(action, Close)]
+
+
+def relays_refusals() -> dict[str, list[str]]:
+    """Why a relay ends a link, by the message that came first, or after the greeting."""
+    refusals = {}
+    for name, message in FEED.items():
+        relay = Relay("m-2", "fleet-a", 3, Random(1))
+        first = relay.heard(0.0, LINK, cast(Said, message))
+        relay = Relay("m-2", "fleet-a", 3, Random(1))
+        relay.heard(0.0, LINK, Greeting(1, "fleet-a", "d-1", 14, "east/e1", 0, ""))
+        second = relay.heard(1.0, LINK, cast(Said, message))
+        refusals[name] = _reasons(list(first)) + _reasons(list(second))
+    return refusals
+
+
+def greetings_refusals() -> dict[str, list[str]]:
+    """Why a relay does not take a greeting."""
+    greetings = {
+        "form": Greeting(2, "fleet-a", "d-1", 14, "east/e1", 0, ""),
+        "fleet": Greeting(1, "fleet-b", "d-1", 14, "east/e1", 0, ""),
+        "name": Greeting(1, "fleet-a", "d 1", 14, "east/e1", 0, ""),
+        "life": Greeting(1, "fleet-a", "d-1", -1, "east/e1", 0, ""),
+        "number": Greeting(1, "fleet-a", "d-1", 14, "east/e1", -1, DIGEST),
+        "digest": Greeting(1, "fleet-a", "d-1", 14, "east/e1", 16, "ab"),
+    }
+    relay = Relay("m-2", "fleet-a", 3, Random(1))
+    return {name: _reasons(list(relay.heard(0.0, LINK, one))) for name, one in greetings.items()}
+
+
+def followers_refusals() -> dict[str, list[str]]:
+    """Why a follower ends a link, by the message that came first."""
+    refusals = {}
+    for name, message in FEED.items():
+        follower = Follower("d-1", "fleet-a", "east/e1", 14, {"m-2": "east/e1"}, Random(1))
+        follower.start(0.0)
+        now_ms = follower.due_ms(0.0)
+        follower.tick(now_ms)
+        follower.connected(now_ms, LINK)
+        refusals[name] = _reasons(list(follower.heard(now_ms, LINK, cast(Said, message))))
+    return refusals
+
+
+def versions_faults() -> dict[str, str]:
+    """What is said of versions that can't be, and of contents that are not a version's."""
+    return {
+        "none": sound(VERSION),
+        "number": sound(Version(0, DIGEST, 1, "m-1", 2)),
+        "digest": sound(Version(1, "AB", 1, "m-1", 2)),
+        "size": sound(Version(1, DIGEST, -1, "m-1", 2)),
+        "size of contents": check(Version(1, DIGEST, 1, "m-1", 2), b""),
+        "digest of contents": check(Version(1, DIGEST, 1, "m-1", 2), b"x"),
+    }
+
+
+def audit_report() -> dict[str, Any]:
+    """What the golden record of acts is told as: for programs, for people, and as a page."""
+    files = [(name, bytes.fromhex(digits)) for name, digits in load("files.json")["audit"].items()]
+    audit = merge({"d-1": assemble("d-1", files), "d-2": assemble("d-2", [])})
+    return {
+        "data": json.dumps(as_data(audit, "job-1")),
+        "text": list(as_text(audit, "job-1")),
+        "page": as_page(audit),
+    }
+
+
+def words() -> dict[str, list[str]]:
+    """The words for states and outcomes, which stand in files, messages and logs."""
+    kinds: dict[str, type[Enum]] = {
+        "outcome of an attempt": Outcome,
+        "state of a server": WorkerState,
+        "kind of a list": ListKind,
+        "effect of a repeat": Effect,
+        "group of servers": Group,
+        "state of a job": JobState,
+        "condition of a job": Condition,
+        "fault of a call": Kind,
+        "stage of a dispatcher": Stage,
+    }
+    return {name: [str(one.value) for one in kind] for name, kind in kinds.items()}
+
+
+def waits_for_restart() -> list[str]:
+    """The names of what has changed in an operator's file and waits for a restart."""
+    former = operators_config(golden_text("operator_voter.toml"))
+    new = operators_config(golden_text("operator_follower.toml"))
+    return Dispatcher.waits(MagicMock(config=former), new)
+
+
+def all_texts() -> dict[str, Any]:
+    """All of them."""
+    return {
+        "relay": relays_refusals(),
+        "greeting": greetings_refusals(),
+        "follower": followers_refusals(),
+        "version": versions_faults(),
+        "audit": audit_report(),
+        "words": words(),
+        "waits": waits_for_restart(),
+        "schema": json.dumps(schema()),
+    }
--- /dev/null
+++ b/tests/test_golden_fields.py
@@ -0,0 +1,94 @@
+"""Which field has which place: positional samples alone would follow two fields that change places."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from tests.golden_samples import BATCHES, CODECS, load
+
+MESSAGES = "messages.json"
+
+
+def decoded(group: str, name: str) -> Any:
+    """A golden message as the code reads it."""
+    return CODECS[group].decode(bytes.fromhex(load(MESSAGES)[group][name]))
+
+
+def test_places_in_what_registers_hold() -> None:
+    lease = decoded("members", "accept of a lease").value
+    assert (lease.holder, lease.life, lease.token, lease.mark) == ("m-1", 12, 345, 67)
+    version = decoded("members", "accept of a version").value
+    assert (version.number, version.size, version.since_ms) == (17, 1234, 1_700_000_000_123)
+    assert (version.digest, version.by) == ("ab" * 32, "m-2")
+    plan = decoded("members", "accept of a plan").value
+    assert (plan.number, plan.life, plan.members, plan.done) == (4, 8, ("m-1", "m-2", "m-3"), ("m-2",))
+    assert (plan.by, plan.step, plan.state, plan.why) == ("m-1", "m-3", "goes on", "m-3 is awaited")
+
+
+def test_places_in_messages_between_members() -> None:
+    hello = decoded("members", "hello")
+    assert (hello.version, hello.life, hello.epoch) == (2, 11, 9)
+    assert (hello.fleet, hello.name, hello.incarnation) == ("fleet-a", "m-1", "inc-1")
+    promise = decoded("members", "promise")
+    assert (promise.ballot, promise.accepted) == ((71, "m-2", 3), (64, "m-3", 5))
+    assert (promise.ballot.number, promise.ballot.member, promise.ballot.life) == (71, "m-2", 3)
+    refuse = decoded("members", "refuse")
+    assert (refuse.ballot, refuse.promised) == ((64, "m-3", 5), (71, "m-2", 3))
+    admit = decoded("members", "admit")
+    assert (admit.name, admit.incarnation) == ("m-4", "inc-4")
+    born = decoded("records", "born")
+    assert (born.fleet, born.incarnation) == ("fleet-a", "inc-1")
+    beat = decoded("configuration", "beat")
+    assert (beat.sequence, beat.epoch, beat.accepted) == (31, 9, 17)
+    echo = decoded("configuration", "echo")
+    assert (echo.sequence, echo.epoch, echo.accepted) == (31, 9, 16)
+
+
+def test_places_in_messages_of_tasks() -> None:
+    go = decoded("pacing", "go")
+    assert (go.number, go.token, go.life) == (4, 345, 7)
+    beat, part = decoded("sharing", "beat"), decoded("sharing", "part")
+    assert (beat.token, beat.number) == (345, 12)
+    assert (part.token, part.number, part.index, part.part, part.parts) == (345, 12, 1, 2, 3)
+    counts = decoded("tallies", "counts")
+    assert (counts.number, counts.life) == (77, 8)
+
+
+def test_whole_and_all_are_told_apart() -> None:
+    part = decoded("sharing", "part of a whole list")
+    assert (part.whole, part.all) == (True, False)
+
+
+def test_places_in_messages_of_followers() -> None:
+    greeting = decoded("feed", "greeting")
+    assert (greeting.form, greeting.life, greeting.number) == (1, 14, 16)
+    assert (greeting.fleet, greeting.name, greeting.place) == ("fleet-a", "d-1", "east/e1")
+    welcome = decoded("feed", "welcome")
+    assert (welcome.form, welcome.most, welcome.floor) == (1, 500, 15)
+    assert (welcome.fleet, welcome.relay) == ("fleet-a", "m-2")
+    poll = decoded("feed", "poll")
+    assert (poll.number, poll.refused, poll.why) == (16, 17, "names no class")
+    still = decoded("feed", "still")
+    assert (still.number, still.confirmed_ms) == (17, 130)
+    delta = decoded("feed", "news by difference").delta
+    assert (delta.prefix, delta.suffix) == (10, 20)
+    tally = decoded("feed", "tally")
+    assert (tally.life, tally.sequence, tally.number) == (3, 41, 17)
+    standing = tally.standings[0]
+    assert (standing.life, standing.number, standing.heard_ms) == (14, 16, 250)
+    assert (standing.behind_ms, standing.refused) == (350, 15)
+    assert (standing.name, standing.why) == ("d-1", "names no class")
+
+
+def test_places_in_the_record_of_acts() -> None:
+    assert set(load(MESSAGES)["audit"]) == set(BATCHES)
+    (head,) = decoded("audit", "head")
+    assert (head.version, head.segment, head.stamp) == (1, 12, 3)
+    assert (head.dispatcher, head.life, head.at_ms, head.off_ms) == ("d-1", "f00d", 1000.5, 100.25)
+    (act,) = decoded("audit", "act")
+    assert (act.what, act.call, act.server) == ("send", "job-1", "runner-1")
+    (gap,) = decoded("audit", "gap")
+    assert (gap.from_ms, gap.to_ms, gap.acts) == (1004.5, 1005.5, 6)
+    stamp = head.versions
+    assert (stamp.program, stamp.settings, stamp.source) == ("0.1.0", "5e771465", "consul")
+    assert (stamp.generation, stamp.revision, stamp.epoch, stamp.bans) == (2, 31, 9, "ba45")
--- /dev/null
+++ b/tests/test_golden_files.py
@@ -0,0 +1,128 @@
+"""Files byte by byte: each version must write what the golden files have, and read it."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from grebestack.audit import acts
+from grebestack.audit.reading import MAGIC
+from grebestack.fleet.record import read
+from grebestack.handover.frames import read_note
+from grebestack.jobs.store import JobStore
+from grebestack.mesh.contents import Contents
+from grebestack.mesh.store import Store
+from grebestack.protocol.snapshot import load as load_snapshot
+from grebestack.routing.table import Server
+from tests.golden_files import (
+    BANS,
+    BATCH,
+    CONTENTS,
+    JOBS,
+    LIFE,
+    LISTS,
+    OLD_CONTENTS,
+    OLD_VERSION,
+    VERSION,
+    all_databases,
+    all_files,
+    fill,
+)
+from tests.golden_samples import RECORDS, encoded_record, load
+
+FILES, DATABASES = "files.json", "databases.json"
+
+
+def write_golden(folder: Path, kind: str, state: str = "") -> None:
+    """Lay golden files into a folder."""
+    files = load(FILES)[kind]
+    for name, digits in (files[state] if state else files).items():
+        (folder / name).write_bytes(bytes.fromhex(digits))
+
+
+def test_all_files_have_the_bytes_of_the_golden_file() -> None:
+    actual, golden = all_files(), load(FILES)
+    assert set(actual) == set(golden)
+    for kind in sorted(golden):
+        assert actual[kind] == golden[kind], kind
+
+
+@pytest.mark.parametrize("state", ["founded", "one more record", "begun anew"])
+def test_a_members_golden_file_is_read(tmp_path: Path, state: str) -> None:
+    write_golden(tmp_path, "member", state)
+    loop = asyncio.new_event_loop()
+    store = Store(loop, str(tmp_path), lambda last: None, lambda why: None)
+    held = store.open()
+    store.close()
+    loop.close()
+    payloads = tuple(encoded_record(record) for record in RECORDS.values())
+    expected = {"founded": payloads[:2], "one more record": payloads[:3], "begun anew": payloads[3:]}
+    assert held.doubt == ""
+    assert held.payloads == expected[state]
+
+
+def test_a_golden_configuration_is_read(tmp_path: Path) -> None:
+    write_golden(tmp_path, "configuration")
+    loop = asyncio.new_event_loop()
+    contents = Contents(loop, str(tmp_path), "fleet-a")
+    held = contents.open()
+    contents.close()
+    loop.close()
+    assert held.doubts == ()
+    assert held.versions == ((OLD_VERSION, OLD_CONTENTS), (VERSION, CONTENTS))
+    assert list(held.kept.values()) == [b"kept"]
+    assert held.life == LIFE + 2
+
+
+def test_golden_segments_of_the_audit_are_read() -> None:
+    whats = []
+    for digits in load(FILES)["audit"].values():
+        segment = read(bytes.fromhex(digits), 1, MAGIC)
+        assert segment.doubt == "" and not segment.torn
+        for payload in segment.payloads:
+            items = acts.decode(payload)
+            assert acts.encode(items) == payload
+            whats += [item.what for item in items if isinstance(item, acts.Act)]
+    assert whats == ["send", "operator"]
+
+
+def test_the_golden_file_of_bans_is_read() -> None:
+    golden = load(FILES)["bans"]
+    assert read_note(bytes.fromhex(golden["some"])) == BANS
+    assert read_note(bytes.fromhex(golden["none"])) == set()
+
+
+def test_a_golden_snapshot_of_servers_is_read(tmp_path: Path) -> None:
+    write_golden(tmp_path, "snapshot")
+    lists = load_snapshot(str(tmp_path / "servers.json"))
+    assert set(lists) == set(LISTS)
+    ((server,), (expected,)) = lists["discovery"][1], LISTS["discovery"][1]
+    assert isinstance(server, Server)
+    assert (server.address, server.reason) == (expected.address, expected.reason)
+    assert lists["discovery"][0] == LISTS["discovery"][0]
+
+
+def test_databases_are_those_of_the_golden_file() -> None:
+    actual, golden = all_databases(), load(DATABASES)
+    for kind in ("old", "migrated", "new"):
+        assert actual[kind] == golden[kind], kind
+
+
+def test_a_migrated_database_has_the_schema_of_a_new_one() -> None:
+    golden = load(DATABASES)
+    assert golden["migrated"]["version"] == golden["new"]["version"] == 2
+    assert golden["migrated"]["schema"] == golden["new"]["schema"]
+
+
+def test_jobs_are_read_as_they_were_written(tmp_path: Path) -> None:
+    path = str(tmp_path / "jobs.sqlite")
+    store = JobStore(path)
+    fill(store)
+    store.close()
+    store = JobStore(path)
+    assert store.get("job-2") == JOBS[1]
+    assert store.batch("id", "batch-1") == BATCH
+    assert store.drains() == {"runner-3"}
+    store.close()
--- /dev/null
+++ b/tests/test_golden_messages.py
@@ -0,0 +1,94 @@
+"""Messages and records byte by byte: each version must write what the golden files have, and read it."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import get_args
+
+import pytest
+
+from grebestack.audit.acts import Item
+from grebestack.handover.frames import Unpacker, pack
+from grebestack.program.upgrade import request_of, server_of
+from grebestack.routing.table import Server
+from tests.golden_handover import REQUEST, handover_packets, keepsake, keepsake_taken
+from tests.golden_links import DISK_SEQUENCE, export_request, first_bytes, received
+from tests.golden_samples import BATCHES, CODECS, FEED, MEMBER, SERVER, encoded, load
+
+MESSAGES = "messages.json"
+
+
+@pytest.mark.parametrize("group", sorted(CODECS))
+def test_samples_have_the_bytes_of_the_golden_file(group: str) -> None:
+    assert encoded(CODECS[group]) == load(MESSAGES)[group]
+
+
+@pytest.mark.parametrize("group", sorted(CODECS))
+def test_golden_bytes_are_read_and_written_again_unchanged(group: str) -> None:
+    codec = CODECS[group]
+    for name, digits in load(MESSAGES)[group].items():
+        data = bytes.fromhex(digits)
+        decoded = codec.decode(data)
+        assert decoded == codec.samples[name], name
+        assert codec.encode(decoded) == data, name
+
+
+@pytest.mark.parametrize("group", sorted(CODECS))
+def test_each_type_has_a_sample(group: str) -> None:
+    codec = CODECS[group]
+    assert codec.types
+    assert set(codec.types) == {type(sample) for sample in codec.samples.values()}
+
+
+def test_each_item_of_the_audit_has_a_sample() -> None:
+    assert set(get_args(Item)) == {type(item) for batch in BATCHES.values() for item in batch}
+
+
+def test_the_golden_file_has_no_group_without_a_codec() -> None:
+    assert set(load(MESSAGES)) == set(CODECS)
+
+
+def test_the_first_bytes_of_a_connection() -> None:
+    assert first_bytes() == load("links.json")
+
+
+def test_golden_frames_are_read_as_they_were_sent() -> None:
+    assert received(load("links.json")) == {
+        "member": [MEMBER["hello"], DISK_SEQUENCE, MEMBER["prepare"]],
+        "feed": [FEED["greeting"], FEED["poll"]],
+    }
+
+
+def test_the_request_of_an_export() -> None:
+    assert export_request() == load("export_request.json")
+
+
+def test_the_packets_of_an_upgrade() -> None:
+    assert handover_packets() == load("handover.json")
+
+
+def test_what_a_dispatcher_has_learned() -> None:
+    assert keepsake() == load("keepsake.json")
+
+
+def test_golden_keepsake_is_taken_whole() -> None:
+    golden = load("keepsake.json")
+    assert keepsake_taken(golden) == golden
+
+
+def test_golden_packets_are_read_and_packed_again_unchanged() -> None:
+    for name, packets in load("handover.json").items():
+        unpacker = Unpacker()
+        *former, message = [unpacker.feed(packet.encode()) for packet in packets]
+        assert former == [None] * len(former), name
+        assert message is not None
+        assert [packet.decode() for packet in pack(message)] == packets, name
+
+
+def test_golden_servers_and_requests_are_read() -> None:
+    golden = load("handover.json")
+    welcome, job = (Unpacker().feed(golden[name][0].encode()) for name in ("welcome", "job"))
+    assert welcome is not None and job is not None
+    listed = replace(SERVER.entry, put_back=False)
+    assert [server_of(raw) for raw in welcome["servers"]] == [Server(listed, SERVER.address)]
+    assert request_of(job) == replace(REQUEST, keep_alive=True)
--- /dev/null
+++ b/tests/test_golden_settings.py
@@ -0,0 +1,57 @@
+"""Settings, operators' files, their errors and the operators' door: all as the golden files have them."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+import pytest
+from fleet_counts import Counts
+
+from grebestack.control.calls import Verb
+from tests.golden_control import LINES, all_control
+from tests.golden_samples import load
+from tests.golden_settings import all_errors, all_settings
+from tests.golden_texts import all_texts
+
+SETTINGS, ERRORS = "settings_values.json", "settings_errors.json"
+CONTROL, TEXTS = "control.json", "texts.json"
+
+
+def test_files_of_settings_come_to_the_golden_values() -> None:
+    actual, golden = all_settings(), load(SETTINGS)
+    assert set(actual) == set(golden)
+    for name in sorted(golden):
+        assert actual[name] == golden[name], name
+
+
+def test_mistakes_in_settings_are_named_as_in_the_golden_file() -> None:
+    actual, golden = all_errors(), load(ERRORS)
+    assert set(actual) == set(golden)
+    for group in sorted(golden):
+        assert actual[group] == golden[group], group
+
+
+@pytest.mark.parametrize("part", ["parsed", "pieces", "answers", "shown", "operated", "logged"])
+def test_the_door_says_what_the_golden_file_has(part: str) -> None:
+    assert all_control()[part] == load(CONTROL)[part]
+
+
+@pytest.mark.parametrize(
+    "part", ["relay", "greeting", "follower", "version", "audit", "words", "waits", "schema"]
+)
+def test_texts_are_those_of_the_golden_file(part: str) -> None:
+    assert all_texts()[part] == load(TEXTS)[part]
+
+
+def test_each_verb_has_a_line() -> None:
+    assert {verb.value.encode() for verb in Verb} <= {line.split(b" ")[0] for line in LINES}
+
+
+def test_golden_tallies_are_counted_by_the_benchmark() -> None:
+    counts = Counts()
+    for line in load(CONTROL)["logged"]:
+        counts.line(line)
+    (second,) = counts.seconds
+    expected = Counter({"sessions": 9, "ok": 3, "dials": 4})
+    assert +counts.seconds[second] == expected
+    assert counts.out[second] == Counter({"runner-1": 4})
