--- /dev/null
+++ b/tests/golden/__init__.py
@@ -0,0 +1,1 @@
+"""Recorded decision streams, and the simulation that records them."""
