--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Golden files: the bytes and texts that every later version must still write and read."""
+"""Golden files that hold later versions to the bytes and decisions of an earlier one, and what records them."""
