--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -14,7 +14,9 @@
 from grebestack.audit import acts
 from grebestack.audit.stamps import Stamp
 from grebestack.core.interface import WorkerEntry, WorkerState
-from grebestack.fleet import configuration, feed, messages, pacing, sharing, tallies
+from grebestack.fleet import configuration, pacing, sharing, tallies
+from grebestack.fleet import feed as distribution
+from grebestack.fleet import messages as consensus
 from grebestack.fleet.lease import Lease
 from grebestack.fleet.register import Ballot
 from grebestack.fleet.versions import Delta, Version
@@ -25,8 +27,8 @@
 BALLOT = Ballot(71, "m-2", 3)
 ACCEPTED = Ballot(64, "m-3", 5)
 LEASE = Lease("m-1", 12, 345, 67)
-ROLL = messages.Roll(9, (("m-1", "inc-1"), ("m-2", "inc-2"), ("m-3", "inc-3")))
-PLAN = messages.Plan(4, "m-1", ("m-1", "m-2", "m-3"), ("m-2",), "m-3", 8, "goes on", "m-3 is awaited")
+ROLL = consensus.Roll(9, (("m-1", "inc-1"), ("m-2", "inc-2"), ("m-3", "inc-3")))
+PLAN = consensus.Plan(4, "m-1", ("m-1", "m-2", "m-3"), ("m-2",), "m-3", 8, "goes on", "m-3 is awaited")
 DIGEST = "ab" * 32
 VERSION = Version(17, DIGEST, 1234, "m-2", 1_700_000_000_123)
 SLOTS = (
@@ -52,53 +54,53 @@
 
 
 MEMBER = {
-    "hello": messages.Hello(
+    "hello": consensus.Hello(
         2, "fleet-a", "m-1", "inc-1", 11, 9, {"m-2": ("inc-2", 21), "m-3": ("inc-3", 22)}
     ),
-    "hello of a member that knows nobody": messages.Hello(2, "fleet-a", "m-1", "inc-1", 1, 0, {}),
-    "ping": messages.Ping("m-3"),
-    "ping with defaults": messages.Ping(),
-    "pong": messages.Pong("m-2"),
-    "pong with defaults": messages.Pong(),
-    "prepare": messages.Prepare(9, "task/servers", BALLOT),
-    "accept of a lease": messages.Accept(9, "task/servers", BALLOT, LEASE),
-    "accept of a lease with defaults": messages.Accept(9, "task/servers", BALLOT, Lease()),
-    "accept of a roll": messages.Accept(9, "set", BALLOT, ROLL),
-    "accept of a roll with defaults": messages.Accept(9, "set", BALLOT, messages.Roll()),
-    "accept of a plan": messages.Accept(9, "plan/restart", BALLOT, PLAN),
-    "accept of a plan with defaults": messages.Accept(
-        9, "plan/restart", BALLOT, messages.Plan(1, "m-1", ("m-1", "m-2"))
+    "hello of a member that knows nobody": consensus.Hello(2, "fleet-a", "m-1", "inc-1", 1, 0, {}),
+    "ping": consensus.Ping("m-3"),
+    "ping with defaults": consensus.Ping(),
+    "pong": consensus.Pong("m-2"),
+    "pong with defaults": consensus.Pong(),
+    "prepare": consensus.Prepare(9, "task/servers", BALLOT),
+    "accept of a lease": consensus.Accept(9, "task/servers", BALLOT, LEASE),
+    "accept of a lease with defaults": consensus.Accept(9, "task/servers", BALLOT, Lease()),
+    "accept of a roll": consensus.Accept(9, "set", BALLOT, ROLL),
+    "accept of a roll with defaults": consensus.Accept(9, "set", BALLOT, consensus.Roll()),
+    "accept of a plan": consensus.Accept(9, "plan/restart", BALLOT, PLAN),
+    "accept of a plan with defaults": consensus.Accept(
+        9, "plan/restart", BALLOT, consensus.Plan(1, "m-1", ("m-1", "m-2"))
     ),
-    "accept of a version": messages.Accept(9, "configuration", BALLOT, VERSION),
-    "accept of nothing": messages.Accept(9, "empty", BALLOT, None),
-    "promise": messages.Promise(9, "task/servers", BALLOT, ACCEPTED, LEASE),
-    "promise of nothing": messages.Promise(9, "empty", BALLOT, Ballot(), None),
-    "taken": messages.Taken(9, "task/servers", BALLOT),
-    "refuse": messages.Refuse(9, "task/servers", ACCEPTED, BALLOT),
-    "admit": messages.Admit("m-4", "inc-4"),
-    "seal": messages.Seal(8, ROLL),
-    "sealed": messages.Sealed(8, SLOTS),
-    "sealed with no slots": messages.Sealed(8, ()),
-    "enter": messages.Enter(ROLL, SLOTS),
-    "enter with defaults": messages.Enter(messages.Roll(), ()),
-    "behind": messages.Behind(7),
-    "word": messages.Word("servers", b"\x00body\xff"),
+    "accept of a version": consensus.Accept(9, "configuration", BALLOT, VERSION),
+    "accept of nothing": consensus.Accept(9, "empty", BALLOT, None),
+    "promise": consensus.Promise(9, "task/servers", BALLOT, ACCEPTED, LEASE),
+    "promise of nothing": consensus.Promise(9, "empty", BALLOT, Ballot(), None),
+    "taken": consensus.Taken(9, "task/servers", BALLOT),
+    "refuse": consensus.Refuse(9, "task/servers", ACCEPTED, BALLOT),
+    "admit": consensus.Admit("m-4", "inc-4"),
+    "seal": consensus.Seal(8, ROLL),
+    "sealed": consensus.Sealed(8, SLOTS),
+    "sealed with no slots": consensus.Sealed(8, ()),
+    "enter": consensus.Enter(ROLL, SLOTS),
+    "enter with defaults": consensus.Enter(consensus.Roll(), ()),
+    "behind": consensus.Behind(7),
+    "word": consensus.Word("servers", b"\x00body\xff"),
 }
 RECORDS = {
-    "born": messages.Born("fleet-a", "inc-1", ROLL),
-    "born outside of a set": messages.Born("fleet-a", "inc-1", messages.Roll()),
-    "began": messages.Began(13),
-    "kept lease": messages.Kept(SLOTS[0]),
-    "kept plan": messages.Kept(SLOTS[1]),
-    "kept version": messages.Kept(SLOTS[2]),
-    "kept roll": messages.Kept(SLOTS[3]),
-    "kept nothing": messages.Kept(SLOTS[4]),
-    "ended": messages.Ended(ROLL),
-    "entered": messages.Entered(ROLL, SLOTS),
-    "entered with defaults": messages.Entered(messages.Roll(), ()),
+    "born": consensus.Born("fleet-a", "inc-1", ROLL),
+    "born outside of a set": consensus.Born("fleet-a", "inc-1", consensus.Roll()),
+    "began": consensus.Began(13),
+    "kept lease": consensus.Kept(SLOTS[0]),
+    "kept plan": consensus.Kept(SLOTS[1]),
+    "kept version": consensus.Kept(SLOTS[2]),
+    "kept roll": consensus.Kept(SLOTS[3]),
+    "kept nothing": consensus.Kept(SLOTS[4]),
+    "ended": consensus.Ended(ROLL),
+    "entered": consensus.Entered(ROLL, SLOTS),
+    "entered with defaults": consensus.Entered(consensus.Roll(), ()),
 }
-STANDING = feed.Standing("d-1", 14, 16, 250, True, 350, 15, "names no class")
-TALLY = feed.Tally("m-2", 3, 41, True, 17, (STANDING, feed.Standing("d-2", 1, 17, 0, False)))
+STANDING = distribution.Standing("d-1", 14, 16, 250, True, 350, 15, "names no class")
+TALLY = distribution.Tally("m-2", 3, 41, True, 17, (STANDING, distribution.Standing("d-2", 1, 17, 0, False)))
 CONFIGURATION = {
     "beat": configuration.Beat(31, 9, 17, VERSION),
     "beat that knows no version": configuration.Beat(1, 9, -1, Version(0, "", 0, "", 0)),
@@ -110,20 +112,20 @@
     "tally": TALLY,
 }
 FEED = {
-    "greeting": feed.Greeting(1, "fleet-a", "d-1", 14, "east/e1", 16, DIGEST),
-    "welcome": feed.Welcome(1, "fleet-a", "m-2", 500, 15),
-    "welcome with defaults": feed.Welcome(1, "fleet-a", "m-2", 500),
-    "full": feed.Full("500 followers; allowed: 500"),
-    "news by difference": feed.News(VERSION, 120, Delta(DIGEST, 10, 20, b"\x78\x01middle"), None),
-    "news with contents": feed.News(VERSION, 120, None, b"[settings]\n"),
-    "news with defaults": feed.News(VERSION, 120),
-    "poll": feed.Poll(16, DIGEST, 17, "names no class"),
-    "poll with defaults": feed.Poll(16, DIGEST),
-    "still": feed.Still(17, 130),
-    "still of a relay that never knew": feed.Still(0, feed.NEVER_MS),
-    "fetch": feed.Fetch(17),
+    "greeting": distribution.Greeting(1, "fleet-a", "d-1", 14, "east/e1", 16, DIGEST),
+    "welcome": distribution.Welcome(1, "fleet-a", "m-2", 500, 15),
+    "welcome with defaults": distribution.Welcome(1, "fleet-a", "m-2", 500),
+    "full": distribution.Full("500 followers; allowed: 500"),
+    "news by difference": distribution.News(VERSION, 120, Delta(DIGEST, 10, 20, b"\x78\x01middle"), None),
+    "news with contents": distribution.News(VERSION, 120, None, b"[settings]\n"),
+    "news with defaults": distribution.News(VERSION, 120),
+    "poll": distribution.Poll(16, DIGEST, 17, "names no class"),
+    "poll with defaults": distribution.Poll(16, DIGEST),
+    "still": distribution.Still(17, 130),
+    "still of a relay that never knew": distribution.Still(0, distribution.NEVER_MS),
+    "fetch": distribution.Fetch(17),
     "tally": TALLY,
-    "tally with no standings": feed.Tally("m-2", 3, 42, False, 17, ()),
+    "tally with no standings": distribution.Tally("m-2", 3, 42, False, 17, ()),
 }
 PACING = {"state": pacing.State(8, True), "go": pacing.Go(4, 345, 7)}
 LINES = (sharing.Line("runner-1", b"rest"), sharing.Line("runner-2", b""))
@@ -161,15 +163,15 @@
 }
 
 CODECS = {
-    "members": Codec(messages.encode, messages.message, MEMBER, get_args(messages.Message)),
-    "records": Codec(messages.encode, messages.record, RECORDS, get_args(messages.Record)),
+    "members": Codec(consensus.encode, consensus.message, MEMBER, get_args(consensus.Message)),
+    "records": Codec(consensus.encode, consensus.record, RECORDS, get_args(consensus.Record)),
     "configuration": Codec(
         msgpack.encode,
         msgpack.Decoder(configuration.Word).decode,
         CONFIGURATION,
         get_args(configuration.Word),
     ),
-    "feed": Codec(feed.encode, feed.decode, FEED, get_args(feed.Said)),
+    "feed": Codec(distribution.encode, distribution.decode, FEED, get_args(distribution.Said)),
     "pacing": Codec(msgpack.encode, pacing.said, PACING, (pacing.State, pacing.Go)),
     "sharing": Codec(msgpack.encode, sharing.said, SHARING, get_args(sharing.Said)),
     "tallies": Codec(msgpack.encode, tallies.word, TALLIES, (tallies.Ask, tallies.Counts)),
