--- a/grebestack/protocol/discovery.py
+++ b/grebestack/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""The watch of discovery's list that keeps the server table up to date: the shell of `watching.life`."""
+"""The watch of discovery's list that keeps the server table up to date: the shell of `endpoint_watch`."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from typing import Any
 
 from grebestack.core.interface import ListKind, Settings
+from grebestack.endpoint_watch import state_machine
+from grebestack.endpoint_watch.state_machine import CONNECT_MS, Life, Stage, Terms
 from grebestack.protocol.lists import ListReader, Objects
 from grebestack.routing.interfaces import Listing
 from grebestack.transport.client import Address, LineStream
-from grebestack.watching import life
-from grebestack.watching.life import CONNECT_MS, Life, Stage, Terms
 
 log = logging.getLogger(__name__)
 
@@ -97,16 +97,16 @@
 
     def start(self) -> None:
         """Open the first watch."""
-        self._feed(life.Begun())
+        self._feed(state_machine.Begun())
 
     def retire(self) -> None:
         """Hear on what is open, but open nothing more: another watch follows."""
-        self._feed(life.Moved())
+        self._feed(state_machine.Moved())
 
     def stop(self) -> None:
         """Watch no longer."""
         self._end_former()
-        self._feed(life.Stopped())
+        self._feed(state_machine.Stopped())
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -116,17 +116,17 @@
             self.follows.stop()
             self.follows = None
 
-    def _feed(self, event: life.Event) -> None:
+    def _feed(self, event: state_machine.Event) -> None:
         for action in self.life.handle(time.monotonic() * 1000.0, event):
             match action:
-                case life.Open(number):
+                case state_machine.Open(number):
                     self._open(number)
-                case life.Close(number):
+                case state_machine.Close(number):
                     if (question := self.questions.pop(number, None)) is not None:
                         question.close()
-                case life.Wake(at_ms):
+                case state_machine.Wake(at_ms):
                     self._wake(at_ms)
-                case life.Now(stage):
+                case state_machine.Now(stage):
                     self._now(stage)
 
     def _wake(self, at_ms: float) -> None:
@@ -139,7 +139,7 @@
 
     def _tick(self) -> None:
         self.timer = None
-        self._feed(life.Tick())
+        self._feed(state_machine.Tick())
 
     def _now(self, stage: Stage) -> None:
         kv = {"stage": stage.value, "rev": self.version, "calls": self.calls}
@@ -173,7 +173,7 @@
     def ended(self, question: Question) -> None:
         """A watch has ended, or never came up."""
         self.questions.pop(question.number, None)
-        self._feed(life.Ended(question.number))
+        self._feed(state_machine.Ended(question.number))
 
     def line(self, question: Question, line: bytes) -> None:
         """A line has come."""
@@ -181,7 +181,7 @@
             raw = question.objects.line(line)
             if raw is None:
                 if not question.objects.parts:
-                    self._feed(life.Heard(question.number))
+                    self._feed(state_machine.Heard(question.number))
                     self.use_known()  # nothing has changed since
                     self.table.heard()
                 return
@@ -190,11 +190,11 @@
             # Changes that can't be read are lost, and the next ones would rest on them: all is asked anew.
             log.warning("bad_list_line", extra={"kv": {"error": f"{error!r:.200}", "rev": self.version}})
             self.version = 0
-            self._feed(life.Garbled(question.number))
+            self._feed(state_machine.Garbled(question.number))
             return
         if not whole and version < self.version:
             self.reader.odd("rev", version, self.version)
-        self._feed(life.Heard(question.number))
+        self._feed(state_machine.Heard(question.number))
         self.version = version
         if self.held and not whole:
             self.use_known()  # what these are changes to
--- a/tests/watch_model.py
+++ b/tests/endpoint_watch_model.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from grebestack.watching.life import (
+from grebestack.endpoint_watch.state_machine import (
     TOLD_MS,
     Begun,
     Close,
--- a/tests/test_watching.py
+++ b/tests/test_endpoint_watch.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from grebestack.watching.life import (
+from grebestack.endpoint_watch.state_machine import (
     SILENCE_MS,
     SOON_MOST_MS,
     Action,
@@ -27,7 +27,7 @@
     Tick,
     Wake,
 )
-from tests.watch_model import Fault, Play, play
+from tests.endpoint_watch_model import Fault, Play, play
 
 PUSHED = Terms(True, 250.0, 200)
 ASKED = Terms(False, 250.0, 40)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,6 +14,7 @@
 from harness import Fleet, Machines, SimClock
 
 from grebestack.core import interface as api
+from grebestack.endpoint_watch.state_machine import Begun, Ended, Event, Life, Open, Terms, Tick, Wake
 from grebestack.program.log import KeyValueFormatter
 from grebestack.program.tally import Tally
 from grebestack.protocol.discovery import Watch
@@ -21,7 +22,6 @@
 from grebestack.protocol.settings import settings_of
 from grebestack.routing.session import Dispatch
 from grebestack.routing.table import ServerTable
-from grebestack.watching.life import Begun, Ended, Event, Life, Open, Terms, Tick, Wake
 
 CLASSES = (
     api.JobClass("order", aim_ms=600, deadline_ms=8000, effect=api.Effect.UNSAFE, worth=5, stretch=2.5),
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -32,8 +32,8 @@
     "transport",
     "transport.client",
     "transport.server",
-    "watching",
-    "watching.life",
+    "endpoint_watch",
+    "endpoint_watch.state_machine",
 }
 LIBRARIES = {"httptools", "uvloop"}
 NEVER = {"sqlite3", "http.client", "tkinter", "multiprocessing", "unittest"}
