--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -23,6 +23,9 @@
 from grebestack.core import interface as api
 from grebestack.core.interface import ListKind, Outcome
 from grebestack.drmaa.template import Templates
+from grebestack.job_queue import interface as room_api
+from grebestack.job_queue.interface import Spec
+from grebestack.job_queue.job_queue import Room
 from grebestack.jobs.records import Batch, Job, JobError, JobLimits
 from grebestack.jobs.service import JobService
 from grebestack.jobs.store import JobStore
@@ -30,9 +33,6 @@
 from grebestack.routing.engine import Engine
 from grebestack.routing.session import Dispatch, Payload, Session, Stage
 from grebestack.routing.table import Server
-from grebestack.waiting import interface as room_api
-from grebestack.waiting.interface import Spec
-from grebestack.waiting.room import Room
 
 ORDER = api.JobClass(
     "order", aim_ms=600, deadline_ms=10_000, effect=api.Effect.UNSAFE, worth=5.0, late_worth=0.3, stretch=2.5
--- a/grebestack/drmaa/console.py
+++ b/grebestack/drmaa/console.py
@@ -5,9 +5,9 @@
 import time
 from typing import Any, Protocol
 
+from grebestack.job_queue.interface import Stage
 from grebestack.jobs.service import JobService
 from grebestack.routing.engine import Engine
-from grebestack.waiting.interface import Stage
 
 
 class Members(Protocol):
--- a/grebestack/waiting/graph.py
+++ b/grebestack/job_queue/dependencies.py
@@ -7,7 +7,7 @@
 
 from sortedcontainers import SortedList
 
-from grebestack.waiting.interface import Condition, RoomError, Spec, Stage
+from grebestack.job_queue.interface import Condition, RoomError, Spec, Stage
 
 NEVER = float("inf")
 
--- a/grebestack/waiting/room.py
+++ b/grebestack/job_queue/job_queue.py
@@ -8,9 +8,9 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from grebestack.waiting import interface as api
-from grebestack.waiting.graph import NEVER, Cascade, Graph, Group, Node, Queue
-from grebestack.waiting.interface import Cause, Stage
+from grebestack.job_queue import interface as api
+from grebestack.job_queue.dependencies import NEVER, Cascade, Graph, Group, Node, Queue
+from grebestack.job_queue.interface import Cause, Stage
 
 LEAST_PAUSE_MS = 50.0  # an aged job that was refused is tried again after this at the soonest
 PAUSE_PART = 0.25  # and at the latest after this part of the time that is left of its wanted time
--- a/grebestack/jobs/records.py
+++ b/grebestack/jobs/records.py
@@ -6,8 +6,8 @@
 from enum import Enum, StrEnum
 from typing import Protocol
 
+from grebestack.job_queue.interface import Condition
 from grebestack.routing.session import Payload
-from grebestack.waiting.interface import Condition
 
 NO_DEADLINE = float("inf")
 
--- a/grebestack/jobs/service.py
+++ b/grebestack/jobs/service.py
@@ -19,6 +19,9 @@
 from typing import Protocol
 
 from grebestack.core.interface import Outcome, Settings
+from grebestack.job_queue import interface as room_api
+from grebestack.job_queue.interface import Cause, Condition, Edge, Spec, Stage
+from grebestack.job_queue.job_queue import Room
 from grebestack.jobs.records import (
     NO_DEADLINE,
     Batch,
@@ -34,9 +37,6 @@
 from grebestack.routing.engine import Engine
 from grebestack.routing.interfaces import Timer
 from grebestack.routing.session import Dispatch, Session
-from grebestack.waiting import interface as room_api
-from grebestack.waiting.interface import Cause, Condition, Edge, Spec, Stage
-from grebestack.waiting.room import Room
 
 log = logging.getLogger(__name__)
 STORE_AGAIN_MS = 1000.0  # what could not be recorded is tried again after this
--- a/grebestack/jobs/store.py
+++ b/grebestack/jobs/store.py
@@ -8,8 +8,8 @@
 from operator import attrgetter
 from typing import Any
 
+from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState, Sent
-from grebestack.waiting.interface import Condition
 
 VERSION = 2
 # What each version adds to the one before; a new file gets all, an older one what it lacks.
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -17,6 +17,7 @@
 from grebestack.fleet.record import frame
 from grebestack.fleet.versions import Version, digest_of
 from grebestack.handover.frames import note
+from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
 from grebestack.jobs.store import EdgeRow, JobStore
 from grebestack.mesh.contents import Contents
@@ -25,7 +26,6 @@
 from grebestack.program.config import from_text
 from grebestack.program.fleet import form
 from grebestack.protocol.snapshot import save
-from grebestack.waiting.interface import Condition
 from tests.golden_samples import FOLDER, RECORDS, SERVER, STAMP, encoded_record
 
 WAIT_S = 10.0
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -18,10 +18,10 @@
 from grebestack.fleet.follower import Follower
 from grebestack.fleet.relay import Relay
 from grebestack.fleet.versions import Version, check, sound
+from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import JobState, Kind
 from grebestack.program.dispatcher import Dispatcher
 from grebestack.program.life import Stage
-from grebestack.waiting.interface import Condition
 from tests.golden_samples import DIGEST, FEED, VERSION, load
 from tests.golden_settings import golden_text, operators_config
 
--- a/tests/test_waiting_room.py
+++ b/tests/test_job_queue.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from grebestack.waiting import interface as api
-from grebestack.waiting.interface import Cause, Condition, Edge, Spec, Stage
-from grebestack.waiting.room import Room
+from grebestack.job_queue import interface as api
+from grebestack.job_queue.interface import Cause, Condition, Edge, Spec, Stage
+from grebestack.job_queue.job_queue import Room
 
 WANTED = 1000.0
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -13,6 +13,7 @@
 from grebestack.core.interface import Outcome
 from grebestack.drmaa.errors import DrmaaError
 from grebestack.drmaa.template import Templates
+from grebestack.job_queue.interface import Stage as RoomStage
 from grebestack.jobs import store as store_module
 from grebestack.jobs.records import Batch, Job, JobError, JobLimits, JobState, Kind
 from grebestack.jobs.service import JobService
@@ -20,7 +21,6 @@
 from grebestack.routing.engine import Engine
 from grebestack.routing.session import Dispatch, Stage
 from grebestack.routing.table import Server, ServerTable
-from grebestack.waiting.interface import Stage as RoomStage
 from tests.driver import entry
 from tests.test_engine import SETTINGS, Clock
 
