--- a/grebestack/control/door.py
+++ b/grebestack/admin/server.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from grebestack.control.calls import Answer, Call, LineReader
+from grebestack.admin.commands import Answer, Call, LineReader
 
 log = logging.getLogger(__name__)
 MOST_CALLERS = 16
--- a/grebestack/program/configuring.py
+++ b/grebestack/program/configuring.py
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Any, Protocol
 
+from grebestack.admin.commands import Answer
 from grebestack.audit.stamps import digest
-from grebestack.control.calls import Answer
 from grebestack.fleet.actions import Outcome
 from grebestack.fleet.relay import Relay
 from grebestack.fleet.versions import MOST_CONTENTS, Version
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -207,7 +207,7 @@
         log.info("drmaa_listening", extra={"kv": {"address": ":".join(map(str, config.listen))}})
 
     async def _open_door(self, address: Address) -> None:
-        from grebestack.control.door import Door  # only here: where there is no door nothing is loaded for it
+        from grebestack.admin.server import Door  # only here: where there is no door nothing is loaded for it
         from grebestack.program.operations import OwnOperations
 
         operations = OwnOperations(self) if self.upgrade is None else self.upgrade
--- a/grebestack/program/fleet.py
+++ b/grebestack/program/fleet.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from grebestack.control.calls import Answer
+from grebestack.admin.commands import Answer
 from grebestack.fleet.lease import Terms
 from grebestack.fleet.messages import Began, Born, Record, Roll, encode
 from grebestack.fleet.pacing import Pace
--- a/grebestack/program/operations.py
+++ b/grebestack/program/operations.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from grebestack.control.calls import Answer, Call, Verb
+from grebestack.admin.commands import Answer, Call, Verb
 from grebestack.program.life import Life
 
 if TYPE_CHECKING:
-    from grebestack.control.door import Reply
+    from grebestack.admin.server import Reply
     from grebestack.program.auditing import Auditor
     from grebestack.program.configuring import Configuring
     from grebestack.program.fleet import Fleet
--- a/grebestack/program/paced.py
+++ b/grebestack/program/paced.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from grebestack.control.calls import Answer
+from grebestack.admin.commands import Answer
 from grebestack.fleet.messages import Plan
 from grebestack.fleet.pacing import (
     GOES_ON,
--- a/grebestack/program/say.py
+++ b/grebestack/program/say.py
@@ -5,7 +5,7 @@
 import argparse
 import socket
 
-from grebestack.control.calls import ALLOWED
+from grebestack.admin.commands import ALLOWED
 from grebestack.protocol.lists import address_of
 
 DONE, TURNED_DOWN, WRONG_WORDS, NOBODY = 0, 1, 2, 3  # the console's exit codes
--- a/grebestack/program/upgrade.py
+++ b/grebestack/program/upgrade.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from grebestack.control.calls import Answer, Call, Verb
+from grebestack.admin.commands import Answer, Call, Verb
 from grebestack.core import keepsake
 from grebestack.core.interface import ListKind, Outcome, WorkerEntry, WorkerState
 from grebestack.handover import pact as api
@@ -25,7 +25,7 @@
 from grebestack.transport.server import Connection, Request
 
 if TYPE_CHECKING:
-    from grebestack.control.door import Reply
+    from grebestack.admin.server import Reply
     from grebestack.program.dispatcher import Dispatcher
 
 log = logging.getLogger(__name__)
--- a/tests/golden_control.py
+++ b/tests/golden_control.py
@@ -6,8 +6,8 @@
 from typing import Any
 from unittest.mock import MagicMock
 
-from grebestack.control.calls import Answer, Call, LineReader, Verb, parse, shown
-from grebestack.control.door import Door
+from grebestack.admin.commands import Answer, Call, LineReader, Verb, parse, shown
+from grebestack.admin.server import Door
 from grebestack.core.interface import ListKind
 from grebestack.program.life import Life
 from grebestack.program.log import KeyValueFormatter
--- a/tests/test_control.py
+++ b/tests/test_admin.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from grebestack.control import calls
+from grebestack.admin import commands
 from grebestack.core.interface import ListKind, WorkerEntry, WorkerState
 from grebestack.program.life import KEPT_MS, LED_MS, Clients, Life, Stage
 from grebestack.routing.table import Server, ServerTable
@@ -45,18 +45,18 @@
 def test_a_line_is_the_same_call_however_it_is_cut(
     line: bytes, end: bytes, more: bytes, chance: random.Random
 ) -> None:
-    whole, reader, got = line + end + more, calls.LineReader(), list[Any]()
+    whole, reader, got = line + end + more, commands.LineReader(), list[Any]()
     while whole:
         size = chance.randint(1, len(whole))
         if (result := reader.feed(whole[:size])) is not None:
             got.append(result)
         whole = whole[size:]
-        assert len(reader.rest) <= calls.MOST_LINE + 1
+        assert len(reader.rest) <= commands.MOST_LINE + 1
     assert len(got) == 1 and reader.ended() is None
-    if len(line) > calls.MOST_LINE:
-        assert got[0] == calls.Answer(False, "the line is longer than 256 bytes")
+    if len(line) > commands.MOST_LINE:
+        assert got[0] == commands.Answer(False, "the line is longer than 256 bytes")
     else:
-        assert got[0] == calls.parse(line)
+        assert got[0] == commands.parse(line)
 
 
 @pytest.mark.parametrize(
@@ -71,8 +71,8 @@
     ],
 )
 def test_a_failure_names_what_was_wrong_and_what_is_allowed(line: bytes, says: str) -> None:
-    answer = calls.parse(line)
-    assert isinstance(answer, calls.Answer) and answer.line.startswith(b"FAILURE ")
+    answer = commands.parse(line)
+    assert isinstance(answer, commands.Answer) and answer.line.startswith(b"FAILURE ")
     assert says in answer.text and "cordon ID" in answer.text
 
 
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -7,7 +7,7 @@
 import pytest
 from fleet_counts import Counts
 
-from grebestack.control.calls import Verb
+from grebestack.admin.commands import Verb
 from tests.golden_control import LINES, all_control
 from tests.golden_samples import load
 from tests.golden_settings import all_errors, all_settings
