--- a/grebestack/handover/channel.py
+++ b/grebestack/hot_restart/channel.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from grebestack.handover.frames import MOST, PIECE, FrameError, Message, Unpacker, pack
+from grebestack.hot_restart.framing import MOST, PIECE, FrameError, Message, Unpacker, pack
 
 NAME = "serving.sock"  # the meeting point, in the folder
 MOST_FDS = 4  # in one packet
--- a/grebestack/handover/pact.py
+++ b/grebestack/hot_restart/state_machine.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from grebestack.handover.frames import VERSION, Message
+from grebestack.hot_restart.framing import VERSION, Message
 
 MOST_OPEN = 20_000  # ids of an elder's jobs that are remembered
 
--- a/grebestack/program/upgrade.py
+++ b/grebestack/program/upgrade.py
@@ -13,9 +13,9 @@
 from grebestack.admin.commands import Answer, Call, Verb
 from grebestack.core import keepsake
 from grebestack.core.interface import ListKind, Outcome, WorkerEntry, WorkerState
-from grebestack.handover import pact as api
-from grebestack.handover.channel import Channel, MeetingPoint, read_file, write_note
-from grebestack.handover.frames import MOST_FILE, FrameError, Message, note, read_note
+from grebestack.hot_restart import state_machine as api
+from grebestack.hot_restart.channel import Channel, MeetingPoint, read_file, write_note
+from grebestack.hot_restart.framing import MOST_FILE, FrameError, Message, note, read_note
 from grebestack.program.operations import OwnOperations
 from grebestack.protocol.platform import MARGIN_MS
 from grebestack.protocol.platform import Answer as PlatformAnswer
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -16,7 +16,7 @@
 from grebestack.audit.stamps import Stamps
 from grebestack.fleet.record import frame
 from grebestack.fleet.versions import Version, digest_of
-from grebestack.handover.frames import note
+from grebestack.hot_restart.framing import note
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
 from grebestack.jobs.store import EdgeRow, JobStore
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -10,7 +10,7 @@
 from grebestack.core import keepsake as learned
 from grebestack.core.interface import ListKind, RequestArrived, WorkerEntry, WorkersListed
 from grebestack.core.policy import Policy
-from grebestack.handover import frames, pact
+from grebestack.hot_restart import framing, state_machine
 from grebestack.program.upgrade import Upgrade
 from grebestack.protocol.platform import Answer
 from grebestack.protocol.runners import Said
@@ -68,12 +68,12 @@
 
 def pact_messages() -> list[dict[str, Any]]:
     """What the pact itself says."""
-    heir, elder = pact.Pact(), pact.Pact()
+    heir, elder = state_machine.Pact(), state_machine.Pact()
     actions = heir.found(PEER) + heir.started()
     actions += heir.ask("cordon", "runner-1")[1]
     actions += heir.called_back("the body of a call-back")[1]
-    actions += elder.heard(2, {"is": "hello", "version": frames.VERSION})
-    return [action.message for action in actions if isinstance(action, pact.Tell)]
+    actions += elder.heard(2, {"is": "hello", "version": framing.VERSION})
+    return [action.message for action in actions if isinstance(action, state_machine.Tell)]
 
 
 def busy_dispatcher() -> MagicMock:
@@ -106,10 +106,10 @@
     channels: Any = upgrade.channels
     channels[PEER] = channel
     upgrade.pact.heir = PEER
-    upgrade._carry_out(pact.CarryOut(PEER, 5, "cordon", "runner-1"))
-    upgrade._carry_out(pact.CalledBack(PEER, 6, "the body of a call-back"))
-    upgrade._carry_out(pact.Welcome(PEER))
-    upgrade._carry_out(pact.Accept(False, PEER))
+    upgrade._carry_out(state_machine.CarryOut(PEER, 5, "cordon", "runner-1"))
+    upgrade._carry_out(state_machine.CalledBack(PEER, 6, "the body of a call-back"))
+    upgrade._carry_out(state_machine.Welcome(PEER))
+    upgrade._carry_out(state_machine.Accept(False, PEER))
     engine = dispatcher.engine
     (session,) = engine.sessions.values()
     engine.on_sent(session.dispatches[0])
@@ -124,7 +124,7 @@
     """The packets of each message, by its name on the channel; a long one takes several."""
     with TemporaryDirectory() as folder:
         messages = pact_messages() + upgrade_messages(folder)
-    packets = {message["is"]: [packet.decode() for packet in frames.pack(message)] for message in messages}
-    long = frames.pack({"is": "call", "n": 1, "verb": "cordon", "server": "r" * frames.PIECE})
+    packets = {message["is"]: [packet.decode() for packet in framing.pack(message)] for message in messages}
+    long = framing.pack({"is": "call", "n": 1, "verb": "cordon", "server": "r" * framing.PIECE})
     packets["call in two packets"] = [packet.decode() for packet in long]
     return packets
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -10,7 +10,7 @@
 from grebestack.audit import acts
 from grebestack.audit.reading import MAGIC
 from grebestack.fleet.record import read
-from grebestack.handover.frames import read_note
+from grebestack.hot_restart.framing import read_note
 from grebestack.jobs.store import JobStore
 from grebestack.mesh.contents import Contents
 from grebestack.mesh.store import Store
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -8,7 +8,7 @@
 import pytest
 
 from grebestack.audit.acts import Item
-from grebestack.handover.frames import Unpacker, pack
+from grebestack.hot_restart.framing import Unpacker, pack
 from grebestack.program.upgrade import request_of, server_of
 from grebestack.routing.table import Server
 from tests.golden_handover import REQUEST, handover_packets, keepsake, keepsake_taken
--- a/tests/test_handover.py
+++ b/tests/test_hot_restart.py
@@ -20,7 +20,7 @@
 from grebestack.core import interface as core
 from grebestack.core.keepsake import Elsewhere, kept, take
 from grebestack.core.policy import Policy
-from grebestack.handover import frames, pact
+from grebestack.hot_restart import framing, state_machine
 from tests.driver import KEYED, SAFE, UNSAFE, settings
 from tests.standins import Answer, Runner, World, answers, call, insist, say, wait_until
 
@@ -29,7 +29,7 @@
     """One side of the pact, with a channel to each other process that keeps the order of words."""
 
     def __init__(self, play: Play, number: int) -> None:
-        self.play, self.number, self.pact = play, number, pact.Pact()
+        self.play, self.number, self.pact = play, number, state_machine.Pact()
         self.alive, self.done, self.replies = True, list[str](), dict[int, bool | None]()
         self.asked: dict[int, tuple[str, set[int]]] = {}  # what, and who was a peer then
         self.handed_to: int | None = None
@@ -39,38 +39,38 @@
             play.channels |= {(number, play.holder): deque(), (play.holder, number): deque()}
             self.do(self.pact.found(play.holder))
 
-    def do(self, actions: list[pact.Action]) -> None:
+    def do(self, actions: list[state_machine.Action]) -> None:
         for action in actions:
-            if isinstance(action, pact.Tell):
+            if isinstance(action, state_machine.Tell):
                 self.tell(action.peer, action.message)
-            elif isinstance(action, pact.Welcome):
+            elif isinstance(action, state_machine.Welcome):
                 self.tell(action.peer, {"is": "welcome", "done": list(self.done)})
-            elif isinstance(action, pact.TakeOver):
+            elif isinstance(action, state_machine.TakeOver):
                 self.done = list(action.what["done"])
-            elif isinstance(action, pact.Meet):
+            elif isinstance(action, state_machine.Meet):
                 if action.on:
                     self.play.holder = self.number
                 elif self.play.holder == self.number:
                     self.play.holder = None
-            elif isinstance(action, pact.Accept) and not action.on:
+            elif isinstance(action, state_machine.Accept) and not action.on:
                 assert action.to is not None and not play_accepts(self.play, action.to), "two accept"
                 self.handed_to = action.to
                 self.tell(action.to, {"is": "retired", "open": [], "out": []})
-            elif isinstance(action, pact.CarryOut):
+            elif isinstance(action, state_machine.CarryOut):
                 self.done.append(action.server)
                 self.tell(action.peer, {"is": "did", "n": action.number, "yes": True})
-            elif isinstance(action, pact.CalledBack):
+            elif isinstance(action, state_machine.CalledBack):
                 yes = action.body == f"of {self.number}"
                 self.tell(action.peer, {"is": "known", "n": action.number, "yes": yes})
-            elif isinstance(action, pact.Reply):
+            elif isinstance(action, state_machine.Reply):
                 assert action.number not in self.replies, "answered twice"
                 self.replies[action.number] = action.yes
-            elif isinstance(action, pact.Apart):
+            elif isinstance(action, state_machine.Apart):
                 self.play.channels.pop((self.number, action.peer), None)
 
     def tell(self, peer: int, message: dict[str, Any]) -> None:
         if (self.number, peer) in self.play.channels:
-            packets = frames.pack(message)
+            packets = framing.pack(message)
             self.play.channels[(self.number, peer)].append(packets)
 
 
@@ -90,7 +90,7 @@
         return [process for process in self.processes if process.alive]
 
     def deliver(self, way: tuple[int, int]) -> None:
-        unpacker, message = frames.Unpacker(), None
+        unpacker, message = framing.Unpacker(), None
         for packet in self.channels[way].popleft():
             message = unpacker.feed(packet)
         to = self.processes[way[1]]
@@ -109,7 +109,7 @@
             self.deliver(ways[0])
 
 
-def may_start(one: pact.Pact) -> bool:
+def may_start(one: state_machine.Pact) -> bool:
     return not one.begun and (one.elder is None or one.welcomed)
 
 
@@ -164,22 +164,22 @@
 
 @given(st.sets(st.text(max_size=20), max_size=5), st.data())
 def test_a_torn_or_foreign_file_is_refused(bans: set[str], data: st.DataObject) -> None:
-    whole = frames.note(bans)
-    assert frames.read_note(whole) == bans
+    whole = framing.note(bans)
+    assert framing.read_note(whole) == bans
     cut = data.draw(st.integers(0, len(whole) - 2))
     for broken in (whole[:cut], b"{}", whole.replace(b'"version":1', b'"version":2')):
-        with pytest.raises(frames.FrameError):
-            frames.read_note(broken)
+        with pytest.raises(framing.FrameError):
+            framing.read_note(broken)
 
 
 def test_long_messages_go_in_packets_and_foreign_ones_are_refused() -> None:
-    message, unpacker = {"is": "welcome", "names": ["n" * 50] * 5000}, frames.Unpacker()
-    packets = frames.pack(message)
-    assert len(packets) > 3 and max(map(len, packets)) <= frames.PIECE + 1
+    message, unpacker = {"is": "welcome", "names": ["n" * 50] * 5000}, framing.Unpacker()
+    packets = framing.pack(message)
+    assert len(packets) > 3 and max(map(len, packets)) <= framing.PIECE + 1
     assert [unpacker.feed(packet) for packet in packets][-1] == message
     for foreign in (b"GET / HTTP/1.1", b".[]", b".{", b".{}", b""):
-        with pytest.raises(frames.FrameError):
-            frames.Unpacker().feed(foreign)
+        with pytest.raises(framing.FrameError):
+            framing.Unpacker().feed(foreign)
 
 
 def test_what_was_learned_is_taken_whole_or_not_at_all() -> None:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -23,7 +23,7 @@
     "fleet": {"fleet"},
     "mesh": {"fleet", "mesh"},
     "audit": {"fleet", "audit"},
-    "handover": {"handover"},
+    "hot_restart": {"hot_restart"},
     "program": {
         "core",
         "routing",
@@ -37,7 +37,7 @@
         "drmaa",
         "audit",
         "admin",
-        "handover",
+        "hot_restart",
         "fleet",
         "mesh",
         "program",
