--- a/benchmarks/scaling/fleet.py
+++ b/benchmarks/scaling/fleet.py
@@ -20,7 +20,7 @@
 from datetime import datetime
 from pathlib import Path
 
-from grebestack.audit.stamps import digest
+from grebestack.audit.version_sets import digest
 from scaling.checker import Acted, Asked, Away, History, Life, Split
 from scaling.ports import quiet_port
 from scaling.processes import Processes
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -40,9 +40,9 @@
 from membership import Fleet as ConsulFleet
 from sizes import OPTIONS, listing
 
-from grebestack.audit.acts import Act
 from grebestack.audit.recorder import Limits, Recorder
-from grebestack.audit.stamps import Stamp, Stamps
+from grebestack.audit.records import Act
+from grebestack.audit.version_sets import Stamp, Stamps
 from grebestack.core import interface as api
 from grebestack.core.interface import ListKind
 from grebestack.fleet.messages import Began, Born, Message, Plan, Roll, encode
--- a/grebestack/audit/merge.py
+++ b/grebestack/audit/merge.py
@@ -15,7 +15,7 @@
 from msgspec import structs
 
 from grebestack.audit.reading import Done, Record
-from grebestack.audit.stamps import Stamp
+from grebestack.audit.version_sets import Stamp
 
 COMPARED = ("program", "settings", "source", "revision", "bans", "epoch")
 
--- a/grebestack/audit/reading.py
+++ b/grebestack/audit/reading.py
@@ -7,8 +7,8 @@
 
 from msgspec import DecodeError
 
-from grebestack.audit.acts import VERSION, Act, Gap, Head, Item, Turned, decode
-from grebestack.audit.stamps import Stamp
+from grebestack.audit.records import VERSION, Act, Gap, Head, Item, Turned, decode
+from grebestack.audit.version_sets import Stamp
 from grebestack.fleet.record import read
 
 MAGIC = b"grebestack audit 1\n"
--- a/grebestack/audit/recorder.py
+++ b/grebestack/audit/recorder.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from zlib import crc32
 
-from grebestack.audit.acts import OF_OPERATORS, VERSION, Act, Gap, Head, Item, Sealed, Turned, encode
-from grebestack.audit.stamps import Stamps
+from grebestack.audit.records import OF_OPERATORS, VERSION, Act, Gap, Head, Item, Sealed, Turned, encode
+from grebestack.audit.version_sets import Stamps
 
 SAMPLED = frozenset({"send", "retry"})
 FIRST = 100  # acts of a stamp that are all kept: what a version does at first matters most
--- a/grebestack/audit/acts.py
+++ b/grebestack/audit/records.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct, msgpack
 
-from grebestack.audit.stamps import Stamp
+from grebestack.audit.version_sets import Stamp
 
 VERSION = 1
 OF_OPERATORS = "operator"  # the kind of acts that people do
--- a/grebestack/program/audit.py
+++ b/grebestack/program/audit.py
@@ -7,8 +7,8 @@
 import os
 import sys
 
+from grebestack.audit.html_report import as_page
 from grebestack.audit.merge import as_data, as_text, merge
-from grebestack.audit.page import as_page
 from grebestack.audit.reading import Record, assemble
 from grebestack.program.auditing import segments
 
--- a/grebestack/program/auditing.py
+++ b/grebestack/program/auditing.py
@@ -15,10 +15,10 @@
 from typing import TYPE_CHECKING, Any
 
 from grebestack.admin.commands import Call
-from grebestack.audit.acts import OF_OPERATORS
 from grebestack.audit.reading import MAGIC
 from grebestack.audit.recorder import Limits, Recorder
-from grebestack.audit.stamps import Stamp, Stamps, digest
+from grebestack.audit.records import OF_OPERATORS
+from grebestack.audit.version_sets import Stamp, Stamps, digest
 from grebestack.core.interface import ListKind, WorkerEntry
 from grebestack.fleet.record import frame
 from grebestack.mesh.store import Files, FolderTakenError, take
--- a/grebestack/program/configuring.py
+++ b/grebestack/program/configuring.py
@@ -15,7 +15,7 @@
 from typing import Any, Protocol
 
 from grebestack.admin.commands import Answer
-from grebestack.audit.stamps import digest
+from grebestack.audit.version_sets import digest
 from grebestack.fleet.actions import Outcome
 from grebestack.fleet.relay import Relay
 from grebestack.fleet.versions import MOST_CONTENTS, Version
--- a/tests/follower_cluster.py
+++ b/tests/follower_cluster.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from grebestack.audit.stamps import digest
+from grebestack.audit.version_sets import digest
 from grebestack.fleet.versions import digest_of
 from grebestack.mesh.telling import monotonic_ms
 from tests.cluster import Cluster, Process, Way, quiet_port
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from grebestack.audit.recorder import Limits, Recorder
-from grebestack.audit.stamps import Stamps
+from grebestack.audit.version_sets import Stamps
 from grebestack.fleet.record import frame
 from grebestack.fleet.versions import Version, digest_of
 from grebestack.hot_restart.framing import note
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -11,8 +11,8 @@
 from msgspec import json as msgspec_json
 from msgspec import msgpack
 
-from grebestack.audit import acts
-from grebestack.audit.stamps import Stamp
+from grebestack.audit import records
+from grebestack.audit.version_sets import Stamp
 from grebestack.core.interface import WorkerEntry, WorkerState
 from grebestack.fleet import configuration, pacing, sharing, tallies
 from grebestack.fleet import feed as distribution
@@ -151,15 +151,15 @@
     "server with defaults": Server(WorkerEntry("runner-2"), ("10.0.0.8", 8008)),
 }
 BATCHES = {
-    "head": (acts.Head(1, "d-1", "f00d", 12, 1000.5, 100.25, 3, STAMP),),
-    "head with a stamp of defaults": (acts.Head(1, "d-1", "f00d", 12, 1000.5, 100.25, 1, Stamp()),),
-    "turned": (acts.Turned(1001.5, 4, STAMP),),
-    "act": (acts.Act(1002.5, "send", 4, "job-1", "runner-1"),),
-    "act with defaults": (acts.Act(1003.5, "operator", 4),),
-    "gap": (acts.Gap(1004.5, 1005.5, 6, "sampled", (3, 4)),),
-    "gap with defaults": (acts.Gap(1004.5, 1005.5, 6, "the disk is slow"),),
-    "sealed": (acts.Sealed(1006.5, True),),
-    "batch of two": (acts.Act(1002.5, "deny", 4, "job-2", ""), acts.Sealed(1006.5, False)),
+    "head": (records.Head(1, "d-1", "f00d", 12, 1000.5, 100.25, 3, STAMP),),
+    "head with a stamp of defaults": (records.Head(1, "d-1", "f00d", 12, 1000.5, 100.25, 1, Stamp()),),
+    "turned": (records.Turned(1001.5, 4, STAMP),),
+    "act": (records.Act(1002.5, "send", 4, "job-1", "runner-1"),),
+    "act with defaults": (records.Act(1003.5, "operator", 4),),
+    "gap": (records.Gap(1004.5, 1005.5, 6, "sampled", (3, 4)),),
+    "gap with defaults": (records.Gap(1004.5, 1005.5, 6, "the disk is slow"),),
+    "sealed": (records.Sealed(1006.5, True),),
+    "batch of two": (records.Act(1002.5, "deny", 4, "job-2", ""), records.Sealed(1006.5, False)),
 }
 
 CODECS = {
@@ -179,7 +179,7 @@
         msgspec_json.encode, msgspec_json.Decoder(tallies.Export).decode, EXPORTS, (tallies.Export,)
     ),
     "shared servers": Codec(msgpack.encode, msgpack.Decoder(Server).decode, SERVERS, (Server,)),
-    "audit": Codec(acts.encode, acts.decode, BATCHES, (tuple,)),
+    "audit": Codec(records.encode, records.decode, BATCHES, (tuple,)),
 }
 
 
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -8,8 +8,8 @@
 from typing import Any, cast
 from unittest.mock import MagicMock
 
+from grebestack.audit.html_report import as_page
 from grebestack.audit.merge import as_data, as_text, merge
-from grebestack.audit.page import as_page
 from grebestack.audit.reading import assemble
 from grebestack.core.interface import Effect, Group, ListKind, Outcome, WorkerState
 from grebestack.drmaa.template import schema
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -15,12 +15,12 @@
 
 import pytest
 
-from grebestack.audit.acts import OF_OPERATORS, Act, Gap, decode
+from grebestack.audit.html_report import as_page
 from grebestack.audit.merge import as_data, as_text, merge
-from grebestack.audit.page import as_page
 from grebestack.audit.reading import MAGIC, Record, assemble
 from grebestack.audit.recorder import FIRST, Limits, Recorder, place
-from grebestack.audit.stamps import Stamp, Stamps, digest
+from grebestack.audit.records import OF_OPERATORS, Act, Gap, decode
+from grebestack.audit.version_sets import Stamp, Stamps, digest
 from grebestack.fleet.record import frame
 from grebestack.program.config import ConfigError, from_file
 from tests.standins import APPLIANCE_SETTINGS, wait_until
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from grebestack.audit import acts
+from grebestack.audit import records
 from grebestack.audit.reading import MAGIC
 from grebestack.fleet.record import read
 from grebestack.hot_restart.framing import read_note
@@ -82,9 +82,9 @@
         segment = read(bytes.fromhex(digits), 1, MAGIC)
         assert segment.doubt == "" and not segment.torn
         for payload in segment.payloads:
-            items = acts.decode(payload)
-            assert acts.encode(items) == payload
-            whats += [item.what for item in items if isinstance(item, acts.Act)]
+            items = records.decode(payload)
+            assert records.encode(items) == payload
+            whats += [item.what for item in items if isinstance(item, records.Act)]
     assert whats == ["send", "operator"]
 
 
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from grebestack.audit.acts import Item
+from grebestack.audit.records import Item
 from grebestack.hot_restart.framing import Unpacker, pack
 from grebestack.program.upgrade import request_of, server_of
 from grebestack.routing.table import Server
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,7 +31,7 @@
 from scaling.processes import Cost, Rates, Traffic, read_sockets
 from scaling.run import agreement
 
-from grebestack.audit.stamps import digest as digest_of
+from grebestack.audit.version_sets import digest as digest_of
 from grebestack.program.config import from_file, from_text
 from tests.standins import wait_until
 
