--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -43,11 +43,11 @@
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.records import Act
 from grebestack.audit.version_sets import Stamp, Stamps
+from grebestack.consensus.log_format import read as read_records
+from grebestack.consensus.messages import Began, Born, Message, Plan, Roll, encode
+from grebestack.consensus.register import Value
 from grebestack.core import interface as api
 from grebestack.core.interface import ListKind
-from grebestack.fleet.messages import Began, Born, Message, Plan, Roll, encode
-from grebestack.fleet.record import read as read_records
-from grebestack.fleet.register import Value
 from grebestack.jobs.records import Job, JobState
 from grebestack.jobs.store import JobStore
 from grebestack.mesh import store as mesh_store
--- a/grebestack/audit/reading.py
+++ b/grebestack/audit/reading.py
@@ -9,7 +9,7 @@
 
 from grebestack.audit.records import VERSION, Act, Gap, Head, Item, Turned, decode
 from grebestack.audit.version_sets import Stamp
-from grebestack.fleet.record import read
+from grebestack.consensus.log_format import read
 
 MAGIC = b"grebestack audit 1\n"
 
--- /dev/null
+++ b/grebestack/consensus/__init__.py
@@ -0,0 +1,1 @@
+"""Consensus of dispatchers: registers that a quorum keeps, membership epochs, leases. Pure."""
--- a/grebestack/fleet/lease.py
+++ b/grebestack/consensus/lease.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from grebestack.fleet.register import Change, Value
+from grebestack.consensus.register import Change, Value
 
 NEVER = float("-inf")
 
--- a/grebestack/fleet/messages.py
+++ b/grebestack/consensus/messages.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct, msgpack
 
-from grebestack.fleet.lease import Lease
-from grebestack.fleet.register import Ballot
+from grebestack.consensus.lease import Lease
+from grebestack.consensus.register import Ballot
 from grebestack.fleet.versions import Version
 
 VERSION = 2
--- a/grebestack/fleet/shelf.py
+++ b/grebestack/consensus/recovery.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from grebestack.fleet.messages import Began, Born, Ended, Entered, Kept, Record, Roll, SlotOf
-from grebestack.fleet.register import Slot
+from grebestack.consensus.messages import Began, Born, Ended, Entered, Kept, Record, Roll, SlotOf
+from grebestack.consensus.register import Slot
 
 
 @dataclass(slots=True)
--- a/grebestack/fleet/member.py
+++ b/grebestack/consensus/replica.py
@@ -10,9 +10,10 @@
 from dataclasses import dataclass, replace
 from random import Random
 
-from grebestack.fleet.actions import Action, Peer, Send, Told, Turned, Write
-from grebestack.fleet.lease import NEVER, Lease, Tenure, Terms, releasing
-from grebestack.fleet.messages import (
+from grebestack.consensus.acceptor import Voter
+from grebestack.consensus.failure_detector import Peers, PeerTimes, Seen
+from grebestack.consensus.lease import NEVER, Lease, Tenure, Terms, releasing
+from grebestack.consensus.messages import (
     Accept,
     Admit,
     Behind,
@@ -30,10 +31,19 @@
     SlotOf,
     Taken,
 )
-from grebestack.fleet.peers import Peers, PeerTimes, Seen
-from grebestack.fleet.register import Accepted, Answer, Ballot, Change, Phase, Promised, Refused, Round, Value
-from grebestack.fleet.shelf import Shelf, merged
-from grebestack.fleet.voter import Voter
+from grebestack.consensus.recovery import Shelf, merged
+from grebestack.consensus.register import (
+    Accepted,
+    Answer,
+    Ballot,
+    Change,
+    Phase,
+    Promised,
+    Refused,
+    Round,
+    Value,
+)
+from grebestack.fleet.actions import Action, Peer, Send, Told, Turned, Write
 
 ASK_MS = 800.0  # an asking that is not through by then is given up
 AGAIN_MS, AGAIN_MOST_MS = 60.0, 500.0  # pauses of a register's askings, doubled and drawn
--- a/grebestack/fleet/__init__.py
+++ b/grebestack/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Dispatchers that agree: registers kept by a majority, and leases on them. Pure: events in, actions out."""
+"""The configuration on its way to all dispatchers, and tasks under leases. Pure."""
--- a/grebestack/fleet/actions.py
+++ b/grebestack/fleet/actions.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
+from grebestack.consensus.messages import Message, Record
 from grebestack.fleet.feed import Said, Tally
-from grebestack.fleet.messages import Message, Record
 from grebestack.fleet.versions import Version
 
 
--- a/grebestack/fleet/configuration.py
+++ b/grebestack/fleet/configuration.py
@@ -16,6 +16,7 @@
 import msgspec
 from msgspec import Struct, msgpack
 
+from grebestack.consensus.register import Change, Value
 from grebestack.fleet import waits
 from grebestack.fleet.actions import (
     Apply,
@@ -31,7 +32,6 @@
     Told,
 )
 from grebestack.fleet.feed import Standing, Tally
-from grebestack.fleet.register import Change, Value
 from grebestack.fleet.versions import MOST_CONTENTS, NO_VERSION, Version, check, digest_of, sound, wrong
 
 REGISTER = "configuration"
--- a/grebestack/fleet/pacing.py
+++ b/grebestack/fleet/pacing.py
@@ -12,8 +12,8 @@
 
 from msgspec import Struct, msgpack, structs
 
-from grebestack.fleet.messages import Plan
-from grebestack.fleet.register import Change, Value
+from grebestack.consensus.messages import Plan
+from grebestack.consensus.register import Change, Value
 
 REGISTER = "plan/restart"
 AGAIN_MS = 400.0  # what came to nothing is asked again, what was told is said again, after this
--- a/grebestack/mesh/__init__.py
+++ b/grebestack/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""The shell of a fleet's member: disk, connections, clock. It decides nothing; `grebestack.fleet` does."""
+"""The shell of a fleet's member: disk, connections, clock. It decides nothing; `grebestack.consensus` does."""
--- a/grebestack/mesh/configuration.py
+++ b/grebestack/mesh/configuration.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable, Mapping
 from functools import partial
 
+from grebestack.consensus.register import Value
 from grebestack.fleet.actions import (
     Apply,
     ConfigurationAction,
@@ -21,7 +22,6 @@
 )
 from grebestack.fleet.configuration import REGISTER, ConfigurationVoter, View, change
 from grebestack.fleet.feed import Tally
-from grebestack.fleet.register import Value
 from grebestack.fleet.versions import Version
 from grebestack.mesh.contents import Contents
 from grebestack.mesh.follower import OwnRelay, Take
--- a/grebestack/mesh/contents.py
+++ b/grebestack/mesh/contents.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from grebestack.fleet.record import frame, read
+from grebestack.consensus.log_format import frame, read
 from grebestack.fleet.versions import Version, check, digest_of
 from grebestack.mesh.store import ASIDE, CLOSE_S, KEPT_ASIDE, Files, sync_folder, take
 
--- a/grebestack/mesh/link.py
+++ b/grebestack/mesh/link.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from grebestack.fleet.messages import MOST, VERSION, Hello, Message, encode, message
+from grebestack.consensus.messages import MOST, VERSION, Hello, Message, encode, message
 from grebestack.mesh.frames import Frames, Opening
 
 HEAD = struct.Struct(">IQ")  # length of the message, and how far the sender's disk has come
--- a/grebestack/mesh/store.py
+++ b/grebestack/mesh/store.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from grebestack.fleet.record import MAGIC, frame, read
+from grebestack.consensus.log_format import MAGIC, frame, read
 
 LONG = 1 << 20  # bytes of a file after which it is begun anew
 PREFIX, SUFFIX, ASIDE = "registers-", ".log", "doubted-"
--- a/grebestack/program/fleet.py
+++ b/grebestack/program/fleet.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from grebestack.admin.commands import Answer
-from grebestack.fleet.lease import Terms
-from grebestack.fleet.messages import Began, Born, Record, Roll, encode
+from grebestack.consensus.lease import Terms
+from grebestack.consensus.messages import Began, Born, Record, Roll, encode
 from grebestack.fleet.pacing import Pace
 from grebestack.fleet.tallies import Ask, Counts, Export, Tallies, word
 from grebestack.mesh import store
--- a/grebestack/program/paced.py
+++ b/grebestack/program/paced.py
@@ -10,7 +10,8 @@
 import msgspec
 
 from grebestack.admin.commands import Answer
-from grebestack.fleet.messages import Plan
+from grebestack.consensus.messages import Plan
+from grebestack.consensus.register import Value
 from grebestack.fleet.pacing import (
     GOES_ON,
     REGISTER,
@@ -26,7 +27,6 @@
     shown,
     stopping,
 )
-from grebestack.fleet.register import Value
 from grebestack.mesh.node import Node
 from grebestack.program.attendance import Attendance
 from grebestack.program.life import LED_MS, Life
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -25,7 +25,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from grebestack.fleet.lease import Fence
+from grebestack.consensus.lease import Fence
 from tests.cluster_member import TASKS
 from tests.standins import APPLIANCE_SETTINGS, StandIn, say
 
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -2,7 +2,7 @@
 
     python -m tests.configuration_model [--seed N] [--plays N] [--fault NAME]
 
-The code is that of `grebestack.fleet`; the register is asked by its own functions. Connections deliver in
+The code is that of `grebestack.consensus`; the register is asked by its own functions. Connections deliver in
 order; what is said over a cut path comes after it has healed, or never if the connection has ended meanwhile.
 """
 
@@ -17,12 +17,12 @@
 from random import Random
 from typing import Any
 
+from grebestack.consensus.register import Accepted, Ballot, Phase, Round, Slot, accept, prepare
 from grebestack.fleet import actions as act
 from grebestack.fleet import waits
 from grebestack.fleet.configuration import ConfigurationVoter, View, change
 from grebestack.fleet.feed import News, decode, encode
 from grebestack.fleet.follower import Follower, region
-from grebestack.fleet.register import Accepted, Ballot, Phase, Round, Slot, accept, prepare
 from grebestack.fleet.relay import Relay
 from grebestack.fleet.versions import Version, digest_of
 
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -4,8 +4,8 @@
 
 Two are asked at once, each for its own contents. Words are never taken off the wire: each may come late,
 more than once, in any order or not at all. A voter may be lost and start again with its disk. The register is
-asked by its own functions: some majority promises at once (`tests.fleet_model` explores that step by step),
-each disk accepts at its time or never, and the asker may hear of it or not. Time passes in steps of a beat.
+asked by its own functions: some majority promises at once (`tests.consensus_model` explores that step by
+step), each disk accepts at its time or never, and the asker may hear of it or not. Time passes in steps of a beat.
 From `held` on, the contents of v1's change are with v2 and the register is being asked.
 """
 
@@ -16,9 +16,9 @@
 from itertools import combinations
 from typing import Any, NamedTuple
 
+from grebestack.consensus.register import Ballot, Phase, Promised, Round, Slot, accept, prepare
 from grebestack.fleet import actions as act
 from grebestack.fleet.configuration import ConfigurationVoter, View, change
-from grebestack.fleet.register import Ballot, Phase, Promised, Round, Slot, accept, prepare
 from grebestack.fleet.versions import Version, digest_of
 from tests import exploring
 from tests.configuration_states import Longest, Part
--- a/tests/fleet_model.py
+++ b/tests/consensus_model.py
@@ -1,9 +1,9 @@
 """Every state that registers and leases can reach, within a bound: three disks, and two that want a task.
 
-    python -m tests.fleet_model [--states N] [--variant NAME] [--start NAME] [--end TIME] [--rounds N N]
+    python -m tests.consensus_model [--states N] [--variant NAME] [--start NAME] [--end TIME] [--rounds N N]
 
-The code that is explored is `grebestack.fleet` itself. Messages are never taken off the wire: each may come
-late, more than once, in any order or not at all. Members may stop and start anew, give an asking up at any
+The code that is explored is `grebestack.consensus` itself. Messages are never taken off the wire: each may
+come late, more than once, in any order or not at all. Members may stop and start anew, give an asking up at any
 time, and look at what lies on any disk. After each step at most one of them may act, and no token is held by
 two.
 
@@ -22,8 +22,8 @@
 
 import msgspec
 
-from grebestack.fleet.lease import NEVER, Lease, Tenure, Terms, lease_of
-from grebestack.fleet.register import (
+from grebestack.consensus.lease import NEVER, Lease, Tenure, Terms, lease_of
+from grebestack.consensus.register import (
     NONE,
     Accepted,
     Answer,
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -13,12 +13,12 @@
 
 from grebestack.audit import records
 from grebestack.audit.version_sets import Stamp
+from grebestack.consensus import messages as consensus
+from grebestack.consensus.lease import Lease
+from grebestack.consensus.register import Ballot
 from grebestack.core.interface import WorkerEntry, WorkerState
 from grebestack.fleet import configuration, pacing, sharing, tallies
 from grebestack.fleet import feed as distribution
-from grebestack.fleet import messages as consensus
-from grebestack.fleet.lease import Lease
-from grebestack.fleet.register import Ballot
 from grebestack.fleet.versions import Delta, Version
 from grebestack.routing.table import Server
 
--- a/tests/fleet_set_model.py
+++ b/tests/membership_change_model.py
@@ -1,13 +1,13 @@
 """Every state that a change of the set can reach, within a bound: one of three members is replaced.
 
-    python -m tests.fleet_set_model [--states N] [--variant NAME] [--start NAME]
+    python -m tests.membership_change_model [--states N] [--variant NAME] [--start NAME]
 
 c is to be replaced by itself under a new incarnation while its old one still answers, a stopped process that
-goes on, say. What the following set is has been agreed on (`tests.fleet_model` explores that). From `asked`
-on, one has asked in the former epoch, a and b have promised, and another asks in the following one; at
+goes on, say. What the following set is has been agreed on (`tests.consensus_model` explores that). From
+`asked` on, one has asked in the former epoch, a and b have promised, and another asks in the following one; at
 `sealed` a and b have also ended the former epoch; at `both` they have, and two ask in the following one.
 Messages are never taken off the wire: each may come late, more than once, in any order or not at all; the
-code is that of `grebestack.fleet`. What was in force is never lost: all values that ever were, in either
+code is that of `grebestack.consensus`. What was in force is never lost: all values that ever were, in either
 epoch, are the beginnings of one another.
 
 An answer is heard at once or not at all: as what an asker says in turn may come at any time, to hear it later
@@ -21,8 +21,8 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from grebestack.fleet.actions import Peer, Send, Write
-from grebestack.fleet.messages import (
+from grebestack.consensus.acceptor import Voter
+from grebestack.consensus.messages import (
     Accept,
     Behind,
     Enter,
@@ -36,9 +36,9 @@
     Sealed,
     SlotOf,
 )
-from grebestack.fleet.register import NONE, Ballot, Phase, Promised, Round, Slot
-from grebestack.fleet.shelf import Shelf, merged
-from grebestack.fleet.voter import Voter
+from grebestack.consensus.recovery import Shelf, merged
+from grebestack.consensus.register import NONE, Ballot, Phase, Promised, Round, Slot
+from grebestack.fleet.actions import Peer, Send, Write
 from tests import exploring
 from tests.exploring import Found, put
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -21,7 +21,7 @@
 from grebestack.audit.recorder import FIRST, Limits, Recorder, place
 from grebestack.audit.records import OF_OPERATORS, Act, Gap, decode
 from grebestack.audit.version_sets import Stamp, Stamps, digest
-from grebestack.fleet.record import frame
+from grebestack.consensus.log_format import frame
 from grebestack.program.config import ConfigError, from_file
 from tests.standins import APPLIANCE_SETTINGS, wait_until
 from tests.yard import Yard
--- a/tests/test_configuration_fleet.py
+++ b/tests/test_configuration_fleet.py
@@ -12,8 +12,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from grebestack.consensus import replica
 from grebestack.fleet import actions as act
-from grebestack.fleet import member, waits
+from grebestack.fleet import waits
 from grebestack.fleet.configuration import ConfigurationVoter, View
 from grebestack.fleet.feed import News
 from grebestack.fleet.follower import Follower
@@ -203,7 +204,7 @@
 def test_a_sound_relay_is_never_stale() -> None:
     hop = waits.BEAT_MS[1] + waits.SOON_MS[1]
     assert hop + waits.ANSWER_MS < waits.STALE_MS
-    assert waits.ASK_MS == member.ASK_MS
+    assert waits.ASK_MS == replica.ASK_MS
 
 
 # The checker, and what it must find.
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -10,6 +10,9 @@
 from hypothesis import strategies as st
 from msgspec import DecodeError, structs
 
+from grebestack.consensus.messages import Kept, record
+from grebestack.consensus.messages import encode as encoded
+from grebestack.consensus.register import Ballot
 from grebestack.fleet.feed import (
     FORM,
     MOST,
@@ -26,9 +29,6 @@
     decode,
     encode,
 )
-from grebestack.fleet.messages import Kept, record
-from grebestack.fleet.messages import encode as encoded
-from grebestack.fleet.register import Ballot
 from grebestack.fleet.versions import (
     MOST_CONTENTS,
     NO_VERSION,
--- a/tests/test_fleet_tasks.py
+++ b/tests/test_fleet_tasks.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from msgspec import structs
 
-from grebestack.fleet.messages import Plan
+from grebestack.consensus.messages import Plan
 from grebestack.fleet.pacing import (
     DONE,
     STOPPED,
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -9,7 +9,7 @@
 
 from grebestack.audit import records
 from grebestack.audit.reading import MAGIC
-from grebestack.fleet.record import read
+from grebestack.consensus.log_format import read
 from grebestack.hot_restart.framing import read_note
 from grebestack.jobs.store import JobStore
 from grebestack.mesh.contents import Contents
--- a/tests/test_fleet_leases.py
+++ b/tests/test_lease.py
@@ -11,9 +11,9 @@
 import pytest
 from msgspec import structs
 
-from grebestack.fleet.lease import FREE, Fence, Lease, Tenure, Terms, releasing, taking
-from grebestack.fleet.register import NONE, Answer, Ballot, Phase, Round, Slot, Value, accept, prepare
-from tests.fleet_model import Model, explore
+from grebestack.consensus.lease import FREE, Fence, Lease, Tenure, Terms, releasing, taking
+from grebestack.consensus.register import NONE, Answer, Ballot, Phase, Round, Slot, Value, accept, prepare
+from tests.consensus_model import Model, explore
 
 
 @pytest.mark.parametrize(("start", "end"), [("fresh", 3), ("held", 3), ("released", 0)])
--- a/tests/test_fleet_record.py
+++ b/tests/test_log_format.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from grebestack.fleet.record import MAGIC, MOST, Read, frame, read
+from grebestack.consensus.log_format import MAGIC, MOST, Read, frame, read
 
 PAYLOADS = (b"first", b"", b"a third, somewhat longer one")
 
--- a/tests/test_fleet_set.py
+++ b/tests/test_membership_change.py
@@ -4,12 +4,12 @@
 
 import pytest
 
+from grebestack.consensus.acceptor import GRACE_MS, Voter
+from grebestack.consensus.messages import Accept, Began, Born, Enter, Hello, Kept, Prepare, Roll, Seal
+from grebestack.consensus.recovery import Shelf
+from grebestack.consensus.register import NONE, Ballot
 from grebestack.fleet.actions import Peer, Reborn, Send, Write
-from grebestack.fleet.messages import Accept, Began, Born, Enter, Hello, Kept, Prepare, Roll, Seal
-from grebestack.fleet.register import NONE, Ballot
-from grebestack.fleet.shelf import Shelf
-from grebestack.fleet.voter import GRACE_MS, Voter
-from tests.fleet_set_model import Model, explore
+from tests.membership_change_model import Model, explore
 
 ROLL = Roll(1, (("a", "1"), ("b", "1"), ("c", "1")))
 B = Peer("b", "1", 1)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -6,8 +6,8 @@
 import re
 from pathlib import Path
 
-from grebestack.fleet.messages import MOST, Enter, Hello, Plan, Roll, Seal, Sealed, SlotOf, encode
-from grebestack.fleet.register import Ballot
+from grebestack.consensus.messages import MOST, Enter, Hello, Plan, Roll, Seal, Sealed, SlotOf, encode
+from grebestack.consensus.register import Ballot
 from tests.standins import OPTIONS, wait_until
 from tests.yard import Yard
 
