--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PAGE, FIGURES = ROOT / "docs" / "CAPACITY.md", ROOT / "benchmarks" / "figures"
-FOLLOWER = "grebestack/fleet/follower.py"
+FOLLOWER = "grebestack/config_distribution/follower.py"
 SIZES = (28, 56, 230, 560)  # dispatchers
 VOTERS = (3, 5, 7)
 RELAYS = 7  # one in each zone: a choice of the page, not of the letter
--- /dev/null
+++ b/grebestack/config_distribution/__init__.py
@@ -0,0 +1,1 @@
+"""The configuration on its way from voters over relays to followers. Pure: events in, actions out."""
--- a/grebestack/fleet/configuration.py
+++ b/grebestack/config_distribution/configuration.py
@@ -16,9 +16,8 @@
 import msgspec
 from msgspec import Struct, msgpack
 
-from grebestack.consensus.register import Change, Value
-from grebestack.fleet import waits
-from grebestack.fleet.actions import (
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.actions import (
     Apply,
     ConfigurationAction,
     Confirmed,
@@ -29,10 +28,19 @@
     Outcome,
     Store,
     Tell,
-    Told,
 )
-from grebestack.fleet.feed import Standing, Tally
-from grebestack.fleet.versions import MOST_CONTENTS, NO_VERSION, Version, check, digest_of, sound, wrong
+from grebestack.config_distribution.messages import Standing, Tally
+from grebestack.config_distribution.versions import (
+    MOST_CONTENTS,
+    NO_VERSION,
+    Version,
+    check,
+    digest_of,
+    sound,
+    wrong,
+)
+from grebestack.consensus.actions import Told
+from grebestack.consensus.register import Change, Value
 
 REGISTER = "configuration"
 MOST_KEPT, MOST_KEPT_BYTES = 1024, 16 * 1024 * 1024  # contents that are not decided yet
@@ -214,7 +222,7 @@
         if self.disk:
             self.version, self.contents = self.disk[0]
             self.decided = self.version
-            self.start_ms = now_ms + waits.START_MS
+            self.start_ms = now_ms + timeouts.START_MS
             actions.append(Offer(self.version, self.contents))
         return actions
 
@@ -287,7 +295,7 @@
         old = [
             d
             for d, (_, ms) in self.kept_here.items()
-            if d not in needed and (d == digest or now_ms - ms >= waits.KEPT_MS)
+            if d not in needed and (d == digest or now_ms - ms >= timeouts.KEPT_MS)
         ]
         for one in old:
             del self.kept_here[one]
@@ -313,7 +321,7 @@
             return [Outcome(ticket, False, self.decided, why)]
         digest = digest_of(contents)
         version = Version(self.decided.number + 1, digest, len(contents), self.name, since_ms)
-        self.proposal = Proposal(ticket, version, contents, now_ms + waits.PROPOSE_MS)
+        self.proposal = Proposal(ticket, version, contents, now_ms + timeouts.PROPOSE_MS)
         keep: list[ConfigurationAction] = []
         if digest in self.kept_here:
             self.proposal = replace(self.proposal, holders=frozenset({self.name}))
@@ -348,7 +356,7 @@
             return [Decide(proposal.version)]
         if now_ms < proposal.again_ms:
             return []
-        self.proposal = replace(proposal, again_ms=now_ms + waits.FETCH_MS)
+        self.proposal = replace(proposal, again_ms=now_ms + timeouts.FETCH_MS)
         item = Propose(proposal.version.digest, proposal.contents)
         return [
             self._say(name, item)
@@ -400,11 +408,11 @@
 
     def _read(self, now_ms: float) -> list[ConfigurationAction]:
         """Ask the register what is in force; again where that is not heard to its end."""
-        self.deciding, self.read_ms = True, now_ms + waits.ASK_MS
+        self.deciding, self.read_ms = True, now_ms + timeouts.ASK_MS
         return [Decide(None)]
 
     def _read_pause(self) -> float:
-        return self.random.uniform(*waits.READ_MS)
+        return self.random.uniform(*timeouts.READ_MS)
 
     # Learning.
 
@@ -609,7 +617,7 @@
         """Who has what in force, who is behind, has refused, is not known."""
         best: dict[str, tuple[Entry, Gathering, bool]] = {}
         for relay in self.relays.values():
-            silent = now_ms - relay.heard_ms > waits.RELAY_SILENT_MS
+            silent = now_ms - relay.heard_ms > timeouts.RELAY_SILENT_MS
             for name, told in relay.followers.items():
                 linked = told.standing.linked and not silent
                 other = best.get(name)
@@ -661,7 +669,7 @@
         self.sent[self.beats] = now_ms
         while len(self.sent) > MOST_BEATS:
             del self.sent[next(iter(self.sent))]
-        self.beat_ms = now_ms + self.random.uniform(*waits.BEAT_MS)
+        self.beat_ms = now_ms + self.random.uniform(*timeouts.BEAT_MS)
         beat = Beat(self.beats, view.epoch, view.accepted, self.decided)
         return [self._say(name, beat) for name in sorted((view.names & view.linked) - {self.name})]
 
@@ -685,7 +693,7 @@
 
     def _fetch(self, now_ms: float, view: View) -> list[ConfigurationAction]:
         """Ask for the decided contents: who told of them first, then one after the other."""
-        self.fetch_ms = now_ms + waits.FETCH_MS
+        self.fetch_ms = now_ms + timeouts.FETCH_MS
         others = sorted((view.names & view.linked) - {self.name})
         if not others:
             return []
--- a/grebestack/fleet/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -14,9 +14,18 @@
 from math import inf
 from random import Random
 
-from grebestack.fleet import waits
-from grebestack.fleet.actions import Apply, Close, Confirmed, Dial, FollowerAction, Offer, Say, Store, Told
-from grebestack.fleet.feed import (
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.actions import (
+    Apply,
+    Close,
+    Confirmed,
+    Dial,
+    FollowerAction,
+    Offer,
+    Say,
+    Store,
+)
+from grebestack.config_distribution.messages import (
     FORM,
     NEVER_MS,
     Fetch,
@@ -29,7 +38,8 @@
     Tally,
     Welcome,
 )
-from grebestack.fleet.versions import NO_VERSION, Version, apply_delta, check, sound, wrong
+from grebestack.config_distribution.versions import NO_VERSION, Version, apply_delta, check, sound, wrong
+from grebestack.consensus.actions import Told
 
 Held = tuple[Version, bytes]
 PAUSED, DIALLING, GREETING, LINKED = "paused", "dialling", "greeting", "linked"
@@ -62,9 +72,9 @@
 
 def settled_for(former: int) -> tuple[float, float]:
     """Between which ms a follower stays with a stale relay, after so many times in a row."""
-    factor = 2.0 ** max(0, former + 1 - waits.SETTLED_ALIKE)
-    least, most = waits.SETTLED_MS
-    top_least, top_most = waits.SETTLED_MOST_MS
+    factor = 2.0 ** max(0, former + 1 - timeouts.SETTLED_ALIKE)
+    least, most = timeouts.SETTLED_MS
+    top_least, top_most = timeouts.SETTLED_MOST_MS
     return min(least * factor, top_least), min(most * factor, top_most)
 
 
@@ -130,8 +140,8 @@
         if self.relays and self.disk:
             actions.append(Offer(*self.disk[0]))
         self.began_ms = now_ms
-        self.start_ms = now_ms + waits.START_MS
-        self.again_ms = now_ms + self.random.uniform(*waits.PAUSE_MS)
+        self.start_ms = now_ms + timeouts.START_MS
+        self.again_ms = now_ms + self.random.uniform(*timeouts.PAUSE_MS)
         return actions + self.tick(now_ms)
 
     def stored(self, now_ms: float, number: int, why: str = "") -> list[FollowerAction]:
@@ -178,7 +188,7 @@
         """The connection that was dialled is up."""
         if link != self.link or self.state != DIALLING:
             return []
-        self.state, self.deadline_ms = GREETING, now_ms + waits.GREET_MS
+        self.state, self.deadline_ms = GREETING, now_ms + timeouts.GREET_MS
         number, digest = self.version.number, self._base()
         return [Say(link, Greeting(FORM, self.fleet, self.name, self.life, self.place, number, digest))]
 
@@ -213,8 +223,8 @@
             if value != allowed:
                 return self._spoilt(now_ms, wrong(field, value, repr(allowed)))
         self.floor = max(self.floor, message.floor)
-        self.state, self.deadline_ms, self.newer = LINKED, now_ms + waits.ANSWER_MS, 0
-        self.home_ms = inf if self.relay == self.order[0] else now_ms + self.random.uniform(*waits.HOME_MS)
+        self.state, self.deadline_ms, self.newer = LINKED, now_ms + timeouts.ANSWER_MS, 0
+        self.home_ms = inf if self.relay == self.order[0] else now_ms + self.random.uniform(*timeouts.HOME_MS)
         return [Told("configuration_linked", {"relay": self.relay}, detail=True)]
 
     def _word(self, now_ms: float, number: int, confirmed_ms: int) -> list[FollowerAction]:
@@ -245,7 +255,7 @@
 
     def _judge(self, now_ms: float, confirmed_ms: int, why: str = "") -> list[FollowerAction]:
         """Whether the relay is good enough to stay with; `why` it is not, if that is another reason."""
-        if confirmed_ms <= waits.STALE_MS:
+        if confirmed_ms <= timeouts.STALE_MS:
             self.tried, self.tries, self.settled_ms, self.again_round = frozenset(), 0, 0.0, False
             self.settlings = 0
             return []
@@ -291,7 +301,7 @@
             except ValueError as error:
                 said = self._word(now_ms, number, news.confirmed_ms)
                 if self.state == LINKED:
-                    self.deadline_ms = now_ms + waits.ANSWER_MS
+                    self.deadline_ms = now_ms + timeouts.ANSWER_MS
                     said.append(Say(self.link, Fetch(number)))
                 return [*self._wrong(str(error)), *said]
         else:
@@ -345,10 +355,10 @@
     # The link.
 
     def _pace(self) -> float:
-        return self.random.uniform(*(waits.SOON_MS if self.newer or self.relays else waits.POLL_MS))
+        return self.random.uniform(*(timeouts.SOON_MS if self.newer or self.relays else timeouts.POLL_MS))
 
     def _poll(self, now_ms: float) -> list[FollowerAction]:
-        self.deadline_ms, self.poll_ms = min(self.deadline_ms, now_ms + waits.ANSWER_MS), inf
+        self.deadline_ms, self.poll_ms = min(self.deadline_ms, now_ms + timeouts.ANSWER_MS), inf
         return [Say(self.link, Poll(self.version.number, self._base(), self.refused, self.refused_why))]
 
     def _next(self) -> str:
@@ -369,8 +379,8 @@
         told = Told("configuration_link_ended", kv, detail=self.state != LINKED)
         actions: list[FollowerAction] = [told] if closed else [told, Close(self.link, why)]
         self.tried |= {self.relay}
-        most = min(waits.PAUSE_MS[1] * 2.0 ** min(self.tries, 10), waits.PAUSE_MOST_MS)
-        self.again_ms = now_ms + self.random.uniform(waits.PAUSE_MS[0], most)
+        most = min(timeouts.PAUSE_MS[1] * 2.0 ** min(self.tries, 10), timeouts.PAUSE_MOST_MS)
+        self.again_ms = now_ms + self.random.uniform(timeouts.PAUSE_MS[0], most)
         self.tries += 1
         self.state, self.deadline_ms, self.poll_ms, self.home_ms = PAUSED, inf, inf, inf
         self.newer = 0
@@ -397,18 +407,18 @@
         if self.disk and now_ms >= self.start_ms:
             actions += self._from_disk()
         if now_ms >= self.deadline_ms:
-            if now_ms - self.deadline_ms > waits.LATE_MS:  # it stood still: the answer may be here, unread
-                self.deadline_ms = now_ms + waits.LATE_MS
+            if now_ms - self.deadline_ms > timeouts.LATE_MS:  # it stood still: the answer may be here, unread
+                self.deadline_ms = now_ms + timeouts.LATE_MS
             else:
                 return actions + self._leave(
                     now_ms,
                     {
-                        DIALLING: f"no connection within {waits.DIAL_MS / 1000.0:g} s",
-                        GREETING: f"no welcome within {waits.GREET_MS / 1000.0:g} s",
-                    }.get(self.state, f"no answer within {waits.ANSWER_MS / 1000.0:g} s"),
+                        DIALLING: f"no connection within {timeouts.DIAL_MS / 1000.0:g} s",
+                        GREETING: f"no welcome within {timeouts.GREET_MS / 1000.0:g} s",
+                    }.get(self.state, f"no answer within {timeouts.ANSWER_MS / 1000.0:g} s"),
                 )
         if self.state == PAUSED and now_ms >= self.again_ms and self.order:
-            self.deadline_ms = now_ms + waits.DIAL_MS
+            self.deadline_ms = now_ms + timeouts.DIAL_MS
             actions += self._dial()
         elif self.state == LINKED and now_ms >= self.home_ms and not self.newer and not self.settled_ms:
             actions += self._leave(now_ms, "back to its first relay")
--- a/grebestack/fleet/feed.py
+++ b/grebestack/config_distribution/messages.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct, msgpack
 
-from grebestack.fleet.versions import MOST_CONTENTS, Delta, Version
+from grebestack.config_distribution.versions import MOST_CONTENTS, Delta, Version
 
 FORM = 1
 MOST = MOST_CONTENTS + 64 * 1024  # bytes of a message, its length not counted
--- a/grebestack/fleet/relay.py
+++ b/grebestack/config_distribution/relay.py
@@ -11,9 +11,9 @@
 from math import inf
 from random import Random
 
-from grebestack.fleet import waits
-from grebestack.fleet.actions import Close, Gathered, RelayAction, Say, Told
-from grebestack.fleet.feed import (
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.actions import Close, Gathered, RelayAction, Say
+from grebestack.config_distribution.messages import (
     FORM,
     NEVER_MS,
     Fetch,
@@ -27,7 +27,16 @@
     Tally,
     Welcome,
 )
-from grebestack.fleet.versions import DIGEST, NO_VERSION, Delta, Version, check, delta_between, wrong
+from grebestack.config_distribution.versions import (
+    DIGEST,
+    NO_VERSION,
+    Delta,
+    Version,
+    check,
+    delta_between,
+    wrong,
+)
+from grebestack.consensus.actions import Told
 
 MOST_FOLLOWERS = 2048
 MOST_NAME = 128
@@ -83,7 +92,10 @@
         self.deltas: dict[str, Delta] = {}  # to the present version, by base
         self.news: dict[str, tuple[float, News]] = {}  # made lately, by base; "" for whole
         self.queue: dict[int, None] = {}  # links that wait for their turn, in order
-        self.bytes, self.bytes_ms = float(waits.WHOLE_BYTES_S), 0.0  # the bucket, and when it was looked at
+        self.bytes, self.bytes_ms = (
+            float(timeouts.WHOLE_BYTES_S),
+            0.0,
+        )  # the bucket, and when it was looked at
         self.changed: set[str] = set()  # names, since the last tally
         self.number_told = -1
         self.sequence = 0
@@ -160,8 +172,8 @@
 
     def _serve(self, now_ms: float) -> list[RelayAction]:
         """Those whose turn it is."""
-        grown = self.bytes + (now_ms - self.bytes_ms) * waits.WHOLE_BYTES_S / 1000.0
-        self.bytes, self.bytes_ms = min(grown, waits.WHOLE_BYTES_S * waits.BURST_MS / 1000.0), now_ms
+        grown = self.bytes + (now_ms - self.bytes_ms) * timeouts.WHOLE_BYTES_S / 1000.0
+        self.bytes, self.bytes_ms = min(grown, timeouts.WHOLE_BYTES_S * timeouts.BURST_MS / 1000.0), now_ms
         actions: list[RelayAction] = []
         while self.queue and self.bytes > 0.0:
             link = next(iter(self.queue))
@@ -204,7 +216,7 @@
             return self._spoilt(link, name, why)
         other = self.links.get(name)
         known = self.seats[other] if other is not None else self.gone.get(name)
-        recent = known is not None and now_ms - known.heard_ms < waits.OVERDUE_MS
+        recent = known is not None and now_ms - known.heard_ms < timeouts.OVERDUE_MS
         if known is not None and recent and known.life > greeting.life:
             why = wrong("life", greeting.life, f"{known.life} and more: a later start of {name} has come")
             noted = self._note(f"twice/{name}/{greeting.life}", name, why)
@@ -261,7 +273,7 @@
             why=poll.why[:MOST_WHY],
             behind_ms=behind,
         )
-        if seat.sent == self.version.number and now_ms - seat.sent_ms < waits.RESEND_MS:
+        if seat.sent == self.version.number and now_ms - seat.sent_ms < timeouts.RESEND_MS:
             return [*actions, self._still(now_ms, link)]  # it may still be on its way
         return actions + self._answer(now_ms, link)
 
@@ -318,9 +330,9 @@
         standings = tuple(self._standing(now_ms, s) for s in seats if whole or s.name in self.changed)
         self.sequence += 1
         self.changed, self.number_told = set(), self.version.number
-        self.tally_ms = now_ms + self.random.uniform(*waits.TALLY_MS)
+        self.tally_ms = now_ms + self.random.uniform(*timeouts.TALLY_MS)
         if whole:
-            self.whole_ms = now_ms + self.random.uniform(*waits.TALLY_WHOLE_MS)
+            self.whole_ms = now_ms + self.random.uniform(*timeouts.TALLY_WHOLE_MS)
         return [Gathered(Tally(self.name, self.life, self.sequence, whole, self.version.number, standings))]
 
     def _unsaid(self) -> bool:
@@ -336,17 +348,17 @@
     def _scan(self, now_ms: float) -> list[RelayAction]:
         """Those that have not been heard for long, connected or not."""
         actions: list[RelayAction] = []
-        late_ms, self.scan_ms = now_ms - self.scan_ms, now_ms + waits.SCAN_MS
-        if late_ms > waits.SCAN_MS:  # it stood still: what they said may be here, unread
+        late_ms, self.scan_ms = now_ms - self.scan_ms, now_ms + timeouts.SCAN_MS
+        if late_ms > timeouts.SCAN_MS:  # it stood still: what they said may be here, unread
             return []
-        why = f"not heard for {waits.OVERDUE_MS / 1000.0:g} s"
+        why = f"not heard for {timeouts.OVERDUE_MS / 1000.0:g} s"
         for link, seat in list(self.seats.items()):
-            if now_ms - seat.heard_ms >= waits.OVERDUE_MS:
+            if now_ms - seat.heard_ms >= timeouts.OVERDUE_MS:
                 self._leave(now_ms, link)
                 told = Told("configuration_follower_lost", {"follower": seat.name, "why": why})
                 actions += [told, Close(link, why)]
         for name, seat in list(self.gone.items()):
-            if now_ms - seat.heard_ms >= waits.FORGET_MS:
+            if now_ms - seat.heard_ms >= timeouts.FORGET_MS:
                 del self.gone[name]
         return actions
 
@@ -356,7 +368,7 @@
         if self._unsaid():
             due = min(due, self.tally_ms)
         if self.queue:
-            due = min(due, now_ms + max(1.0, -self.bytes * 1000.0 / waits.WHOLE_BYTES_S + 1.0))
+            due = min(due, now_ms + max(1.0, -self.bytes * 1000.0 / timeouts.WHOLE_BYTES_S + 1.0))
         return max(due, now_ms + 1.0)
 
     def shown(self, now_ms: float) -> str:
--- a/grebestack/consensus/acceptor.py
+++ b/grebestack/consensus/acceptor.py
@@ -13,6 +13,7 @@
 
 from collections import deque
 
+from grebestack.consensus.actions import Action, Peer, Reborn, Send, Told, Write
 from grebestack.consensus.messages import (
     Accept,
     Began,
@@ -35,7 +36,6 @@
 )
 from grebestack.consensus.recovery import Shelf
 from grebestack.consensus.register import Accepted, Answer, Promised, Slot, accept, prepare
-from grebestack.fleet.actions import Action, Peer, Reborn, Send, Told, Write
 
 GRACE_MS = 1000.0  # after a start so long is waited for those that are more than a majority needs
 
--- a/grebestack/consensus/failure_detector.py
+++ b/grebestack/consensus/failure_detector.py
@@ -12,8 +12,8 @@
 from enum import Enum
 from random import Random
 
+from grebestack.consensus.actions import Action, Cut, Send, Told
 from grebestack.consensus.messages import Ping, Pong
-from grebestack.fleet.actions import Action, Cut, Send, Told
 
 ASKED = 2  # others that are asked after one that is silent
 SLACK_MOST = 8.0
--- a/grebestack/consensus/messages.py
+++ b/grebestack/consensus/messages.py
@@ -8,9 +8,9 @@
 
 from msgspec import Struct, msgpack
 
+from grebestack.config_distribution.versions import Version
 from grebestack.consensus.lease import Lease
 from grebestack.consensus.register import Ballot
-from grebestack.fleet.versions import Version
 
 VERSION = 2
 MOST = 1 << 20  # bytes of a message, its length not counted
--- a/grebestack/consensus/replica.py
+++ b/grebestack/consensus/replica.py
@@ -11,6 +11,7 @@
 from random import Random
 
 from grebestack.consensus.acceptor import Voter
+from grebestack.consensus.actions import Action, Peer, Send, Told, Turned, Write
 from grebestack.consensus.failure_detector import Peers, PeerTimes, Seen
 from grebestack.consensus.lease import NEVER, Lease, Tenure, Terms, releasing
 from grebestack.consensus.messages import (
@@ -43,7 +44,6 @@
     Round,
     Value,
 )
-from grebestack.fleet.actions import Action, Peer, Send, Told, Turned, Write
 
 ASK_MS = 800.0  # an asking that is not through by then is given up
 AGAIN_MS, AGAIN_MOST_MS = 60.0, 500.0  # pauses of a register's askings, doubled and drawn
--- a/grebestack/mesh/configuration.py
+++ b/grebestack/mesh/configuration.py
@@ -7,8 +7,7 @@
 from collections.abc import Callable, Mapping
 from functools import partial
 
-from grebestack.consensus.register import Value
-from grebestack.fleet.actions import (
+from grebestack.config_distribution.actions import (
     Apply,
     ConfigurationAction,
     Confirmed,
@@ -20,9 +19,10 @@
     Store,
     Tell,
 )
-from grebestack.fleet.configuration import REGISTER, ConfigurationVoter, View, change
-from grebestack.fleet.feed import Tally
-from grebestack.fleet.versions import Version
+from grebestack.config_distribution.configuration import REGISTER, ConfigurationVoter, View, change
+from grebestack.config_distribution.messages import Tally
+from grebestack.config_distribution.versions import Version
+from grebestack.consensus.register import Value
 from grebestack.mesh.contents import Contents
 from grebestack.mesh.follower import OwnRelay, Take
 from grebestack.mesh.node import Node
--- a/grebestack/mesh/contents.py
+++ b/grebestack/mesh/contents.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
+from grebestack.config_distribution.versions import Version, check, digest_of
 from grebestack.consensus.log_format import frame, read
-from grebestack.fleet.versions import Version, check, digest_of
 from grebestack.mesh.store import ASIDE, CLOSE_S, KEPT_ASIDE, Files, sync_folder, take
 
 MAGIC = b"grebestack configuration 1\n"
--- a/grebestack/mesh/feed.py
+++ b/grebestack/mesh/feed.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from grebestack.fleet.feed import FORM, MOST, Said, decode
-from grebestack.fleet.waits import GREET_MS
+from grebestack.config_distribution.messages import FORM, MOST, Said, decode
+from grebestack.config_distribution.timeouts import GREET_MS
 from grebestack.mesh.frames import Frames, Traffic
 
 
--- a/grebestack/mesh/follower.py
+++ b/grebestack/mesh/follower.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Protocol
 
-from grebestack.fleet.actions import (
+from grebestack.config_distribution.actions import (
     Apply,
     Close,
     Confirmed,
@@ -23,9 +23,9 @@
     Say,
     Store,
 )
-from grebestack.fleet.feed import Said, Tally, encode
-from grebestack.fleet.follower import Follower
-from grebestack.fleet.versions import Version
+from grebestack.config_distribution.follower import Follower
+from grebestack.config_distribution.messages import Said, Tally, encode
+from grebestack.config_distribution.versions import Version
 from grebestack.mesh.contents import Contents, Held
 from grebestack.mesh.feed import FeedLink
 from grebestack.mesh.frames import Opening, Traffic
--- a/grebestack/mesh/relay.py
+++ b/grebestack/mesh/relay.py
@@ -6,10 +6,10 @@
 import logging
 from collections.abc import Callable
 
-from grebestack.fleet.actions import Close, Gathered, RelayAction, Say
-from grebestack.fleet.feed import Said, Tally, encode
-from grebestack.fleet.relay import Relay
-from grebestack.fleet.versions import Version
+from grebestack.config_distribution.actions import Close, Gathered, RelayAction, Say
+from grebestack.config_distribution.messages import Said, Tally, encode
+from grebestack.config_distribution.relay import Relay
+from grebestack.config_distribution.versions import Version
 from grebestack.mesh.feed import FeedLink
 from grebestack.mesh.frames import Traffic
 from grebestack.mesh.telling import monotonic_ms, tell
--- a/grebestack/mesh/telling.py
+++ b/grebestack/mesh/telling.py
@@ -5,7 +5,7 @@
 import logging
 import time
 
-from grebestack.fleet.actions import Told
+from grebestack.consensus.actions import Told
 
 log = logging.getLogger(__name__)
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
--- a/grebestack/program/configuring.py
+++ b/grebestack/program/configuring.py
@@ -16,10 +16,10 @@
 
 from grebestack.admin.commands import Answer
 from grebestack.audit.version_sets import digest
-from grebestack.fleet.actions import Outcome
-from grebestack.fleet.relay import Relay
-from grebestack.fleet.versions import MOST_CONTENTS, Version
-from grebestack.fleet.waits import START_MS
+from grebestack.config_distribution.actions import Outcome
+from grebestack.config_distribution.relay import Relay
+from grebestack.config_distribution.timeouts import START_MS
+from grebestack.config_distribution.versions import MOST_CONTENTS, Version
 from grebestack.mesh.configuration import ConfigurationNode
 from grebestack.mesh.follower import FollowerNode, FollowerSettings, RelayAddress
 from grebestack.mesh.node import Node
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -17,14 +17,15 @@
 from random import Random
 from typing import Any
 
+from grebestack.config_distribution import actions as act
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.configuration import ConfigurationVoter, View, change
+from grebestack.config_distribution.follower import Follower, region
+from grebestack.config_distribution.messages import News, decode, encode
+from grebestack.config_distribution.relay import Relay
+from grebestack.config_distribution.versions import Version, digest_of
+from grebestack.consensus.actions import Told
 from grebestack.consensus.register import Accepted, Ballot, Phase, Round, Slot, accept, prepare
-from grebestack.fleet import actions as act
-from grebestack.fleet import waits
-from grebestack.fleet.configuration import ConfigurationVoter, View, change
-from grebestack.fleet.feed import News, decode, encode
-from grebestack.fleet.follower import Follower, region
-from grebestack.fleet.relay import Relay
-from grebestack.fleet.versions import Version, digest_of
 
 FLEET = "f"
 VOTERS = {"v1": "r1/z1", "v2": "r1/z2", "v3": "r2/z3"}
@@ -66,7 +67,7 @@
     acts: Iterable[InForce],
     owed: Iterable[Owed],
     until_ms: float,
-    bound_ms: float = waits.BOUND_MS,
+    bound_ms: float = timeouts.BOUND_MS,
 ) -> list[str]:
     """What in a history is not as it should be."""
     found: list[str] = []
@@ -167,7 +168,7 @@
         self.chosen: list[Chosen] = []
         self.acts: list[InForce] = []
         self.outcomes: dict[int, act.Outcome] = {}
-        self.told: list[tuple[float, str, act.Told]] = []
+        self.told: list[tuple[float, str, Told]] = []
         self.lose_news: dict[str, int] = {}  # so many pushes to a follower are lost
         self.dials: list[tuple[float, str, str]] = []
         self.connections = 0
@@ -323,7 +324,7 @@
             self.ask(p, action.version)
         elif isinstance(action, act.Outcome):
             self.outcomes[action.ticket] = action
-        elif isinstance(action, act.Told):
+        elif isinstance(action, Told):
             self.told.append((self.now, p.name, action))
         else:
             raise AssertionError(action)
@@ -496,7 +497,7 @@
         p.asking = Asking(Round(ballot, len(VOTERS) // 2 + 1), change(version), p.life)
         for name in VOTERS:
             self.to_slot(p, name, ballot, None)
-        self.at(waits.ASK_MS, partial(self.alive, p.name, p.life, partial(self.given_up, p, ballot)))
+        self.at(timeouts.ASK_MS, partial(self.alive, p.name, p.life, partial(self.given_up, p, ballot)))
 
     def to_slot(self, p: Process, name: str, ballot: Ballot, value: Any) -> None:
         def there() -> None:
@@ -758,7 +759,7 @@
         for one in played.world.chosen:
             owed_ms = one.at_ms
             for since, until in sorted(owes.cut):
-                if since < owed_ms + waits.BOUND_MS:
+                if since < owed_ms + timeouts.BOUND_MS:
                     owed_ms = max(owed_ms, until)
             came = [a.at_ms for a in acts if a.name == owes.name and a.number >= one.version.number]
             worst = max(worst, min(came, default=0.0) - owed_ms)
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -16,12 +16,12 @@
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from grebestack.fleet import actions as act
-from grebestack.fleet import waits
-from grebestack.fleet.feed import News, Said, Still
-from grebestack.fleet.follower import Follower
-from grebestack.fleet.relay import Relay, Seat
-from grebestack.fleet.versions import Version, digest_of
+from grebestack.config_distribution import actions as act
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.follower import Follower
+from grebestack.config_distribution.messages import News, Said, Still
+from grebestack.config_distribution.relay import Relay, Seat
+from grebestack.config_distribution.versions import Version, digest_of
 from tests import exploring
 from tests.exploring import Found, put
 
@@ -152,7 +152,7 @@
         new.confirmed_ms = shift(new.confirmed_ms, -10_000.0)
     if isinstance(new, Relay):
         for link, seat in new.seats.items():
-            new.seats[link] = replace(seat, sent_ms=shift(seat.sent_ms, -waits.RESEND_MS))
+            new.seats[link] = replace(seat, sent_ms=shift(seat.sent_ms, -timeouts.RESEND_MS))
         return Part(new)
     for name in ("deadline_ms", "poll_ms", "again_ms", "start_ms", "home_ms"):
         setattr(new, name, shift(getattr(new, name), -1.0))
@@ -299,7 +299,7 @@
 
     def steps(self, world: World) -> Iterator[tuple[str, World]]:
         """What may happen next."""
-        if world.now - world.since > waits.BOUND_MS:
+        if world.now - world.since > timeouts.BOUND_MS:
             return
         budget = world.budget
         if budget.decide:
@@ -486,7 +486,7 @@
             budget = budget._replace(late=budget.late - 1)
             world = world._replace(since=world.now)
         due = min(part.of.due_ms(world.now) for part in world.followers)
-        passed = min(due, waits.BOUND_MS + 1.0) - world.now
+        passed = min(due, timeouts.BOUND_MS + 1.0) - world.now
         world = world._replace(
             since=world.since - passed,
             budget=budget,
@@ -559,11 +559,11 @@
         """Nothing goes back or is half, and within the bound everybody has what is decided."""
         if world.fault:
             return world.fault
-        if world.now - world.since > waits.BOUND_MS and "up" in world.up:
+        if world.now - world.since > timeouts.BOUND_MS and "up" in world.up:
             for index, part in enumerate(world.followers):
                 if part.of.version.number < world.decided:
                     has = f"f{index} has {part.of.version.number} and not {world.decided}"
-                    return f"{has} after {waits.BOUND_MS} ms"
+                    return f"{has} after {timeouts.BOUND_MS} ms"
         return ""
 
 
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -16,10 +16,10 @@
 from itertools import combinations
 from typing import Any, NamedTuple
 
+from grebestack.config_distribution import actions as act
+from grebestack.config_distribution.configuration import ConfigurationVoter, View, change
+from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.consensus.register import Ballot, Phase, Promised, Round, Slot, accept, prepare
-from grebestack.fleet import actions as act
-from grebestack.fleet.configuration import ConfigurationVoter, View, change
-from grebestack.fleet.versions import Version, digest_of
 from tests import exploring
 from tests.configuration_states import Longest, Part
 from tests.exploring import Found, put
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -14,8 +14,8 @@
 
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.version_sets import Stamps
+from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.consensus.log_format import frame
-from grebestack.fleet.versions import Version, digest_of
 from grebestack.hot_restart.framing import note
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
--- a/tests/golden_links.py
+++ b/tests/golden_links.py
@@ -6,8 +6,8 @@
 from typing import Any, cast
 from unittest.mock import MagicMock
 
+from grebestack.config_distribution.messages import Said, encode
 from grebestack.consensus.messages import Hello, Message
-from grebestack.fleet.feed import Said, encode
 from grebestack.mesh.feed import FeedLink
 from grebestack.mesh.frames import Frames, Traffic
 from grebestack.mesh.link import Link
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -13,13 +13,14 @@
 
 from grebestack.audit import records
 from grebestack.audit.version_sets import Stamp
+from grebestack.config_distribution import configuration
+from grebestack.config_distribution import messages as distribution
+from grebestack.config_distribution.versions import Delta, Version
 from grebestack.consensus import messages as consensus
 from grebestack.consensus.lease import Lease
 from grebestack.consensus.register import Ballot
 from grebestack.core.interface import WorkerEntry, WorkerState
-from grebestack.fleet import configuration, pacing, sharing, tallies
-from grebestack.fleet import feed as distribution
-from grebestack.fleet.versions import Delta, Version
+from grebestack.fleet import pacing, sharing, tallies
 from grebestack.routing.table import Server
 
 FOLDER = Path(__file__).resolve().parent / "golden"
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -11,13 +11,13 @@
 from grebestack.audit.html_report import as_page
 from grebestack.audit.merge import as_data, as_text, merge
 from grebestack.audit.reading import assemble
+from grebestack.config_distribution.actions import Close
+from grebestack.config_distribution.follower import Follower
+from grebestack.config_distribution.messages import Greeting, Said
+from grebestack.config_distribution.relay import Relay
+from grebestack.config_distribution.versions import Version, check, sound
 from grebestack.core.interface import Effect, Group, ListKind, Outcome, WorkerState
 from grebestack.drmaa.template import schema
-from grebestack.fleet.actions import Close
-from grebestack.fleet.feed import Greeting, Said
-from grebestack.fleet.follower import Follower
-from grebestack.fleet.relay import Relay
-from grebestack.fleet.versions import Version, check, sound
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import JobState, Kind
 from grebestack.program.dispatcher import Dispatcher
--- a/tests/membership_change_model.py
+++ b/tests/membership_change_model.py
@@ -22,6 +22,7 @@
 from typing import Any, NamedTuple
 
 from grebestack.consensus.acceptor import Voter
+from grebestack.consensus.actions import Peer, Send, Write
 from grebestack.consensus.messages import (
     Accept,
     Behind,
@@ -38,7 +39,6 @@
 )
 from grebestack.consensus.recovery import Shelf, merged
 from grebestack.consensus.register import NONE, Ballot, Phase, Promised, Round, Slot
-from grebestack.fleet.actions import Peer, Send, Write
 from tests import exploring
 from tests.exploring import Found, put
 
--- a/tests/test_configuration_fleet.py
+++ b/tests/test_config_distribution.py
@@ -1,6 +1,6 @@
 """A simulated fleet with drawn faults: what is decided is in force at all within 9 s; its checker.
 
-python -m pytest tests/test_configuration_fleet.py    # a failing play prints its seed; play(SEED, FAULT)
+python -m pytest tests/test_config_distribution.py    # a failing play prints its seed; play(SEED, FAULT)
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from grebestack.config_distribution import actions as act
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.configuration import ConfigurationVoter, View
+from grebestack.config_distribution.follower import Follower
+from grebestack.config_distribution.messages import News
+from grebestack.config_distribution.relay import Relay
+from grebestack.config_distribution.versions import Version
 from grebestack.consensus import replica
-from grebestack.fleet import actions as act
-from grebestack.fleet import waits
-from grebestack.fleet.configuration import ConfigurationVoter, View
-from grebestack.fleet.feed import News
-from grebestack.fleet.follower import Follower
-from grebestack.fleet.relay import Relay
-from grebestack.fleet.versions import Version
 from tests.configuration_model import (
     COLD,
     FAULTS,
@@ -61,12 +61,12 @@
 
 
 def test_a_first_settling_that_is_long_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(waits, "SETTLED_MS", waits.SETTLED_MOST_MS)
+    monkeypatch.setattr(timeouts, "SETTLED_MS", timeouts.SETTLED_MOST_MS)
     assert [text for seed in range(12) for text in play(seed, COLD).wrong() if text.startswith("f")]
 
 
 def test_who_has_settled_twice_looks_round_once_voters_that_start_with_it_are_heard() -> None:
-    assert waits.SETTLED_MS[0] * waits.SETTLED_ALIKE >= waits.MESH_MS + waits.BEAT_MS[1]
+    assert timeouts.SETTLED_MS[0] * timeouts.SETTLED_ALIKE >= timeouts.MESH_MS + timeouts.BEAT_MS[1]
 
 
 def test_the_same_seed_plays_the_same() -> None:
@@ -150,7 +150,7 @@
     assert far is not None and far.version.number == 1
     assert "a majority known 60" in far.shown(world.now) or "a majority known 59" in far.shown(world.now)
     world.heal(ways)
-    world.run(66_000.0 + waits.BOUND_MS)
+    world.run(66_000.0 + timeouts.BOUND_MS)
     assert {v.number for v in world.in_force().values()} == {2}
 
 
@@ -194,17 +194,17 @@
         assert any(line.startswith("not known: f2: 1 ") for line in voter.shown(world.now))
 
 
-@pytest.mark.parametrize(("fault", "waited"), list(waits.FAULTS.items()))
+@pytest.mark.parametrize(("fault", "waited"), list(timeouts.FAULTS.items()))
 def test_all_waits_of_one_fault_come_to_9_s_at_most(
     fault: str, waited: tuple[tuple[str, float], ...]
 ) -> None:
-    assert sum(ms for _, ms in waited) <= waits.BOUND_MS == 9000.0, fault
+    assert sum(ms for _, ms in waited) <= timeouts.BOUND_MS == 9000.0, fault
 
 
 def test_a_sound_relay_is_never_stale() -> None:
-    hop = waits.BEAT_MS[1] + waits.SOON_MS[1]
-    assert hop + waits.ANSWER_MS < waits.STALE_MS
-    assert waits.ASK_MS == replica.ASK_MS
+    hop = timeouts.BEAT_MS[1] + timeouts.SOON_MS[1]
+    assert hop + timeouts.ANSWER_MS < timeouts.STALE_MS
+    assert timeouts.ASK_MS == replica.ASK_MS
 
 
 # The checker, and what it must find.
--- a/tests/test_configuration_parts.py
+++ b/tests/test_configuration_parts.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from grebestack.fleet import waits
-from grebestack.fleet.actions import (
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.actions import (
     Apply,
     Close,
     Confirmed,
@@ -22,9 +22,8 @@
     Say,
     Store,
     Tell,
-    Told,
 )
-from grebestack.fleet.configuration import (
+from grebestack.config_distribution.configuration import (
     MOST_KEPT,
     MOST_KEPT_BYTES,
     Beat,
@@ -36,7 +35,8 @@
     View,
     change,
 )
-from grebestack.fleet.feed import (
+from grebestack.config_distribution.follower import Follower, ordered, settled_for
+from grebestack.config_distribution.messages import (
     FORM,
     NEVER_MS,
     Fetch,
@@ -50,9 +50,8 @@
     Tally,
     Welcome,
 )
-from grebestack.fleet.follower import Follower, ordered, settled_for
-from grebestack.fleet.relay import MOST_FOLLOWERS, Relay
-from grebestack.fleet.versions import (
+from grebestack.config_distribution.relay import MOST_FOLLOWERS, Relay
+from grebestack.config_distribution.versions import (
     MOST_CONTENTS,
     NO_VERSION,
     Delta,
@@ -60,6 +59,7 @@
     delta_between,
     digest_of,
 )
+from grebestack.consensus.actions import Told
 
 PLACES = {"a": "r/1", "b": "r/2", "c": "r/1", "far": "s/1"}
 
@@ -238,7 +238,7 @@
     assert kinds(actions) == [] and told(actions) == [
         "number is 5; allowed: 7 and more, which was acknowledged before"
     ]
-    assert "Apply" not in kinds(list(fed.follower.tick(waits.START_MS + 1.0)))
+    assert "Apply" not in kinds(list(fed.follower.tick(timeouts.START_MS + 1.0)))
     assert fed.hear(whole(6)) and fed.follower.version == NO_VERSION
     assert kinds(fed.hear(whole(7))) == ["Store"]
 
@@ -248,11 +248,11 @@
     disk = [(version(4), contents(4)), (version(5), contents(5)), (version(6), b"half")]
     actions = follower.start(0.0, disk)
     assert [a.kv["number"] for a in actions if isinstance(a, Told)] == [6]
-    follower.tick(waits.START_MS - 1.0)
+    follower.tick(timeouts.START_MS - 1.0)
     assert follower.pending is None
-    (apply,) = (a for a in follower.tick(waits.START_MS) if isinstance(a, Apply))
+    (apply,) = (a for a in follower.tick(timeouts.START_MS) if isinstance(a, Apply))
     assert apply.version == version(5)
-    (second,) = (a for a in follower.taken(waits.START_MS, 5, "refused") if isinstance(a, Apply))
+    (second,) = (a for a in follower.taken(timeouts.START_MS, 5, "refused") if isinstance(a, Apply))
     assert second.version == version(4)  # what was in force while 5 was refused
 
 
@@ -295,7 +295,7 @@
         (2700.0, 5400.0),
         (5400.0, 10_800.0),
     ]
-    assert settled_for(6) == settled_for(99) == waits.SETTLED_MOST_MS
+    assert settled_for(6) == settled_for(99) == timeouts.SETTLED_MOST_MS
     fed, stays = Fed(), list[float]()
     for _ in range(200):
         if kinds(fed.hear(Still(0, NEVER_MS))):
@@ -395,7 +395,9 @@
     assert list(made.seats) == [4]
     made.lost(4.0, 4, "ended")
     assert isinstance(said(list(made.heard(5.0, 5, greeting(life=5))))[0], Full)
-    again = made.heard(3.0 + waits.OVERDUE_MS, 6, greeting(life=5))  # a clock that went back keeps none out
+    again = made.heard(
+        3.0 + timeouts.OVERDUE_MS, 6, greeting(life=5)
+    )  # a clock that went back keeps none out
     assert isinstance(said(list(again))[0], Welcome)
 
 
@@ -433,17 +435,17 @@
     while len(sent) < count and now < 10_000.0:
         now = made.due_ms(now)
         sent += [(now, a.link) for a in made.tick(now) if isinstance(a, Say)]
-    assert [link for _, link in sent] == list(range(count)) and now <= waits.WHOLE_MS
+    assert [link for _, link in sent] == list(range(count)) and now <= timeouts.WHOLE_MS
     for start in (0.0, 250.0, 500.0):
         within = sum(start <= at < start + 500.0 for at, _ in sent)
-        assert within * MOST_CONTENTS <= waits.WHOLE_BYTES_S * 0.75 + 2 * MOST_CONTENTS
+        assert within * MOST_CONTENTS <= timeouts.WHOLE_BYTES_S * 0.75 + 2 * MOST_CONTENTS
 
 
 def test_a_poll_is_answered_by_what_is_newer_unless_it_was_just_sent() -> None:
     made = relay(number=1)
     made.heard(0.0, 1, greeting())
     assert said(list(made.heard(100.0, 1, Poll(0, "")))) == [Still(1, NEVER_MS)]
-    again = said(list(made.heard(waits.RESEND_MS, 1, Poll(0, ""))))
+    again = said(list(made.heard(timeouts.RESEND_MS, 1, Poll(0, ""))))
     assert isinstance(again[0], News)
     made.confirmed(1500.0, 1400.0)
     assert said(list(made.heard(1600.0, 1, Poll(1, version(1).digest)))) == [Still(1, 200)]
@@ -473,7 +475,7 @@
     made.heard(0.0, 1, greeting(number=1, digest=version(1).digest))
     now, closed = 0.0, []
     standings: tuple[Standing, ...] = ()
-    while now < waits.OVERDUE_MS + 2 * waits.SCAN_MS:
+    while now < timeouts.OVERDUE_MS + 2 * timeouts.SCAN_MS:
         now = made.due_ms(now)
         for action in made.tick(now):
             closed += [action] if isinstance(action, Close) else []
@@ -556,10 +558,10 @@
     found = list(made.propose(0.0, 7, b"one", 99, VIEW))
     made.kept(1.0, digest_of(b"one"))
     made.heard(2.0, "v2", body(Kept(digest_of(b"one"))), VIEW)
-    while made.proposal is not None and now < 2 * waits.PROPOSE_MS:
+    while made.proposal is not None and now < 2 * timeouts.PROPOSE_MS:
         if made.deciding:
             asked += 1
-            now += waits.ASK_MS
+            now += timeouts.ASK_MS
             found += made.registered(now, False, None, VIEW)
         now = made.due_ms(now)
         found += made.tick(now, VIEW)
@@ -567,7 +569,7 @@
         "the register can't be read: no majority of the voters has answered; held by v1, v2"
     ]
     assert all(a.version is None for a in found if isinstance(a, Decide))
-    assert 4 <= asked <= waits.PROPOSE_MS / waits.ASK_MS + 1
+    assert 4 <= asked <= timeouts.PROPOSE_MS / timeouts.ASK_MS + 1
 
 
 def test_the_change_of_the_register_is_compare_and_set() -> None:
@@ -600,7 +602,7 @@
     made.propose(0.0, 1, b"one", 0, VIEW)
     made.kept(1.0, digest_of(b"one"))
     found: list[Any] = []
-    while now < waits.PROPOSE_MS + 100.0:
+    while now < timeouts.PROPOSE_MS + 100.0:
         now = made.due_ms(now)
         found += made.tick(now, VIEW)
     assert [a.why for a in found if isinstance(a, Outcome)] == [
@@ -615,7 +617,7 @@
     assert kinds(list(made.heard(0.0, "v2", body(Beat(1, 1, 1, NO_VERSION)), VIEW))) == ["Tell"]
     now = made.due_ms(0.0)
     while not made.deciding:
-        assert now <= waits.READ_MS[1] + 1.0
+        assert now <= timeouts.READ_MS[1] + 1.0
         found = list(made.tick(now, VIEW))
         now = made.due_ms(now)
     assert Decide(None) in found
@@ -682,7 +684,7 @@
     for n in range(MOST_KEPT + 40):
         keep(made, b"%d" % n)
     assert len(made.kept_here) == MOST_KEPT == 1024
-    found = made.heard(waits.KEPT_MS, "v2", body(Propose(digest_of(b"z"), b"z")), VIEW)
+    found = made.heard(timeouts.KEPT_MS, "v2", body(Propose(digest_of(b"z"), b"z")), VIEW)
     assert sum(isinstance(a, Discard) for a in found) == MOST_KEPT and isinstance(found[-1], Keep)
 
 
@@ -726,8 +728,8 @@
 def test_a_relay_that_is_not_heard_makes_its_followers_not_known() -> None:
     made = voter()
     made.tallied(0.0, Tally("a", 1, 1, True, 1, (standing("d1", 1),)), VIEW)
-    assert made.counts(waits.RELAY_SILENT_MS).in_force == {1: 1}
-    late = made.counts(waits.RELAY_SILENT_MS + 1.0)
+    assert made.counts(timeouts.RELAY_SILENT_MS).in_force == {1: 1}
+    late = made.counts(timeouts.RELAY_SILENT_MS + 1.0)
     assert late.in_force == {} and late.unknown == {"d1": (1, 0.0)}
 
 
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -10,10 +10,7 @@
 from hypothesis import strategies as st
 from msgspec import DecodeError, structs
 
-from grebestack.consensus.messages import Kept, record
-from grebestack.consensus.messages import encode as encoded
-from grebestack.consensus.register import Ballot
-from grebestack.fleet.feed import (
+from grebestack.config_distribution.messages import (
     FORM,
     MOST,
     Fetch,
@@ -29,7 +26,7 @@
     decode,
     encode,
 )
-from grebestack.fleet.versions import (
+from grebestack.config_distribution.versions import (
     MOST_CONTENTS,
     NO_VERSION,
     Delta,
@@ -40,6 +37,9 @@
     digest_of,
     sound,
 )
+from grebestack.consensus.messages import Kept, record
+from grebestack.consensus.messages import encode as encoded
+from grebestack.consensus.register import Ballot
 
 
 def version_of(contents: bytes, number: int = 1) -> Version:
--- a/tests/test_contents.py
+++ b/tests/test_contents.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from grebestack.fleet.versions import Version, digest_of
+from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.mesh.contents import MAGIC, Contents, Held
 from grebestack.mesh.store import FolderTakenError
 from tests.test_fleet_disk import Failing
--- a/tests/test_follower_cluster.py
+++ b/tests/test_follower_cluster.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from grebestack.fleet.versions import MOST_CONTENTS
+from grebestack.config_distribution.versions import MOST_CONTENTS
 from grebestack.mesh.telling import monotonic_ms
 from grebestack.program.audit import record_of
 from tests.follower_cluster import LATE_MS, FollowerCluster, Lateness, contents
--- a/tests/test_follower_shell.py
+++ b/tests/test_follower_shell.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from grebestack.fleet.actions import Store
-from grebestack.fleet.feed import MOST, Greeting, Poll, Said, Still, encode
-from grebestack.fleet.relay import Relay
-from grebestack.fleet.versions import MOST_CONTENTS, Version, digest_of
+from grebestack.config_distribution.actions import Store
+from grebestack.config_distribution.messages import MOST, Greeting, Poll, Said, Still, encode
+from grebestack.config_distribution.relay import Relay
+from grebestack.config_distribution.versions import MOST_CONTENTS, Version, digest_of
 from grebestack.mesh.configuration import ConfigurationNode
 from grebestack.mesh.feed import FeedLink
 from grebestack.mesh.follower import FollowerNode, FollowerSettings, RelayAddress
--- a/tests/test_membership_change.py
+++ b/tests/test_membership_change.py
@@ -5,10 +5,10 @@
 import pytest
 
 from grebestack.consensus.acceptor import GRACE_MS, Voter
+from grebestack.consensus.actions import Peer, Reborn, Send, Write
 from grebestack.consensus.messages import Accept, Began, Born, Enter, Hello, Kept, Prepare, Roll, Seal
 from grebestack.consensus.recovery import Shelf
 from grebestack.consensus.register import NONE, Ballot
-from grebestack.fleet.actions import Peer, Reborn, Send, Write
 from tests.membership_change_model import Model, explore
 
 ROLL = Roll(1, (("a", "1"), ("b", "1"), ("c", "1")))
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from grebestack.consensus.actions import Action, Cut, Reborn, Send, Told, Write
 from grebestack.consensus.lease import Terms
 from grebestack.consensus.messages import VERSION, Born, Message, Record, Roll, encode, message, record
 from grebestack.consensus.recovery import Shelf
 from grebestack.consensus.replica import Member
-from grebestack.fleet.actions import Action, Cut, Reborn, Send, Told, Write
 from tests.cluster import Act, Change, Held, History
 
 TASKS = ("t", "u")
