--- a/grebestack/program/fleet.py
+++ b/grebestack/program/fleet.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from grebestack.admin.commands import Answer
+from grebestack.cluster_tasks.metrics_export import Ask, Counts, Export, Tallies, word
+from grebestack.cluster_tasks.rolling_restart import Pace
 from grebestack.consensus.lease import Terms
 from grebestack.consensus.messages import Began, Born, Record, Roll, encode
-from grebestack.fleet.pacing import Pace
-from grebestack.fleet.tallies import Ask, Counts, Export, Tallies, word
 from grebestack.mesh import store
 from grebestack.mesh.node import Node, NodeSettings
 from grebestack.mesh.store import Files, FolderTakenError
--- a/grebestack/program/paced.py
+++ b/grebestack/program/paced.py
@@ -10,9 +10,7 @@
 import msgspec
 
 from grebestack.admin.commands import Answer
-from grebestack.consensus.messages import Plan
-from grebestack.consensus.register import Value
-from grebestack.fleet.pacing import (
+from grebestack.cluster_tasks.rolling_restart import (
     GOES_ON,
     REGISTER,
     Ask,
@@ -27,6 +25,8 @@
     shown,
     stopping,
 )
+from grebestack.consensus.messages import Plan
+from grebestack.consensus.register import Value
 from grebestack.mesh.node import Node
 from grebestack.program.attendance import Attendance
 from grebestack.program.life import LED_MS, Life
--- a/grebestack/program/shared.py
+++ b/grebestack/program/shared.py
@@ -9,8 +9,19 @@
 
 import msgspec
 
+from grebestack.cluster_tasks.shared_discovery import (
+    Act,
+    Alive,
+    GiveUp,
+    Line,
+    Read,
+    Said,
+    Say,
+    Sharing,
+    Update,
+    said,
+)
 from grebestack.core.interface import ListKind, WorkerEntry, WorkerState
-from grebestack.fleet.sharing import Act, Alive, GiveUp, Line, Read, Said, Say, Sharing, Update, said
 from grebestack.mesh.node import Node
 from grebestack.program.attendance import Attendance
 from grebestack.routing.interfaces import Clock, Listing
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -13,6 +13,7 @@
 
 from grebestack.audit import records
 from grebestack.audit.version_sets import Stamp
+from grebestack.cluster_tasks import metrics_export, rolling_restart, shared_discovery
 from grebestack.config_distribution import configuration
 from grebestack.config_distribution import messages as distribution
 from grebestack.config_distribution.versions import Delta, Version
@@ -20,7 +21,6 @@
 from grebestack.consensus.lease import Lease
 from grebestack.consensus.register import Ballot
 from grebestack.core.interface import WorkerEntry, WorkerState
-from grebestack.fleet import pacing, sharing, tallies
 from grebestack.routing.table import Server
 
 FOLDER = Path(__file__).resolve().parent / "golden"
@@ -128,22 +128,22 @@
     "tally": TALLY,
     "tally with no standings": distribution.Tally("m-2", 3, 42, False, 17, ()),
 }
-PACING = {"state": pacing.State(8, True), "go": pacing.Go(4, 345, 7)}
-LINES = (sharing.Line("runner-1", b"rest"), sharing.Line("runner-2", b""))
+PACING = {"state": rolling_restart.State(8, True), "go": rolling_restart.Go(4, 345, 7)}
+LINES = (shared_discovery.Line("runner-1", b"rest"), shared_discovery.Line("runner-2", b""))
 SHARING = {
-    "beat": sharing.Beat(345, 12, True),
-    "part": sharing.Part(345, 12, 1, True, 2, 3, LINES, True),
-    "part with defaults": sharing.Part(345, 12, 0, False, 1, 1, ()),
-    "part of a whole list": sharing.Part(345, 12, 0, True, 1, 1, LINES),
-    "again": sharing.Again(),
+    "beat": shared_discovery.Beat(345, 12, True),
+    "part": shared_discovery.Part(345, 12, 1, True, 2, 3, LINES, True),
+    "part with defaults": shared_discovery.Part(345, 12, 0, False, 1, 1, ()),
+    "part of a whole list": shared_discovery.Part(345, 12, 0, True, 1, 1, LINES),
+    "again": shared_discovery.Again(),
 }
 TALLIES = {
-    "ask": tallies.Ask(77),
-    "counts": tallies.Counts(77, 8, {"sessions": 11, "ok": 10}),
-    "counts of nothing": tallies.Counts(77, 8, {}),
+    "ask": metrics_export.Ask(77),
+    "counts": metrics_export.Counts(77, 8, {"sessions": 11, "ok": 10}),
+    "counts of nothing": metrics_export.Counts(77, 8, {}),
 }
 EXPORTS = {
-    "export": tallies.Export(
+    "export": metrics_export.Export(
         "fleet-a", "tallies", "m-1", 345, 77, {"ok": 30}, {"m-1": {"ok": 10}, "m-2": {"ok": 20}}, ["m-3"]
     ),
 }
@@ -173,11 +173,18 @@
         get_args(configuration.Word),
     ),
     "feed": Codec(distribution.encode, distribution.decode, FEED, get_args(distribution.Said)),
-    "pacing": Codec(msgpack.encode, pacing.said, PACING, (pacing.State, pacing.Go)),
-    "sharing": Codec(msgpack.encode, sharing.said, SHARING, get_args(sharing.Said)),
-    "tallies": Codec(msgpack.encode, tallies.word, TALLIES, (tallies.Ask, tallies.Counts)),
+    "pacing": Codec(
+        msgpack.encode, rolling_restart.said, PACING, (rolling_restart.State, rolling_restart.Go)
+    ),
+    "sharing": Codec(msgpack.encode, shared_discovery.said, SHARING, get_args(shared_discovery.Said)),
+    "tallies": Codec(
+        msgpack.encode, metrics_export.word, TALLIES, (metrics_export.Ask, metrics_export.Counts)
+    ),
     "exports": Codec(
-        msgspec_json.encode, msgspec_json.Decoder(tallies.Export).decode, EXPORTS, (tallies.Export,)
+        msgspec_json.encode,
+        msgspec_json.Decoder(metrics_export.Export).decode,
+        EXPORTS,
+        (metrics_export.Export,),
     ),
     "shared servers": Codec(msgpack.encode, msgpack.Decoder(Server).decode, SERVERS, (Server,)),
     "audit": Codec(records.encode, records.decode, BATCHES, (tuple,)),
--- a/tests/test_fleet_tasks.py
+++ b/tests/test_cluster_tasks.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 from msgspec import structs
 
-from grebestack.consensus.messages import Plan
-from grebestack.fleet.pacing import (
+from grebestack.cluster_tasks.metrics_export import Counts, Tallies
+from grebestack.cluster_tasks.rolling_restart import (
     DONE,
     STOPPED,
     Ask,
@@ -27,8 +27,8 @@
     beginning,
     stopping,
 )
-from grebestack.fleet.sharing import Act, GiveUp, Line, Read, Say, Sharing, Update, said
-from grebestack.fleet.tallies import Counts, Tallies
+from grebestack.cluster_tasks.shared_discovery import Act, GiveUp, Line, Read, Say, Sharing, Update, said
+from grebestack.consensus.messages import Plan
 from tests.cluster import Cluster
 from tests.standins import Discovery, Runner, World, say, wait_until
 
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -55,6 +55,8 @@
     assert not NEVER & set(loaded)
     # The configuration in force and all of the fleet is an operator's file's alone.
     assert not {
-        name for name in ours if name.split(".")[0] in ("consensus", "config_distribution", "fleet", "mesh")
+        name
+        for name in ours
+        if name.split(".")[0] in ("consensus", "config_distribution", "cluster_tasks", "mesh")
     }
     assert not {"program.configuring", "program.fleet"} & ours
