--- a/benchmarks/scaling/hollow.py
+++ b/benchmarks/scaling/hollow.py
@@ -22,7 +22,7 @@
 
 import uvloop
 
-from grebestack.mesh.follower import FollowerNode, FollowerSettings, RelayAddress
+from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
 from grebestack.program import log
 from grebestack.program.config import Config, from_file
 from grebestack.program.configuring import Laying
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -43,6 +43,10 @@
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.records import Act
 from grebestack.audit.version_sets import Stamp, Stamps
+from grebestack.cluster_io import log_store as mesh_store
+from grebestack.cluster_io.log_store import Files
+from grebestack.cluster_io.node import Node, NodeSettings
+from grebestack.cluster_io.peer_connection import HEAD, Link
 from grebestack.consensus.log_format import read as read_records
 from grebestack.consensus.messages import Began, Born, Message, Plan, Roll, encode
 from grebestack.consensus.register import Value
@@ -50,10 +54,6 @@
 from grebestack.core.interface import ListKind
 from grebestack.jobs.records import Job, JobState
 from grebestack.jobs.store import JobStore
-from grebestack.mesh import store as mesh_store
-from grebestack.mesh.link import HEAD, Link
-from grebestack.mesh.node import Node, NodeSettings
-from grebestack.mesh.store import Files
 from grebestack.program.config import check, from_file
 from grebestack.program.shared import SharedSource
 from grebestack.protocol.lists import ListReader, Objects
--- a/grebestack/mesh/contents.py
+++ b/grebestack/cluster_io/config_store.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
+from grebestack.cluster_io.log_store import ASIDE, CLOSE_S, KEPT_ASIDE, Files, sync_folder, take
 from grebestack.config_distribution.versions import Version, check, digest_of
 from grebestack.consensus.log_format import frame, read
-from grebestack.mesh.store import ASIDE, CLOSE_S, KEPT_ASIDE, Files, sync_folder, take
 
 MAGIC = b"grebestack configuration 1\n"
 VERSION, KEPT, NEW, LIFE = "version-", "kept-", ".new", "life"
--- a/grebestack/mesh/configuration.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -7,6 +7,12 @@
 from collections.abc import Callable, Mapping
 from functools import partial
 
+from grebestack.cluster_io.action_runner import Turns
+from grebestack.cluster_io.config_store import Contents
+from grebestack.cluster_io.follower_client import OwnRelay, Take
+from grebestack.cluster_io.log_store import Files
+from grebestack.cluster_io.node import Node
+from grebestack.cluster_io.runtime import tell
 from grebestack.config_distribution.actions import (
     Apply,
     ConfigurationAction,
@@ -23,12 +29,6 @@
 from grebestack.config_distribution.messages import Tally
 from grebestack.config_distribution.versions import Version
 from grebestack.consensus.register import Value
-from grebestack.mesh.contents import Contents
-from grebestack.mesh.follower import OwnRelay, Take
-from grebestack.mesh.node import Node
-from grebestack.mesh.store import Files
-from grebestack.mesh.telling import tell
-from grebestack.mesh.turns import Turns
 
 log = logging.getLogger(__name__)
 TASK = "configuration"  # what voters say to each other goes under this
--- a/grebestack/mesh/follower.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -12,6 +12,12 @@
 from random import Random
 from typing import Protocol
 
+from grebestack.cluster_io.action_runner import Turns
+from grebestack.cluster_io.config_store import Contents, Held
+from grebestack.cluster_io.framing import Opening, Traffic
+from grebestack.cluster_io.log_store import Files
+from grebestack.cluster_io.relay_connection import FeedLink
+from grebestack.cluster_io.runtime import monotonic_ms, tell
 from grebestack.config_distribution.actions import (
     Apply,
     Close,
@@ -26,12 +32,6 @@
 from grebestack.config_distribution.follower import Follower
 from grebestack.config_distribution.messages import Said, Tally, encode
 from grebestack.config_distribution.versions import Version
-from grebestack.mesh.contents import Contents, Held
-from grebestack.mesh.feed import FeedLink
-from grebestack.mesh.frames import Opening, Traffic
-from grebestack.mesh.store import Files
-from grebestack.mesh.telling import monotonic_ms, tell
-from grebestack.mesh.turns import Turns
 
 log = logging.getLogger(__name__)
 Take = Callable[[Version, bytes], str]  # puts a version in force; why it is refused, or nothing
--- a/grebestack/mesh/node.py
+++ b/grebestack/cluster_io/node.py
@@ -11,15 +11,15 @@
 
 import msgspec
 
+from grebestack.cluster_io.log_store import Files, Store
+from grebestack.cluster_io.peer_connection import Dialler, Link
+from grebestack.cluster_io.runtime import monotonic_ms, tell
 from grebestack.consensus.actions import Action, Cut, Reborn, Send, Told, Turned, Write
 from grebestack.consensus.lease import Terms
 from grebestack.consensus.messages import VERSION, Hello, Message, Word, encode, record
 from grebestack.consensus.recovery import Shelf
 from grebestack.consensus.register import Change, Phase, Value
 from grebestack.consensus.replica import Member
-from grebestack.mesh.link import Dialler, Link
-from grebestack.mesh.store import Files, Store
-from grebestack.mesh.telling import monotonic_ms, tell
 
 log = logging.getLogger(__name__)
 Address = tuple[str, int]
--- a/grebestack/mesh/link.py
+++ b/grebestack/cluster_io/peer_connection.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
+from grebestack.cluster_io.framing import Frames, Opening
 from grebestack.consensus.messages import MOST, VERSION, Hello, Message, encode, message
-from grebestack.mesh.frames import Frames, Opening
 
 HEAD = struct.Struct(">IQ")  # length of the message, and how far the sender's disk has come
 MOST_QUEUED = 4 * MOST  # bytes that the other end has not read
--- a/grebestack/mesh/feed.py
+++ b/grebestack/cluster_io/relay_connection.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
+from grebestack.cluster_io.framing import Frames, Traffic
 from grebestack.config_distribution.messages import FORM, MOST, Said, decode
 from grebestack.config_distribution.timeouts import GREET_MS
-from grebestack.mesh.frames import Frames, Traffic
 
 
 class FeedOwner(Protocol):
--- a/grebestack/mesh/relay.py
+++ b/grebestack/cluster_io/relay_server.py
@@ -6,14 +6,14 @@
 import logging
 from collections.abc import Callable
 
+from grebestack.cluster_io.action_runner import Turns
+from grebestack.cluster_io.framing import Traffic
+from grebestack.cluster_io.relay_connection import FeedLink
+from grebestack.cluster_io.runtime import monotonic_ms, tell
 from grebestack.config_distribution.actions import Close, Gathered, RelayAction, Say
 from grebestack.config_distribution.messages import Said, Tally, encode
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import Version
-from grebestack.mesh.feed import FeedLink
-from grebestack.mesh.frames import Traffic
-from grebestack.mesh.telling import monotonic_ms, tell
-from grebestack.mesh.turns import Turns
 
 log = logging.getLogger(__name__)
 BACKLOG = 1024  # a zone's followers that come back at the same moment
--- a/grebestack/program/attendance.py
+++ b/grebestack/program/attendance.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from grebestack.mesh.node import Node
+from grebestack.cluster_io.node import Node
 
 if TYPE_CHECKING:
     from grebestack.routing.interfaces import Clock, Timer
--- a/grebestack/program/auditing.py
+++ b/grebestack/program/auditing.py
@@ -19,9 +19,9 @@
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.records import OF_OPERATORS
 from grebestack.audit.version_sets import Stamp, Stamps, digest
+from grebestack.cluster_io.log_store import Files, FolderTakenError, take
 from grebestack.consensus.log_format import frame
 from grebestack.core.interface import ListKind, WorkerEntry
-from grebestack.mesh.store import Files, FolderTakenError, take
 from grebestack.program.config import AuditConfig, StartError
 from grebestack.routing.session import Session
 
--- a/grebestack/program/configuring.py
+++ b/grebestack/program/configuring.py
@@ -16,16 +16,16 @@
 
 from grebestack.admin.commands import Answer
 from grebestack.audit.version_sets import digest
+from grebestack.cluster_io.configuration_node import ConfigurationNode
+from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
+from grebestack.cluster_io.log_store import Files, FolderTakenError
+from grebestack.cluster_io.node import Node
+from grebestack.cluster_io.relay_server import RelayServer
+from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.config_distribution.actions import Outcome
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.timeouts import START_MS
 from grebestack.config_distribution.versions import MOST_CONTENTS, Version
-from grebestack.mesh.configuration import ConfigurationNode
-from grebestack.mesh.follower import FollowerNode, FollowerSettings, RelayAddress
-from grebestack.mesh.node import Node
-from grebestack.mesh.relay import RelayServer
-from grebestack.mesh.store import Files, FolderTakenError
-from grebestack.mesh.telling import monotonic_ms
 from grebestack.program.config import Config, ConfigError, ForceConfig, StartError, check, from_text, read
 
 log = logging.getLogger(__name__)
--- a/grebestack/program/fleet.py
+++ b/grebestack/program/fleet.py
@@ -10,14 +10,14 @@
 import msgspec
 
 from grebestack.admin.commands import Answer
+from grebestack.cluster_io import log_store
+from grebestack.cluster_io.log_store import Files, FolderTakenError
+from grebestack.cluster_io.node import Node, NodeSettings
+from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.cluster_tasks.metrics_export import Ask, Counts, Export, Tallies, word
 from grebestack.cluster_tasks.rolling_restart import Pace
 from grebestack.consensus.lease import Terms
 from grebestack.consensus.messages import Began, Born, Record, Roll, encode
-from grebestack.mesh import store
-from grebestack.mesh.node import Node, NodeSettings
-from grebestack.mesh.store import Files, FolderTakenError
-from grebestack.mesh.telling import monotonic_ms
 from grebestack.program import paced, shared
 from grebestack.program.attendance import Attendance
 from grebestack.program.config import Config, ConfigError, FleetConfig, StartError, TalliesConfig
@@ -270,7 +270,7 @@
     roll = Roll(1, tuple((name, FOUNDING) for name in names))
     records: list[Record] = [Born(config.fleet.name, FOUNDING, roll), Began(0)]
     try:
-        store.found(config.fleet.folder, [encode(record) for record in records])
+        log_store.found(config.fleet.folder, [encode(record) for record in records])
     except OSError as error:
         raise ConfigError(str(error)) from error
     fleet = config.fleet
--- a/grebestack/program/paced.py
+++ b/grebestack/program/paced.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from grebestack.admin.commands import Answer
+from grebestack.cluster_io.node import Node
 from grebestack.cluster_tasks.rolling_restart import (
     GOES_ON,
     REGISTER,
@@ -27,7 +28,6 @@
 )
 from grebestack.consensus.messages import Plan
 from grebestack.consensus.register import Value
-from grebestack.mesh.node import Node
 from grebestack.program.attendance import Attendance
 from grebestack.program.life import LED_MS, Life
 from grebestack.routing.interfaces import Clock
--- a/grebestack/program/shared.py
+++ b/grebestack/program/shared.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from grebestack.cluster_io.node import Node
 from grebestack.cluster_tasks.shared_discovery import (
     Act,
     Alive,
@@ -22,7 +23,6 @@
     said,
 )
 from grebestack.core.interface import ListKind, WorkerEntry, WorkerState
-from grebestack.mesh.node import Node
 from grebestack.program.attendance import Attendance
 from grebestack.routing.interfaces import Clock, Listing
 from grebestack.routing.table import Server
--- a/tests/cluster_member.py
+++ b/tests/cluster_member.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from grebestack import __main__
-from grebestack.mesh.store import Files
+from grebestack.cluster_io.log_store import Files
 from grebestack.program import configuring, fleet
 
 TASKS = ("tallies", "second", "third")
--- a/tests/follower_cluster.py
+++ b/tests/follower_cluster.py
@@ -19,8 +19,8 @@
 from typing import NamedTuple
 
 from grebestack.audit.version_sets import digest
+from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.config_distribution.versions import digest_of
-from grebestack.mesh.telling import monotonic_ms
 from tests.cluster import Cluster, Process, Way, quiet_port
 from tests.standins import APPLIANCE_SETTINGS, say
 
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -14,14 +14,14 @@
 
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.version_sets import Stamps
+from grebestack.cluster_io.config_store import Contents
+from grebestack.cluster_io.log_store import Files, Store, found
 from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.consensus.log_format import frame
 from grebestack.hot_restart.framing import note
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
 from grebestack.jobs.store import EdgeRow, JobStore
-from grebestack.mesh.contents import Contents
-from grebestack.mesh.store import Files, Store, found
 from grebestack.program.auditing import Writer
 from grebestack.program.config import from_text
 from grebestack.program.fleet import form
--- a/tests/golden_links.py
+++ b/tests/golden_links.py
@@ -6,11 +6,11 @@
 from typing import Any, cast
 from unittest.mock import MagicMock
 
+from grebestack.cluster_io.framing import Frames, Traffic
+from grebestack.cluster_io.peer_connection import Link
+from grebestack.cluster_io.relay_connection import FeedLink
 from grebestack.config_distribution.messages import Said, encode
 from grebestack.consensus.messages import Hello, Message
-from grebestack.mesh.feed import FeedLink
-from grebestack.mesh.frames import Frames, Traffic
-from grebestack.mesh.link import Link
 from grebestack.program.config import TalliesConfig
 from grebestack.program.fleet import Post
 from tests.golden_samples import EXPORTS, FEED, MEMBER
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -283,7 +283,7 @@
 def test_a_disk_that_fails_stops_no_job_and_the_gap_is_written_down(tmp_path: Path) -> None:
     code = (
         "import errno, sys, time\n"
-        "from grebestack.mesh.store import Files\n"
+        "from grebestack.cluster_io.log_store import Files\n"
         "from grebestack.program import auditing\n"
         "class Bad(Files):\n"
         "    began = time.monotonic()\n"
--- a/tests/test_contents.py
+++ b/tests/test_config_store.py
@@ -10,10 +10,10 @@
 
 import pytest
 
+from grebestack.cluster_io.config_store import MAGIC, Contents, Held
+from grebestack.cluster_io.log_store import FolderTakenError
 from grebestack.config_distribution.versions import Version, digest_of
-from grebestack.mesh.contents import MAGIC, Contents, Held
-from grebestack.mesh.store import FolderTakenError
-from tests.test_fleet_disk import Failing
+from tests.test_log_store import Failing
 
 
 def version(number: int, contents: bytes) -> Version:
--- a/tests/test_follower_shell.py
+++ b/tests/test_follower_client.py
@@ -13,17 +13,17 @@
 
 import pytest
 
+from grebestack.cluster_io.configuration_node import ConfigurationNode
+from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
+from grebestack.cluster_io.framing import Traffic
+from grebestack.cluster_io.node import Node
+from grebestack.cluster_io.relay_connection import FeedLink
+from grebestack.cluster_io.relay_server import RelayServer
+from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.config_distribution.actions import Store
 from grebestack.config_distribution.messages import MOST, Greeting, Poll, Said, Still, encode
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import MOST_CONTENTS, Version, digest_of
-from grebestack.mesh.configuration import ConfigurationNode
-from grebestack.mesh.feed import FeedLink
-from grebestack.mesh.follower import FollowerNode, FollowerSettings, RelayAddress
-from grebestack.mesh.frames import Traffic
-from grebestack.mesh.node import Node
-from grebestack.mesh.relay import RelayServer
-from grebestack.mesh.telling import monotonic_ms
 from grebestack.program.config import Config, ConfigError, from_file
 from grebestack.program.configuring import Laying, read_contents
 from tests.follower_cluster import contents
--- a/tests/test_follower_cluster.py
+++ b/tests/test_follower_cluster.py
@@ -14,8 +14,8 @@
 
 import pytest
 
+from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.config_distribution.versions import MOST_CONTENTS
-from grebestack.mesh.telling import monotonic_ms
 from grebestack.program.audit import record_of
 from tests.follower_cluster import LATE_MS, FollowerCluster, Lateness, contents
 from tests.standins import wait_until
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -9,11 +9,11 @@
 
 from grebestack.audit import records
 from grebestack.audit.reading import MAGIC
+from grebestack.cluster_io.config_store import Contents
+from grebestack.cluster_io.log_store import Store
 from grebestack.consensus.log_format import read
 from grebestack.hot_restart.framing import read_note
 from grebestack.jobs.store import JobStore
-from grebestack.mesh.contents import Contents
-from grebestack.mesh.store import Store
 from grebestack.protocol.snapshot import load as load_snapshot
 from grebestack.routing.table import Server
 from tests.golden_files import (
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -23,7 +23,7 @@
     "consensus": {"consensus", "config_distribution"},
     "config_distribution": {"consensus", "config_distribution"},
     "cluster_tasks": {"consensus", "cluster_tasks"},
-    "mesh": {"consensus", "config_distribution", "cluster_tasks", "mesh"},
+    "cluster_io": {"consensus", "config_distribution", "cluster_tasks", "cluster_io"},
     "audit": {"consensus", "audit"},
     "hot_restart": {"hot_restart"},
     "program": {
@@ -43,7 +43,7 @@
         "config_distribution",
         "consensus",
         "cluster_tasks",
-        "mesh",
+        "cluster_io",
         "program",
     },
 }
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -57,6 +57,6 @@
     assert not {
         name
         for name in ours
-        if name.split(".")[0] in ("consensus", "config_distribution", "cluster_tasks", "mesh")
+        if name.split(".")[0] in ("consensus", "config_distribution", "cluster_tasks", "cluster_io")
     }
     assert not {"program.configuring", "program.fleet"} & ours
--- a/tests/test_fleet_disk.py
+++ b/tests/test_log_store.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from grebestack.mesh.store import Files, Store, found
+from grebestack.cluster_io.log_store import Files, Store, found
 
 
 class Failing(Files):
--- a/tests/test_fleet_links.py
+++ b/tests/test_peer_connection.py
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from grebestack.cluster_io.peer_connection import HEAD, MOST_QUEUED, Link
 from grebestack.consensus.messages import MOST, VERSION, Hello, Message, Ping, Word, encode
-from grebestack.mesh.link import HEAD, MOST_QUEUED, Link
 from grebestack.program.config import ConfigError, from_file
 from tests.standins import APPLIANCE_SETTINGS
 
