--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -16,8 +16,8 @@
 from grebestack.core import interface as api
 from grebestack.core.interface import ListKind, Outcome, WorkerEntry
 from grebestack.routing.engine import Engine
-from grebestack.routing.session import Dispatch, Payload, Session, Stage
-from grebestack.routing.table import Server, ServerTable
+from grebestack.routing.requests import Dispatch, Payload, Session, Stage
+from grebestack.routing.worker_table import Server, ServerTable
 
 
 class SimTimer:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -32,9 +32,9 @@
 from grebestack.consul.source import Asking, Query, ServiceWatch, Token
 from grebestack.core import interface as api
 from grebestack.membership.interface import Listed, MembershipSettings, Standing
-from grebestack.protocol.roster import Roster
+from grebestack.protocol.membership_adapter import Roster
 from grebestack.routing.engine import Engine
-from grebestack.routing.table import ServerTable
+from grebestack.routing.worker_table import ServerTable
 from grebestack.transport.client import Response
 
 AIMS = {
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -27,7 +27,7 @@
 from grebestack.core import interface as api
 from grebestack.core.interface import ListKind
 from grebestack.protocol.lists import ListReader, Objects
-from grebestack.routing.table import ServerTable
+from grebestack.routing.worker_table import ServerTable
 
 SIZES = (10, 100, 1024)
 SLOTS, RUN_MS, LOAD = 8, 500.0, 0.6
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -31,8 +31,8 @@
 from grebestack.jobs.store import JobStore
 from grebestack.program.dispatcher import LoopClock
 from grebestack.routing.engine import Engine
-from grebestack.routing.session import Dispatch, Payload, Session, Stage
-from grebestack.routing.table import Server
+from grebestack.routing.requests import Dispatch, Payload, Session, Stage
+from grebestack.routing.worker_table import Server
 
 ORDER = api.JobClass(
     "order", aim_ms=600, deadline_ms=10_000, effect=api.Effect.UNSAFE, worth=5.0, late_worth=0.3, stretch=2.5
--- a/grebestack/cluster_io/__init__.py
+++ b/grebestack/cluster_io/__init__.py
@@ -1,1 +1,1 @@
-"""The shell of a fleet's member: disk, connections, clock. It decides nothing; `grebestack.consensus` does."""
+"""The asyncio and disk side of the cluster: files, connections, clock. It decides nothing."""
--- a/grebestack/consul/entries.py
+++ b/grebestack/consul/entries.py
@@ -12,7 +12,7 @@
 
 from grebestack.core.interface import WorkerEntry, WorkerState
 from grebestack.protocol.settings import Places
-from grebestack.routing.table import Server
+from grebestack.routing.worker_table import Server
 
 log = logging.getLogger(__name__)
 NODE_MAINTENANCE, SERVICE_MAINTENANCE = "_node_maintenance", "_service_maintenance:"
--- a/grebestack/consul/source.py
+++ b/grebestack/consul/source.py
@@ -17,7 +17,7 @@
 from grebestack.consul.entries import Entries
 from grebestack.core.interface import ListKind
 from grebestack.routing.interfaces import Clock, Listing, Timer
-from grebestack.routing.table import Server
+from grebestack.routing.worker_table import Server
 from grebestack.transport.client import Exchange, Pools, Response
 
 log = logging.getLogger(__name__)
--- a/grebestack/drmaa/template.py
+++ b/grebestack/drmaa/template.py
@@ -20,7 +20,7 @@
 from grebestack.drmaa.errors import DrmaaError
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Job, JobError, Kind, NewJob, Task
-from grebestack.routing.session import Payload
+from grebestack.routing.requests import Payload
 
 # The other attributes of the specification's job template: known, and not to be had here.
 UNSUPPORTED = {
--- a/grebestack/jobs/records.py
+++ b/grebestack/jobs/records.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from grebestack.job_queue.interface import Condition
-from grebestack.routing.session import Payload
+from grebestack.routing.requests import Payload
 
 NO_DEADLINE = float("inf")
 
--- a/grebestack/jobs/service.py
+++ b/grebestack/jobs/service.py
@@ -36,7 +36,7 @@
 from grebestack.jobs.store import JobStore
 from grebestack.routing.engine import Engine
 from grebestack.routing.interfaces import Timer
-from grebestack.routing.session import Dispatch, Session
+from grebestack.routing.requests import Dispatch, Session
 
 log = logging.getLogger(__name__)
 STORE_AGAIN_MS = 1000.0  # what could not be recorded is tried again after this
--- a/grebestack/program/appliance.py
+++ b/grebestack/program/appliance.py
@@ -19,7 +19,7 @@
 from grebestack.jobs.store import JobStore, StoreError
 from grebestack.membership.interface import Drained, MembershipSettings
 from grebestack.program.config import Config, ConsulConfig, DrmaaConfig, MembershipConfig, StartError
-from grebestack.protocol.roster import Roster
+from grebestack.protocol.membership_adapter import Roster
 from grebestack.protocol.runners import Runners
 from grebestack.routing.engine import Engine
 from grebestack.routing.interfaces import Clock, Listing
--- a/grebestack/program/auditing.py
+++ b/grebestack/program/auditing.py
@@ -23,7 +23,7 @@
 from grebestack.consensus.log_format import frame
 from grebestack.core.interface import ListKind, WorkerEntry
 from grebestack.program.config import AuditConfig, StartError
-from grebestack.routing.session import Session
+from grebestack.routing.requests import Session
 
 if TYPE_CHECKING:
     from grebestack.program.dispatcher import Dispatcher
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -27,7 +27,7 @@
 from grebestack.protocol.settings import merged, name_odd_discovery, report_names, unmoved
 from grebestack.routing.engine import Engine
 from grebestack.routing.interfaces import Clock, Listing
-from grebestack.routing.table import ServerTable
+from grebestack.routing.worker_table import ServerTable
 from grebestack.transport.client import Address, Pools
 from grebestack.transport.server import SWEEP_S, Acceptor, Leading
 
@@ -39,7 +39,7 @@
     from grebestack.program.fleet import Fleet
     from grebestack.program.shared import Source
     from grebestack.program.upgrade import Upgrade
-    from grebestack.protocol.roster import Roster
+    from grebestack.protocol.membership_adapter import Roster
 
 log = logging.getLogger(__name__)
 SPARE_SOCKETS = 48  # standard streams, the loop's own, listeners, the watch, room to turn callers away
--- a/grebestack/program/operations.py
+++ b/grebestack/program/operations.py
@@ -13,7 +13,7 @@
     from grebestack.program.configuring import Configuring
     from grebestack.program.fleet import Fleet
     from grebestack.routing.interfaces import Clock
-    from grebestack.routing.table import ServerTable
+    from grebestack.routing.worker_table import ServerTable
 
 
 class Dispatcher(Protocol):
--- a/grebestack/program/shared.py
+++ b/grebestack/program/shared.py
@@ -25,7 +25,7 @@
 from grebestack.core.interface import ListKind, WorkerEntry, WorkerState
 from grebestack.program.attendance import Attendance
 from grebestack.routing.interfaces import Clock, Listing
-from grebestack.routing.table import Server
+from grebestack.routing.worker_table import Server
 
 log = logging.getLogger(__name__)
 TASK = "servers"
--- a/grebestack/program/upgrade.py
+++ b/grebestack/program/upgrade.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from grebestack.admin.commands import Answer, Call, Verb
-from grebestack.core import keepsake
+from grebestack.core import checkpoint
 from grebestack.core.interface import ListKind, Outcome, WorkerEntry, WorkerState
 from grebestack.hot_restart import state_machine as api
 from grebestack.hot_restart.channel import Channel, MeetingPoint, read_file, write_note
@@ -20,8 +20,8 @@
 from grebestack.protocol.platform import MARGIN_MS
 from grebestack.protocol.platform import Answer as PlatformAnswer
 from grebestack.protocol.runners import Said
-from grebestack.routing.session import Dispatch, Session
-from grebestack.routing.table import Server
+from grebestack.routing.requests import Dispatch, Session
+from grebestack.routing.worker_table import Server
 from grebestack.transport.server import Connection, Request
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
         self.tasks: set[asyncio.Task[None]] = set()  # the listener, connections being adopted
         self.again: asyncio.TimerHandle | None = None
         self.own = OwnOperations(dispatcher)
-        self.elsewhere = keepsake.Elsewhere(dispatcher.engine.policy)
+        self.elsewhere = checkpoint.Elsewhere(dispatcher.engine.policy)
         dispatcher.front.elsewhere = self.called_back
         self.orphans: set[str] = set()  # ids of jobs of the elder's that this process answers
         dispatcher.front.open_elsewhere = lambda call_id: (
@@ -226,7 +226,7 @@
             "names": list(d.table.names)[-MOST_TOLD:],
             "servers": servers,
             "clock": d.reader.unix_to_clock_ms,
-            "learned": keepsake.kept(d.engine.policy),
+            "learned": checkpoint.kept(d.engine.policy),
         }
 
     def _take_over(self, what: Message) -> None:
@@ -243,9 +243,9 @@
             if not d.table.known:  # else it comes late, and what is known is newer
                 # Before the list: what a cold server may be sent is drawn when it is listed, from how many
                 # slots its kind has and how long jobs run. After it: what is known of each server.
-                keepsake.take(d.engine.policy, what["learned"])
+                checkpoint.take(d.engine.policy, what["learned"])
                 d.table.update(ListKind.CACHED, [server_of(raw) for raw in what["servers"]])
-                keepsake.take(d.engine.policy, what["learned"])
+                checkpoint.take(d.engine.policy, what["learned"])
         except (KeyError, ValueError, TypeError, AttributeError) as error:
             log.warning("welcome_refused", extra={"kv": {"why": repr(error)}})
         log.info("upgrade_welcomed", extra={"kv": {"servers": len(d.table.servers), "bans": len(bans)}})
--- a/grebestack/protocol/lists.py
+++ b/grebestack/protocol/lists.py
@@ -12,7 +12,7 @@
 
 from grebestack.core.interface import WorkerEntry, WorkerState
 from grebestack.protocol.settings import Places
-from grebestack.routing.table import Server
+from grebestack.routing.worker_table import Server
 from grebestack.transport.client import Address
 
 log = logging.getLogger(__name__)
--- a/grebestack/protocol/roster.py
+++ b/grebestack/protocol/membership_adapter.py
@@ -17,7 +17,7 @@
 from grebestack.membership.members import Membership
 from grebestack.protocol.snapshot import SnapshotError, load, save
 from grebestack.routing.interfaces import Clock, Timer
-from grebestack.routing.table import Server, ServerTable
+from grebestack.routing.worker_table import Server, ServerTable
 
 log = logging.getLogger(__name__)
 SAVE_MS = 2000.0  # lists that come together are written together
--- a/grebestack/protocol/platform.py
+++ b/grebestack/protocol/platform.py
@@ -11,7 +11,7 @@
 from grebestack.core.interface import Effect, Settings
 from grebestack.protocol.runners import Said
 from grebestack.routing.engine import Engine
-from grebestack.routing.session import Dispatch, Payload, Session
+from grebestack.routing.requests import Dispatch, Payload, Session
 from grebestack.transport.server import Connection, Request
 
 log = logging.getLogger(__name__)
--- a/grebestack/protocol/runners.py
+++ b/grebestack/protocol/runners.py
@@ -14,7 +14,7 @@
 from grebestack.core.interface import Effect, Outcome
 from grebestack.routing.engine import Engine
 from grebestack.routing.interfaces import Clock
-from grebestack.routing.session import Dispatch, Stage
+from grebestack.routing.requests import Dispatch, Stage
 from grebestack.transport.client import Exchange, Pool, Pools, Response
 
 log = logging.getLogger(__name__)
--- a/grebestack/protocol/snapshot.py
+++ b/grebestack/protocol/snapshot.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from grebestack.core.interface import WorkerEntry, WorkerState
-from grebestack.routing.table import Server
+from grebestack.routing.worker_table import Server
 
 FORMAT = 1
 Lists = Mapping[str, tuple[float, Sequence[Server]]]  # by source: when it was heard (Unix s), its servers
--- a/grebestack/routing/engine.py
+++ b/grebestack/routing/engine.py
@@ -10,8 +10,8 @@
 from grebestack.core import interface as api
 from grebestack.core.policy import Policy
 from grebestack.routing.interfaces import Clock, Frontend, Servers
-from grebestack.routing.session import Dispatch, Payload, Session, Stage
-from grebestack.routing.table import ServerTable
+from grebestack.routing.requests import Dispatch, Payload, Session, Stage
+from grebestack.routing.worker_table import ServerTable
 
 log = logging.getLogger(__name__)
 NO_REPORT: Mapping[str, float] = {}
--- a/grebestack/routing/interfaces.py
+++ b/grebestack/routing/interfaces.py
@@ -7,8 +7,8 @@
 
 if TYPE_CHECKING:
     from grebestack.core.interface import ListKind
-    from grebestack.routing.session import Dispatch, Session
-    from grebestack.routing.table import Server
+    from grebestack.routing.requests import Dispatch, Session
+    from grebestack.routing.worker_table import Server
 
 
 class Timer(Protocol):
--- a/tests/golden_control.py
+++ b/tests/golden_control.py
@@ -13,7 +13,7 @@
 from grebestack.program.log import KeyValueFormatter
 from grebestack.program.operations import OwnOperations
 from grebestack.program.tally import Tally
-from grebestack.routing.table import ServerTable
+from grebestack.routing.worker_table import ServerTable
 from tests.golden_samples import SERVER
 from tests.golden_settings import values_of
 
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -7,15 +7,15 @@
 from typing import Any
 from unittest.mock import MagicMock
 
-from grebestack.core import keepsake as learned
+from grebestack.core import checkpoint as learned
 from grebestack.core.interface import ListKind, RequestArrived, WorkerEntry, WorkersListed
 from grebestack.core.policy import Policy
 from grebestack.hot_restart import framing, state_machine
 from grebestack.program.upgrade import Upgrade
 from grebestack.protocol.platform import Answer
 from grebestack.protocol.runners import Said
-from grebestack.routing.session import Dispatch, Payload, Session
-from grebestack.routing.table import ServerTable
+from grebestack.routing.requests import Dispatch, Payload, Session
+from grebestack.routing.worker_table import ServerTable
 from grebestack.transport.server import Request
 from tests.driver import BASE
 from tests.golden_samples import SERVER
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -20,7 +20,7 @@
 from grebestack.protocol.platform import PlatformFront
 from grebestack.protocol.runners import Reports, Runners
 from grebestack.routing.engine import Engine
-from grebestack.routing.table import Server, ServerTable
+from grebestack.routing.worker_table import Server, ServerTable
 from grebestack.transport.client import Pool, Pools
 from grebestack.transport.server import Acceptor
 from tests.driver import BASE, KEYED, SAFE, UNSAFE
--- a/tests/test_consul_agents.py
+++ b/tests/test_consul_agents.py
@@ -17,7 +17,7 @@
 from grebestack.consul.source import Asking, Token
 from grebestack.core.interface import WorkerEntry, WorkerState
 from grebestack.protocol.snapshot import SnapshotError, load, save
-from grebestack.routing.table import Server
+from grebestack.routing.worker_table import Server
 
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
 OPTIONS = {"zones": ["a", "b"], "models": ["m1", "m2"]}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,7 @@
 
 from grebestack.core import interface as api
 from grebestack.core.interface import Outcome
-from grebestack.routing.session import Stage as Progress
+from grebestack.routing.requests import Stage as Progress
 from grebestack.transport import client as transport
 from tests.stage import Stage, play
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -12,8 +12,8 @@
 from grebestack.core import interface as api
 from grebestack.core.interface import Outcome
 from grebestack.routing.engine import Engine
-from grebestack.routing.session import Dispatch, Payload, Session, Stage
-from grebestack.routing.table import Server, ServerTable
+from grebestack.routing.requests import Dispatch, Payload, Session, Stage
+from grebestack.routing.worker_table import Server, ServerTable
 from tests.driver import BASE, BOOK, ORDER, VIEW, entry
 
 SETTINGS = replace(BASE, tells_start=False, retry_after=True, max_retry_after_ms=500.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,8 +20,8 @@
 from grebestack.protocol.discovery import Watch
 from grebestack.protocol.lists import ListReader
 from grebestack.protocol.settings import settings_of
-from grebestack.routing.session import Dispatch
-from grebestack.routing.table import ServerTable
+from grebestack.routing.requests import Dispatch
+from grebestack.routing.worker_table import ServerTable
 
 CLASSES = (
     api.JobClass("order", aim_ms=600, deadline_ms=8000, effect=api.Effect.UNSAFE, worth=5, stretch=2.5),
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -15,7 +15,7 @@
 from grebestack.hot_restart.framing import read_note
 from grebestack.jobs.store import JobStore
 from grebestack.protocol.snapshot import load as load_snapshot
-from grebestack.routing.table import Server
+from grebestack.routing.worker_table import Server
 from tests.golden_files import (
     BANS,
     BATCH,
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from grebestack.core import interface as core
-from grebestack.core.keepsake import Elsewhere, kept, take
+from grebestack.core.checkpoint import Elsewhere, kept, take
 from grebestack.core.policy import Policy
 from grebestack.hot_restart import framing, state_machine
 from tests.driver import KEYED, SAFE, UNSAFE, settings
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -19,8 +19,8 @@
 from grebestack.jobs.service import JobService
 from grebestack.jobs.store import JobStore, StoreError
 from grebestack.routing.engine import Engine
-from grebestack.routing.session import Dispatch, Stage
-from grebestack.routing.table import Server, ServerTable
+from grebestack.routing.requests import Dispatch, Stage
+from grebestack.routing.worker_table import Server, ServerTable
 from tests.driver import entry
 from tests.test_engine import SETTINGS, Clock
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -12,7 +12,7 @@
 from grebestack.core.interface import ListKind, WorkerState
 from grebestack.protocol.lists import ListReader, Objects
 from grebestack.protocol.settings import name_odd_discovery, settings_of
-from grebestack.routing.table import ServerTable
+from grebestack.routing.worker_table import ServerTable
 from grebestack.transport.client import LineStream
 
 
--- a/tests/test_second_fleet.py
+++ b/tests/test_second_fleet.py
@@ -13,8 +13,8 @@
 
 from grebestack.core import interface as api
 from grebestack.core.interface import Outcome, WorkerEntry
-from grebestack.routing.session import Dispatch, Payload, Session
-from grebestack.routing.table import Server
+from grebestack.routing.requests import Dispatch, Payload, Session
+from grebestack.routing.worker_table import Server
 
 CLASSES = (
     api.JobClass("flip", 300, 5000, api.Effect.UNSAFE, worth=10, late_worth=0.5, stretch=2.0),
