--- a/benchmarks/scaling/taking.py
+++ b/benchmarks/scaling/taking.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from grebestack.program.config import from_file
-from grebestack.program.configuring import Laying
+from grebestack.program.config_updates import Laying
 from scaling.fits import fit
 from scaling.hollow import HollowHost
 from tests.standins import APPLIANCE_SETTINGS
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -55,7 +55,7 @@
 from grebestack.jobs.records import Job, JobState
 from grebestack.jobs.store import JobStore
 from grebestack.program.config import check, from_file
-from grebestack.program.shared import SharedSource
+from grebestack.program.shared_discovery import SharedSource
 from grebestack.protocol.lists import ListReader, Objects
 from grebestack.protocol.platform import PlatformFront
 from grebestack.protocol.runners import Said
--- a/grebestack/__main__.py
+++ b/grebestack/__main__.py
@@ -9,7 +9,7 @@
 import argparse
 import sys
 
-from grebestack.program import hangup, log
+from grebestack.program import log, reload_signal
 from grebestack.program.config import Config, ConfigError, StartError, from_file, from_platform
 from grebestack.program.dispatcher import run
 
@@ -21,17 +21,17 @@
 
         return console.main(sys.argv[2:])
     if sys.argv[1:2] == ["say"]:
-        from grebestack.program import say
+        from grebestack.program import admin_command
 
-        return say.main(sys.argv[2:])
+        return admin_command.main(sys.argv[2:])
     if sys.argv[1:2] == ["audit"]:
-        from grebestack.program import audit
+        from grebestack.program import audit_command
 
-        return audit.main(sys.argv[2:])
+        return audit_command.main(sys.argv[2:])
     if sys.argv[1:2] == ["form"]:
-        from grebestack.program import form
+        from grebestack.program import bootstrap_command
 
-        return form.main(sys.argv[2:])
+        return bootstrap_command.main(sys.argv[2:])
     parser = argparse.ArgumentParser(prog="grebestack", description="A dispatcher of jobs to job runners.")
     parser.add_argument("--config", metavar="FILE", help="an operator's file; else RELAY_CONFIG is read")
     parser.add_argument("--log-level", default="info", choices=("debug", "info", "warning", "error"))
@@ -47,7 +47,7 @@
         print(f"grebestack: {error}", file=sys.stderr)
         return 2
     try:
-        run(config, reread, hangup.came)
+        run(config, reread, reload_signal.came)
     except (OSError, StartError) as error:
         print(f"grebestack: {error}", file=sys.stderr)
         return 1
--- a/grebestack/program/operations.py
+++ b/grebestack/program/admin_operations.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING, Protocol
 
 from grebestack.admin.commands import Answer, Call, Verb
-from grebestack.program.life import Life
+from grebestack.program.lifecycle import Life
 
 if TYPE_CHECKING:
     from grebestack.admin.server import Reply
-    from grebestack.program.auditing import Auditor
-    from grebestack.program.configuring import Configuring
-    from grebestack.program.fleet import Fleet
+    from grebestack.program.audit_recording import Auditor
+    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.config_updates import Configuring
     from grebestack.routing.interfaces import Clock
     from grebestack.routing.worker_table import ServerTable
 
--- a/grebestack/program/audit.py
+++ b/grebestack/program/audit_command.py
@@ -10,7 +10,7 @@
 from grebestack.audit.html_report import as_page
 from grebestack.audit.merge import as_data, as_text, merge
 from grebestack.audit.reading import Record, assemble
-from grebestack.program.auditing import segments
+from grebestack.program.audit_recording import segments
 
 
 def record_of(name: str, folder: str) -> Record:
--- a/grebestack/program/form.py
+++ b/grebestack/program/bootstrap_command.py
@@ -16,7 +16,7 @@
     )
     parser.add_argument("--config", metavar="FILE", required=True, help="the operator's file, with a [fleet]")
     options = parser.parse_args(arguments)
-    from grebestack.program.fleet import form
+    from grebestack.program.cluster_member import form
 
     try:
         print(form(from_file(options.config)))
--- a/grebestack/program/fleet.py
+++ b/grebestack/program/cluster_member.py
@@ -18,8 +18,8 @@
 from grebestack.cluster_tasks.rolling_restart import Pace
 from grebestack.consensus.lease import Terms
 from grebestack.consensus.messages import Began, Born, Record, Roll, encode
-from grebestack.program import paced, shared
-from grebestack.program.attendance import Attendance
+from grebestack.program import rolling_restart, shared_discovery
+from grebestack.program.cluster_task import Attendance
 from grebestack.program.config import Config, ConfigError, FleetConfig, StartError, TalliesConfig
 from grebestack.routing.interfaces import Clock, Listing
 from grebestack.transport.client import Pools, Response
@@ -156,7 +156,7 @@
         self.dispatcher, self.config = dispatcher, config
         terms = Terms(config.term_s * 1000.0, config.drift, config.guard_ms)
         exports = EXPORTS if config.tallies is not None else ()
-        tasks = (*exports, paced.TASK, *((shared.TASK,) if config.share_servers else ()))
+        tasks = (*exports, rolling_restart.TASK, *((shared_discovery.TASK,) if config.share_servers else ()))
         settings = NodeSettings(
             dispatcher.config.name, config.name, config.listen, config.members, config.folder, tasks, terms
         )
@@ -166,7 +166,7 @@
             raise StartError(str(error)) from error
         self.tasks, self.exports = tasks, exports
         pace = Pace(config.return_s * 1000.0, config.pause_s * 1000.0)
-        self.paced = paced.Paced(dispatcher, self.node, pace)
+        self.paced = rolling_restart.Paced(dispatcher, self.node, pace)
 
     async def start(self) -> None:
         """Take members' connections, and begin the tasks."""
@@ -182,10 +182,10 @@
                 Exporter(self.node, task, self.config.tallies, pools, engine.clock, lambda: engine.counts)
 
     def share(
-        self, listings: Sequence[Listing], make: Callable[[Sequence[Listing]], shared.Source]
-    ) -> shared.SharedSource:
+        self, listings: Sequence[Listing], make: Callable[[Sequence[Listing]], shared_discovery.Source]
+    ) -> shared_discovery.SharedSource:
         """A source that one member reads for all."""
-        return shared.SharedSource(self.node, self.dispatcher.engine.clock, listings, make)
+        return shared_discovery.SharedSource(self.node, self.dispatcher.engine.clock, listings, make)
 
     def leave(self) -> None:
         """A stop has begun: what this member holds is given back at once, so that others need not wait."""
--- a/grebestack/program/configuring.py
+++ b/grebestack/program/config_updates.py
@@ -29,7 +29,7 @@
 from grebestack.program.config import Config, ConfigError, ForceConfig, StartError, check, from_text, read
 
 log = logging.getLogger(__name__)
-DECIDED_S = 0.7  # the door wants its answer by then; see control.door.ANSWER_S
+DECIDED_S = 0.7  # the door wants its answer by then; see admin.server.ANSWER_S
 SPARE_S = 0.3  # a start waits so long beyond what a version on the disk waits for a relay
 FOLDER = "configuration"  # within the fleet's folder
 # Seams for tests, which no operator's file can reach.
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -18,8 +18,8 @@
 
 from grebestack.core.interface import ListKind
 from grebestack.program.config import Config, ConfigError, DrmaaConfig, StartError, check
-from grebestack.program.life import KILL_DEADLINE_MS, LATE_MS, Clients, Life, Stage
-from grebestack.program.tally import Tally
+from grebestack.program.lifecycle import KILL_DEADLINE_MS, LATE_MS, Clients, Life, Stage
+from grebestack.program.traffic_log import Tally
 from grebestack.protocol.discovery import Watch, terms_of
 from grebestack.protocol.lists import ListReader
 from grebestack.protocol.platform import PlatformFront
@@ -34,11 +34,11 @@
 if TYPE_CHECKING:
     from grebestack.consul.source import ConsulSource
     from grebestack.jobs.service import JobService
-    from grebestack.program.auditing import Auditor
-    from grebestack.program.configuring import Configuring
-    from grebestack.program.fleet import Fleet
-    from grebestack.program.shared import Source
-    from grebestack.program.upgrade import Upgrade
+    from grebestack.program.audit_recording import Auditor
+    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.config_updates import Configuring
+    from grebestack.program.hot_restart import Upgrade
+    from grebestack.program.shared_discovery import Source
     from grebestack.protocol.membership_adapter import Roster
 
 log = logging.getLogger(__name__)
@@ -97,21 +97,23 @@
             self.roster = appliance.roster(config.membership, self.engine)
         self.fleet: Fleet | None = None
         if config.fleet is not None:
-            from grebestack.program import fleet  # only here: the platform's dispatchers share nothing
+            from grebestack.program import (
+                cluster_member,  # only here: the platform's dispatchers share nothing
+            )
 
-            self.fleet = fleet.Fleet(self, config.fleet)
+            self.fleet = cluster_member.Fleet(self, config.fleet)
         self.configuring: Configuring | None = None
         if config.force is not None:
-            from grebestack.program import configuring  # only here: nothing of it is on the platform
+            from grebestack.program import config_updates  # only here: nothing of it is on the platform
 
             node = self.fleet.node if self.fleet is not None else None
-            self.configuring = configuring.Configuring(loop, self, config.force, config.name, node)
+            self.configuring = config_updates.Configuring(loop, self, config.force, config.name, node)
             self.reread = self.configuring.reread
         self.auditor: Auditor | None = None
         if config.audit is not None:
-            from grebestack.program import auditing  # only here: the platform gives no disk for it
+            from grebestack.program import audit_recording  # only here: the platform gives no disk for it
 
-            self.auditor = auditing.Auditor(self, config.audit)
+            self.auditor = audit_recording.Auditor(self, config.audit)
         self.watch = self._source(config)
         self.jobs: JobService | None = None
         self.life = Life()
@@ -208,7 +210,7 @@
 
     async def _open_door(self, address: Address) -> None:
         from grebestack.admin.server import Door  # only here: where there is no door nothing is loaded for it
-        from grebestack.program.operations import OwnOperations
+        from grebestack.program.admin_operations import OwnOperations
 
         operations = OwnOperations(self) if self.upgrade is None else self.upgrade
         shared = True if self.upgrade is not None else None  # two processes may have the same address then
@@ -293,7 +295,7 @@
             log.info("not_ready", extra={"kv": kv | {"state": self.life.stage.value}})
 
     async def _begin_upgrade(self) -> None:
-        from grebestack.program.upgrade import Upgrade  # only here: it is no part of other days
+        from grebestack.program.hot_restart import Upgrade  # only here: it is no part of other days
 
         folder = os.environ.get("TMPDIR")
         if not folder:
--- a/grebestack/program/upgrade.py
+++ b/grebestack/program/hot_restart.py
@@ -16,7 +16,7 @@
 from grebestack.hot_restart import state_machine as api
 from grebestack.hot_restart.channel import Channel, MeetingPoint, read_file, write_note
 from grebestack.hot_restart.framing import MOST_FILE, FrameError, Message, note, read_note
-from grebestack.program.operations import OwnOperations
+from grebestack.program.admin_operations import OwnOperations
 from grebestack.protocol.platform import MARGIN_MS
 from grebestack.protocol.platform import Answer as PlatformAnswer
 from grebestack.protocol.runners import Said
--- a/grebestack/program/paced.py
+++ b/grebestack/program/rolling_restart.py
@@ -28,8 +28,8 @@
 )
 from grebestack.consensus.messages import Plan
 from grebestack.consensus.register import Value
-from grebestack.program.attendance import Attendance
-from grebestack.program.life import LED_MS, Life
+from grebestack.program.cluster_task import Attendance
+from grebestack.program.lifecycle import LED_MS, Life
 from grebestack.routing.interfaces import Clock
 
 log = logging.getLogger(__name__)
--- a/tests/cluster_member.py
+++ b/tests/cluster_member.py
@@ -17,7 +17,7 @@
 
 from grebestack import __main__
 from grebestack.cluster_io.log_store import Files
-from grebestack.program import configuring, fleet
+from grebestack.program import cluster_member, config_updates
 
 TASKS = ("tallies", "second", "third")
 
@@ -56,9 +56,9 @@
 def main() -> int:
     """Run one dispatcher."""
     path, faults, rate = sys.argv[1], sys.argv[2], float(sys.argv[3])
-    fleet.FILES = configuring.FILES = lambda: FaultyFiles(faults)
-    fleet.CLOCK = lambda: time.monotonic() * 1000.0 * rate
-    fleet.EXPORTS = TASKS
+    cluster_member.FILES = config_updates.FILES = lambda: FaultyFiles(faults)
+    cluster_member.CLOCK = lambda: time.monotonic() * 1000.0 * rate
+    cluster_member.EXPORTS = TASKS
     sys.argv = ["grebestack", "--config", path, "--log-level", "debug"]
     return __main__.main()
 
--- a/tests/golden_control.py
+++ b/tests/golden_control.py
@@ -9,10 +9,10 @@
 from grebestack.admin.commands import Answer, Call, LineReader, Verb, parse, shown
 from grebestack.admin.server import Door
 from grebestack.core.interface import ListKind
-from grebestack.program.life import Life
+from grebestack.program.admin_operations import OwnOperations
+from grebestack.program.lifecycle import Life
 from grebestack.program.log import KeyValueFormatter
-from grebestack.program.operations import OwnOperations
-from grebestack.program.tally import Tally
+from grebestack.program.traffic_log import Tally
 from grebestack.routing.worker_table import ServerTable
 from tests.golden_samples import SERVER
 from tests.golden_settings import values_of
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -22,9 +22,9 @@
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
 from grebestack.jobs.store import EdgeRow, JobStore
-from grebestack.program.auditing import Writer
+from grebestack.program.audit_recording import Writer
+from grebestack.program.cluster_member import form
 from grebestack.program.config import from_text
-from grebestack.program.fleet import form
 from grebestack.protocol.snapshot import save
 from tests.golden_samples import FOLDER, RECORDS, SERVER, STAMP, encoded_record
 
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -11,7 +11,7 @@
 from grebestack.core.interface import ListKind, RequestArrived, WorkerEntry, WorkersListed
 from grebestack.core.policy import Policy
 from grebestack.hot_restart import framing, state_machine
-from grebestack.program.upgrade import Upgrade
+from grebestack.program.hot_restart import Upgrade
 from grebestack.protocol.platform import Answer
 from grebestack.protocol.runners import Said
 from grebestack.routing.requests import Dispatch, Payload, Session
--- a/tests/golden_links.py
+++ b/tests/golden_links.py
@@ -11,8 +11,8 @@
 from grebestack.cluster_io.relay_connection import FeedLink
 from grebestack.config_distribution.messages import Said, encode
 from grebestack.consensus.messages import Hello, Message
+from grebestack.program.cluster_member import Post
 from grebestack.program.config import TalliesConfig
-from grebestack.program.fleet import Post
 from tests.golden_samples import EXPORTS, FEED, MEMBER
 
 DISK_SEQUENCE = 98
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -21,7 +21,7 @@
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import JobState, Kind
 from grebestack.program.dispatcher import Dispatcher
-from grebestack.program.life import Stage
+from grebestack.program.lifecycle import Stage
 from tests.golden_samples import DIGEST, FEED, VERSION, load
 from tests.golden_settings import golden_text, operators_config
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -17,7 +17,7 @@
 
 from grebestack.admin import commands
 from grebestack.core.interface import ListKind, WorkerEntry, WorkerState
-from grebestack.program.life import KEPT_MS, LED_MS, Clients, Life, Stage
+from grebestack.program.lifecycle import KEPT_MS, LED_MS, Clients, Life, Stage
 from grebestack.routing.worker_table import Server, ServerTable
 from tests.standins import World, call, free_port, say, wait_until
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -284,7 +284,7 @@
     code = (
         "import errno, sys, time\n"
         "from grebestack.cluster_io.log_store import Files\n"
-        "from grebestack.program import auditing\n"
+        "from grebestack.program import audit_recording\n"
         "class Bad(Files):\n"
         "    began = time.monotonic()\n"
         "    def sync(self, fd):\n"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,7 @@
 from grebestack.core import interface as api
 from grebestack.endpoint_watch.state_machine import Begun, Ended, Event, Life, Open, Terms, Tick, Wake
 from grebestack.program.log import KeyValueFormatter
-from grebestack.program.tally import Tally
+from grebestack.program.traffic_log import Tally
 from grebestack.protocol.discovery import Watch
 from grebestack.protocol.lists import ListReader
 from grebestack.protocol.settings import settings_of
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -25,7 +25,7 @@
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import MOST_CONTENTS, Version, digest_of
 from grebestack.program.config import Config, ConfigError, from_file
-from grebestack.program.configuring import Laying, read_contents
+from grebestack.program.config_updates import Laying, read_contents
 from tests.follower_cluster import contents
 from tests.standins import APPLIANCE_SETTINGS
 
--- a/tests/test_follower_cluster.py
+++ b/tests/test_follower_cluster.py
@@ -16,7 +16,7 @@
 
 from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.config_distribution.versions import MOST_CONTENTS
-from grebestack.program.audit import record_of
+from grebestack.program.audit_command import record_of
 from tests.follower_cluster import LATE_MS, FollowerCluster, Lateness, contents
 from tests.standins import wait_until
 
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -9,7 +9,7 @@
 
 from grebestack.audit.records import Item
 from grebestack.hot_restart.framing import Unpacker, pack
-from grebestack.program.upgrade import request_of, server_of
+from grebestack.program.hot_restart import request_of, server_of
 from grebestack.routing.worker_table import Server
 from tests.golden_handover import REQUEST, handover_packets, keepsake, keepsake_taken
 from tests.golden_links import DISK_SEQUENCE, export_request, first_bytes, received
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -14,10 +14,10 @@
     "program",
     "program.config",
     "program.dispatcher",
-    "program.hangup",
-    "program.life",
+    "program.reload_signal",
+    "program.lifecycle",
     "program.log",
-    "program.tally",
+    "program.traffic_log",
     "protocol",
     "protocol.discovery",
     "protocol.lists",
@@ -59,4 +59,4 @@
         for name in ours
         if name.split(".")[0] in ("consensus", "config_distribution", "cluster_tasks", "cluster_io")
     }
-    assert not {"program.configuring", "program.fleet"} & ours
+    assert not {"program.config_updates", "program.cluster_member"} & ours
