--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -22,8 +22,8 @@
 from grebestack.config_distribution.messages import News, Said, Still
 from grebestack.config_distribution.relay import Relay, Seat
 from grebestack.config_distribution.versions import Version, digest_of
-from tests import exploring
-from tests.exploring import Found, put
+from tests import state_exploration
+from tests.state_exploration import Found, put
 
 FLEET, PLACE = "f", "r/z"
 RELAYS = ("a", "b")
@@ -587,12 +587,12 @@
 
 def explore(model: Model, most: int) -> Found:
     """See every state of this start, up to so many."""
-    return exploring.explore(model.first(), model.steps, model.wrong, most)
+    return state_exploration.explore(model.first(), model.steps, model.wrong, most)
 
 
 def main() -> int:
     """Explore from the command line."""
-    return exploring.command(
+    return state_exploration.command(
         lambda variant, start, most: explore(Model(variant, start), most), VARIANTS, STARTS, "lost"
     )
 
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -20,9 +20,9 @@
 from grebestack.config_distribution.configuration import ConfigurationVoter, View, change
 from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.consensus.register import Ballot, Phase, Promised, Round, Slot, accept, prepare
-from tests import exploring
+from tests import state_exploration
 from tests.configuration_states import Longest, Part
-from tests.exploring import Found, put
+from tests.state_exploration import Found, put
 
 NAMES = ("v1", "v2", "v3")
 STEP_MS = 1000.0
@@ -335,12 +335,12 @@
 
 def explore(model: Model, most: int) -> Found:
     """See every state of this start, up to so many."""
-    return exploring.explore(model.first(), model.steps, model.wrong, most)
+    return state_exploration.explore(model.first(), model.steps, model.wrong, most)
 
 
 def main() -> int:
     """Explore from the command line."""
-    return exploring.command(
+    return state_exploration.command(
         lambda variant, start, most: explore(Model(variant, start), most), VARIANTS, STARTS, "race"
     )
 
--- a/tests/consensus_model.py
+++ b/tests/consensus_model.py
@@ -35,8 +35,8 @@
     accept,
     prepare,
 )
-from tests import exploring
-from tests.exploring import Found, put
+from tests import state_exploration
+from tests.state_exploration import Found, put
 
 DISKS = 3
 TERMS = Terms(term_ms=2.0, drift=0.0, guard_ms=0.0, renew_at=0.5, stagger_ms=0.0)
@@ -253,7 +253,7 @@
 
 def explore(model: Model, most: int) -> Found:
     """See every state, the nearest first, up to so many."""
-    return exploring.explore(model.start(), model.steps, model.wrong, most, one_of_alike)
+    return state_exploration.explore(model.start(), model.steps, model.wrong, most, one_of_alike)
 
 
 def main() -> int:
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -17,8 +17,8 @@
 from grebestack.routing.requests import Dispatch, Payload, Session
 from grebestack.routing.worker_table import ServerTable
 from grebestack.transport.server import Request
-from tests.driver import BASE
 from tests.golden_samples import SERVER
+from tests.policy_driver import BASE
 
 PEER = 1
 REQUEST = Request(
--- a/tests/stage.py
+++ b/tests/loop_dispatcher.py
@@ -23,7 +23,7 @@
 from grebestack.routing.worker_table import Server, ServerTable
 from grebestack.transport.client import Pool, Pools
 from grebestack.transport.server import Acceptor
-from tests.driver import BASE, KEYED, SAFE, UNSAFE
+from tests.policy_driver import BASE, KEYED, SAFE, UNSAFE
 
 SOON_S = 20.0  # what does not happen by then does not happen
 
--- a/tests/membership_change_model.py
+++ b/tests/membership_change_model.py
@@ -39,8 +39,8 @@
 )
 from grebestack.consensus.recovery import Shelf, merged
 from grebestack.consensus.register import NONE, Ballot, Phase, Promised, Round, Slot
-from tests import exploring
-from tests.exploring import Found, put
+from tests import state_exploration
+from tests.state_exploration import Found, put
 
 FORMER = Roll(1, (("a", "1"), ("b", "1"), ("c", "1")))
 FOLLOWING = Roll(2, (("a", "1"), ("b", "1"), ("c", "2")))
@@ -208,7 +208,7 @@
 
 def explore(model: Model, begins: str, most: int) -> Found:
     """See every state, the nearest first, up to so many."""
-    return exploring.explore(start(begins), model.steps, model.wrong, most)
+    return state_exploration.explore(start(begins), model.steps, model.wrong, most)
 
 
 def main() -> int:
--- a/tests/test_letting_in.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 import pytest
 
 from grebestack.core import interface as api
-from tests.driver import VIEW, Dispatcher, settings
+from tests.policy_driver import VIEW, Dispatcher, settings
 
 
 def after(late_worth: float, delays: list[float]) -> int:
--- a/tests/test_leaving.py
+++ b/tests/test_draining.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from tests.yard import Sent, late_sends, play
+from tests.dispatcher_group import Sent, late_sends, play
 
 LATE_S = 0.15  # a machine that is later than this proves nothing: the play is repeated
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -14,7 +14,7 @@
 from grebestack.routing.engine import Engine
 from grebestack.routing.requests import Dispatch, Payload, Session, Stage
 from grebestack.routing.worker_table import Server, ServerTable
-from tests.driver import BASE, BOOK, ORDER, VIEW, entry
+from tests.policy_driver import BASE, BOOK, ORDER, VIEW, entry
 
 SETTINGS = replace(BASE, tells_start=False, retry_after=True, max_retry_after_ms=500.0)
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -21,7 +21,7 @@
 from grebestack.core.checkpoint import Elsewhere, kept, take
 from grebestack.core.policy import Policy
 from grebestack.hot_restart import framing, state_machine
-from tests.driver import KEYED, SAFE, UNSAFE, settings
+from tests.policy_driver import KEYED, SAFE, UNSAFE, settings
 from tests.standins import Answer, Runner, World, answers, call, insist, say, wait_until
 
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -21,7 +21,7 @@
 from grebestack.routing.engine import Engine
 from grebestack.routing.requests import Dispatch, Stage
 from grebestack.routing.worker_table import Server, ServerTable
-from tests.driver import entry
+from tests.policy_driver import entry
 from tests.test_engine import SETTINGS, Clock
 
 ORDER = {"jobCategory": "order"}
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.overloaded_fleet import OverloadedFleet
+from tests.overloaded_cluster import OverloadedFleet
 
 
 @pytest.mark.parametrize("dispatchers, servers", [(6, 12), (40, 30)])
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -8,7 +8,7 @@
 
 from grebestack.core import interface as api
 from grebestack.core.policy import Policy
-from tests.driver import BASE, BOOK, ORDER, VIEW, Judge, entry, settings
+from tests.policy_driver import BASE, BOOK, ORDER, VIEW, Judge, entry, settings
 
 STEPS = st.lists(st.tuples(st.integers(0, 11), st.integers(0, 10**6), st.integers(0, 10**6)), max_size=150)
 OUTCOMES = list(api.Outcome)
--- a/tests/test_held_order.py
+++ b/tests/test_queue_order.py
@@ -6,7 +6,7 @@
 
 from grebestack.core import interface as api
 from grebestack.core.state import Learned, distance, stable_hash
-from tests.driver import ORDER, VIEW, Dispatcher, entry, sends, settings
+from tests.policy_driver import ORDER, VIEW, Dispatcher, entry, sends, settings
 
 
 def full(**changes: object) -> tuple[Dispatcher, int]:
--- a/tests/test_crossings.py
+++ b/tests/test_races.py
@@ -11,7 +11,7 @@
 from grebestack.core.interface import Outcome
 from grebestack.routing.requests import Stage as Progress
 from grebestack.transport import client as transport
-from tests.stage import Stage, play
+from tests.loop_dispatcher import Stage, play
 
 TAKEN = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 import pytest
 
 from grebestack.core import interface as api
-from tests.driver import BOOK, ORDER, VIEW, Dispatcher, entry, sends, settings
+from tests.policy_driver import BOOK, ORDER, VIEW, Dispatcher, entry, sends, settings
 
 FAILURES = [o for o in api.Outcome if o is not api.Outcome.OK]
 
--- a/tests/test_mechanism.py
+++ b/tests/test_selection.py
@@ -9,7 +9,7 @@
 from grebestack.core import interface as api
 from grebestack.core.policy import Policy, built_in_script
 from grebestack.core.state import KEEP_MS, Agenda, distance, stable_hash
-from tests.driver import BASE, ORDER, VIEW, Dispatcher, entry, sends, settings
+from tests.policy_driver import BASE, ORDER, VIEW, Dispatcher, entry, sends, settings
 
 ALL_FAIL = {"default": api.Tag((api.Block(),), "fail")}
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,7 +15,7 @@
 from grebestack.core.policy import Policy
 from grebestack.program.config import ConfigError, check, from_platform
 from grebestack.protocol.settings import merged, settings_of
-from tests.driver import KEYED, SAFE, UNSAFE, Dispatcher, sends, settings
+from tests.policy_driver import KEYED, SAFE, UNSAFE, Dispatcher, sends, settings
 from tests.standins import OPTIONS, World, call, wait_until
 
 GOOD: dict[str, Any] = {
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -8,8 +8,8 @@
 
 from grebestack.consensus.messages import MOST, Enter, Hello, Plan, Roll, Seal, Sealed, SlotOf, encode
 from grebestack.consensus.register import Ballot
+from tests.dispatcher_group import Yard
 from tests.standins import OPTIONS, wait_until
-from tests.yard import Yard
 
 MEMORY_MB, SOCKETS = 32, 256  # the platform's smallest day
 
