--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -4,8 +4,8 @@
     .venv/bin/python benchmarks/fleet_counts.py [--quick] [--seed N]
 
 FOLDER holds one log a dispatcher (`*.log`); lines of `event=tally` are read, with or without the seconds
-since the start before them. Without a folder the fleet of tests/test_many_dispatchers.py is played in simulated time:
-24 dispatchers, 30 runners, six in ten of them replaced.
+since the start before them. Without a folder the fleet of tests/test_many_dispatchers.py is played in
+simulated time: 24 dispatchers, 30 runners, six in ten of them replaced.
 """
 
 from __future__ import annotations
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -582,7 +582,8 @@
     )
     for n in range(classes):
         text += (
-            f'[[settings.services]]\nname = "class-{n}"\naimMs = {latency_objective_ms if n == 0 else 600.0}\n'
+            f'[[settings.services]]\nname = "class-{n}"\n'
+            f"aimMs = {latency_objective_ms if n == 0 else 600.0}\n"
             'hardLimitMs = 8000.0\neffect = "single_shot"\nvalue = 5.0\nlateWorth = 0.3\n'
         )
     return text
@@ -634,7 +635,8 @@
         "engine = engine_on(SimClock(), api.Settings(classes=(ORDER, replace(ORDER, name='other'))), 1)\n"
         "before = resident_kb()\n"
         "for n in range(int(sys.argv[3])):\n"
-        "    new = api.Settings(classes=(replace(ORDER, latency_objective_ms=601.0 + n), engine.settings.classes[1]))\n"
+        "    order = replace(ORDER, latency_objective_ms=601.0 + n)\n"
+        "    new = api.Settings(classes=(order, engine.settings.classes[1]))\n"
         "    engine.resettle(merged(engine.settings, new))\n"
         "print((resident_kb() - before) / 1024.0, len(engine.settings.classes))\n"
     )
--- a/grebestack/core/api.py
+++ b/grebestack/core/api.py
@@ -187,9 +187,8 @@
         if self.dispatcher_count < 1 or self.dispatcher < 0:
             raise ValueError(f"dispatcher {self.dispatcher} of {self.dispatcher_count} is out of range")
         if not 0 < self.slow_start_initial_share <= 1 or self.overload_factor <= 0:
-            raise ValueError(
-                f"cold_from {self.slow_start_initial_share}, overload_factor {self.overload_factor}: out of range"
-            )
+            share, factor = self.slow_start_initial_share, self.overload_factor
+            raise ValueError(f"cold_from {share}, fall_multiple {factor}: out of range")
         names = [job_class.name for job_class in self.classes]
         for name, tag in (self.script or {}).items():
             if name not in (*names, "default"):
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -5,8 +5,8 @@
 Two are asked at once, each for its own contents. Words are never taken off the wire: each may come late,
 more than once, in any order or not at all. A voter may be lost and start again with its disk. The register is
 asked by its own functions: some majority promises at once (`tests.consensus_model` explores that step by
-step), each disk accepts at its time or never, and the asker may hear of it or not. Time passes in steps of a beat.
-From `held` on, the contents of v1's change are with v2 and the register is being asked.
+step), each disk accepts at its time or never, and the asker may hear of it or not. Time passes in steps of
+a beat. From `held` on, the contents of v1's change are with v2 and the register is being asked.
 """
 
 from __future__ import annotations
--- a/tests/consensus_model.py
+++ b/tests/consensus_model.py
@@ -3,9 +3,9 @@
     python -m tests.consensus_model [--states N] [--variant NAME] [--start NAME] [--end TIME] [--rounds N N]
 
 The code that is explored is `grebestack.consensus` itself. Messages are never taken off the wire: each may
-come late, more than once, in any order or not at all. Members may stop and start anew, give an asking up at any
-time, and look at what lies on any disk. After each step at most one of them may act, and no token is held by
-two.
+come late, more than once, in any order or not at all. Members may stop and start anew, give an asking up at
+any time, and look at what lies on any disk. After each step at most one of them may act, and no token is held
+by two.
 
 Left out, since it only hinders: a promise whose asker does not hear of it (it makes others' askings fail, as
 giving them up does), and a refusal (who gives up may or may not have heard of a higher ballot). Steps that
--- a/tests/membership_change_model.py
+++ b/tests/membership_change_model.py
@@ -4,8 +4,8 @@
 
 c is to be replaced by itself under a new incarnation while its old one still answers, a stopped process that
 goes on, say. What the following set is has been agreed on (`tests.consensus_model` explores that). From
-`asked` on, one has asked in the former epoch, a and b have promised, and another asks in the following one; at
-`sealed` a and b have also ended the former epoch; at `both` they have, and two ask in the following one.
+`asked` on, one has asked in the former epoch, a and b have promised, and another asks in the following one;
+at `sealed` a and b have also ended the former epoch; at `both` they have, and two ask in the following one.
 Messages are never taken off the wire: each may come late, more than once, in any order or not at all; the
 code is that of `grebestack.consensus`. What was in force is never lost: all values that ever were, in either
 epoch, are the beginnings of one another.
