--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -747,15 +747,15 @@
             " for a dispatcher, one push of the difference for a change; voters and relays grow with what"
             " they serve, not with its square."
         )
-    names = ("versions", "feed", "follower", "relay", "configuration", "waits")
-    modules = [f"grebestack/fleet/{name}.py" for name in names]
-    words = ("configur", "follow", "relay", "version", "feed", "scale")
+    folder = ROOT / "grebestack" / "config_distribution"
+    modules = sorted(f"grebestack/config_distribution/{path.name}" for path in folder.glob("[a-z]*.py"))
+    words = ("config", "follow", "relay", "version", "scale")
     tests = sorted(
         f"tests/{path.name}"
         for path in (ROOT / "tests").glob("test_*.py")
         if any(word in path.name for word in words)
     )
-    text = "Carried by followers: " + ", ".join(f"`{name}`" for name in modules if (ROOT / name).exists())
+    text = "Carried by followers: " + ", ".join(f"`{name}`" for name in modules)
     text += "; tests " + ", ".join(f"`{name}`" for name in tests) + "."
     verdict = figures.runs.get("scale", {}).get("verdict")
     if verdict is None:
