--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -243,7 +243,8 @@
         time.sleep(1.0)
         yard.kill("n1")  # in the middle of whatever it did
         yard.start("n1")
-        wait_until(lambda: yard.serving("n1"))
+        restarted = tmp_path / "n1.log"  # holds the lines of both processes
+        wait_until(lambda: restarted.read_text().count("event=ready") == 2)
         time.sleep(0.5)
         yard.over = True
         time.sleep(0.5)
