--- a/grebestack/drmaa/template.py
+++ b/grebestack/drmaa/template.py
@@ -16,11 +16,11 @@
 import msgspec
 from msgspec import Meta
 
-from grebestack.core.interface import Settings
+from grebestack.core.api import Settings
 from grebestack.drmaa.errors import DrmaaError
+from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Job, JobError, Kind, NewJob, Task
-from grebestack.routing.session import Payload
-from grebestack.waiting.interface import Condition
+from grebestack.routing.requests import Payload
 
 # The other attributes of the specification's job template: known, and not to be had here.
 UNSUPPORTED = {
--- a/grebestack/program/auditing.py
+++ b/grebestack/program/audit_recording.py
@@ -14,16 +14,16 @@
 from importlib.metadata import PackageNotFoundError, version
 from typing import TYPE_CHECKING, Any
 
-from grebestack.audit.acts import OF_OPERATORS
+from grebestack.admin.commands import Call
 from grebestack.audit.reading import MAGIC
 from grebestack.audit.recorder import Limits, Recorder
-from grebestack.audit.stamps import Stamp, Stamps, digest
-from grebestack.control.calls import Call
-from grebestack.core.interface import ListKind, WorkerEntry
-from grebestack.fleet.record import frame
-from grebestack.mesh.store import Files, FolderTakenError, take
+from grebestack.audit.records import OF_OPERATORS
+from grebestack.audit.version_sets import Stamp, Stamps, digest
+from grebestack.cluster_io.log_store import Files, FolderTakenError, take
+from grebestack.consensus.log_format import frame
+from grebestack.core.api import ListKind, WorkerEntry
 from grebestack.program.config import AuditConfig, StartError
-from grebestack.routing.session import Session
+from grebestack.routing.requests import Session
 
 if TYPE_CHECKING:
     from grebestack.program.dispatcher import Dispatcher
--- a/grebestack/program/configuring.py
+++ b/grebestack/program/config_updates.py
@@ -14,22 +14,22 @@
 from random import Random
 from typing import Any, Protocol
 
-from grebestack.audit.stamps import digest
-from grebestack.control.calls import Answer
-from grebestack.fleet.actions import Outcome
-from grebestack.fleet.relay import Relay
-from grebestack.fleet.versions import MOST_CONTENTS, Version
-from grebestack.fleet.waits import START_MS
-from grebestack.mesh.configuration import ConfigurationNode
-from grebestack.mesh.follower import FollowerNode, FollowerSettings, RelayAddress
-from grebestack.mesh.node import Node
-from grebestack.mesh.relay import RelayServer
-from grebestack.mesh.store import Files, FolderTakenError
-from grebestack.mesh.telling import monotonic_ms
+from grebestack.admin.commands import Answer
+from grebestack.audit.version_sets import digest
+from grebestack.cluster_io.configuration_node import ConfigurationNode
+from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
+from grebestack.cluster_io.log_store import Files, FolderTakenError
+from grebestack.cluster_io.node import Node
+from grebestack.cluster_io.relay_server import RelayServer
+from grebestack.cluster_io.runtime import monotonic_ms
+from grebestack.config_distribution.actions import Outcome
+from grebestack.config_distribution.relay import Relay
+from grebestack.config_distribution.timeouts import START_MS
+from grebestack.config_distribution.versions import MOST_CONTENTS, Version
 from grebestack.program.config import Config, ConfigError, ForceConfig, StartError, check, from_text, read
 
 log = logging.getLogger(__name__)
-DECIDED_S = 0.7  # the door wants its answer by then; see control.door.ANSWER_S
+DECIDED_S = 0.7  # the door wants its answer by then; see admin.server.ANSWER_S
 SPARE_S = 0.3  # a start waits so long beyond what a version on the disk waits for a relay
 FOLDER = "configuration"  # within the fleet's folder
 # Seams for tests, which no operator's file can reach.
--- a/grebestack/program/paced.py
+++ b/grebestack/program/rolling_restart.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from grebestack.control.calls import Answer
-from grebestack.fleet.messages import Plan
-from grebestack.fleet.pacing import (
+from grebestack.admin.commands import Answer
+from grebestack.cluster_io.node import Node
+from grebestack.cluster_tasks.rolling_restart import (
     GOES_ON,
     REGISTER,
     Ask,
@@ -26,10 +26,10 @@
     shown,
     stopping,
 )
-from grebestack.fleet.register import Value
-from grebestack.mesh.node import Node
-from grebestack.program.attendance import Attendance
-from grebestack.program.life import LED_MS, Life
+from grebestack.consensus.messages import Plan
+from grebestack.consensus.register import Value
+from grebestack.program.cluster_task import Attendance
+from grebestack.program.lifecycle import LED_MS, Life
 from grebestack.routing.interfaces import Clock
 
 log = logging.getLogger(__name__)
--- a/grebestack/program/shared.py
+++ b/grebestack/program/shared_discovery.py
@@ -9,12 +9,23 @@
 
 import msgspec
 
-from grebestack.core.interface import ListKind, WorkerEntry, WorkerState
-from grebestack.fleet.sharing import Act, Alive, GiveUp, Line, Read, Said, Say, Sharing, Update, said
-from grebestack.mesh.node import Node
-from grebestack.program.attendance import Attendance
+from grebestack.cluster_io.node import Node
+from grebestack.cluster_tasks.shared_discovery import (
+    Act,
+    Alive,
+    GiveUp,
+    Line,
+    Read,
+    Said,
+    Say,
+    Sharing,
+    Update,
+    said,
+)
+from grebestack.core.api import ListKind, WorkerEntry, WorkerState
+from grebestack.program.cluster_task import Attendance
 from grebestack.routing.interfaces import Clock, Listing
-from grebestack.routing.table import Server
+from grebestack.routing.worker_table import Server
 
 log = logging.getLogger(__name__)
 TASK = "servers"
--- a/grebestack/routing/table.py
+++ b/grebestack/routing/worker_table.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
-from grebestack.core.interface import ListKind, WorkerEntry, WorkerState
+from grebestack.core.api import ListKind, WorkerEntry, WorkerState
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -4,9 +4,9 @@
 
 Two are asked at once, each for its own contents. Words are never taken off the wire: each may come late,
 more than once, in any order or not at all. A voter may be lost and start again with its disk. The register is
-asked by its own functions: some majority promises at once (`tests.fleet_model` explores that step by step),
-each disk accepts at its time or never, and the asker may hear of it or not. Time passes in steps of a beat.
-From `held` on, the contents of v1's change are with v2 and the register is being asked.
+asked by its own functions: some majority promises at once (`tests.consensus_model` explores that step by
+step), each disk accepts at its time or never, and the asker may hear of it or not. Time passes in steps of
+a beat. From `held` on, the contents of v1's change are with v2 and the register is being asked.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from itertools import combinations
 from typing import Any, NamedTuple
 
-from grebestack.fleet import actions as act
-from grebestack.fleet.configuration import ConfigurationVoter, View, change
-from grebestack.fleet.register import Ballot, Phase, Promised, Round, Slot, accept, prepare
-from grebestack.fleet.versions import Version, digest_of
-from tests import exploring
+from grebestack.config_distribution import actions as act
+from grebestack.config_distribution.configuration import ConfigurationVoter, View, change
+from grebestack.config_distribution.versions import Version, digest_of
+from grebestack.consensus.register import Ballot, Phase, Promised, Round, Slot, accept, prepare
+from tests import state_exploration
 from tests.configuration_states import Longest, Part
-from tests.exploring import Found, put
+from tests.state_exploration import Found, put
 
 NAMES = ("v1", "v2", "v3")
 STEP_MS = 1000.0
@@ -335,12 +335,12 @@
 
 def explore(model: Model, most: int) -> Found:
     """See every state of this start, up to so many."""
-    return exploring.explore(model.first(), model.steps, model.wrong, most)
+    return state_exploration.explore(model.first(), model.steps, model.wrong, most)
 
 
 def main() -> int:
     """Explore from the command line."""
-    return exploring.command(
+    return state_exploration.command(
         lambda variant, start, most: explore(Model(variant, start), most), VARIANTS, STARTS, "race"
     )
 
--- a/tests/fleet_model.py
+++ b/tests/consensus_model.py
@@ -1,11 +1,11 @@
 """Every state that registers and leases can reach, within a bound: three disks, and two that want a task.
 
-    python -m tests.fleet_model [--states N] [--variant NAME] [--start NAME] [--end TIME] [--rounds N N]
+    python -m tests.consensus_model [--states N] [--variant NAME] [--start NAME] [--end TIME] [--rounds N N]
 
-The code that is explored is `grebestack.fleet` itself. Messages are never taken off the wire: each may come
-late, more than once, in any order or not at all. Members may stop and start anew, give an asking up at any
-time, and look at what lies on any disk. After each step at most one of them may act, and no token is held by
-two.
+The code that is explored is `grebestack.consensus` itself. Messages are never taken off the wire: each may
+come late, more than once, in any order or not at all. Members may stop and start anew, give an asking up at
+any time, and look at what lies on any disk. After each step at most one of them may act, and no token is held
+by two.
 
 Left out, since it only hinders: a promise whose asker does not hear of it (it makes others' askings fail, as
 giving them up does), and a refusal (who gives up may or may not have heard of a higher ballot). Steps that
@@ -22,8 +22,8 @@
 
 import msgspec
 
-from grebestack.fleet.lease import NEVER, Lease, Tenure, Terms, lease_of
-from grebestack.fleet.register import (
+from grebestack.consensus.lease import NEVER, Lease, Tenure, Terms, lease_of
+from grebestack.consensus.register import (
     NONE,
     Accepted,
     Answer,
@@ -35,8 +35,8 @@
     accept,
     prepare,
 )
-from tests import exploring
-from tests.exploring import Found, put
+from tests import state_exploration
+from tests.state_exploration import Found, put
 
 DISKS = 3
 TERMS = Terms(term_ms=2.0, drift=0.0, guard_ms=0.0, renew_at=0.5, stagger_ms=0.0)
@@ -253,7 +253,7 @@
 
 def explore(model: Model, most: int) -> Found:
     """See every state, the nearest first, up to so many."""
-    return exploring.explore(model.start(), model.steps, model.wrong, most, one_of_alike)
+    return state_exploration.explore(model.start(), model.steps, model.wrong, most, one_of_alike)
 
 
 def main() -> int:
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -13,19 +13,19 @@
 from typing import Any
 
 from grebestack.audit.recorder import Limits, Recorder
-from grebestack.audit.stamps import Stamps
-from grebestack.fleet.record import frame
-from grebestack.fleet.versions import Version, digest_of
-from grebestack.handover.frames import note
+from grebestack.audit.version_sets import Stamps
+from grebestack.cluster_io.config_store import Contents
+from grebestack.cluster_io.log_store import Files, Store, found
+from grebestack.config_distribution.versions import Version, digest_of
+from grebestack.consensus.log_format import frame
+from grebestack.hot_restart.framing import note
+from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
 from grebestack.jobs.store import EdgeRow, JobStore
-from grebestack.mesh.contents import Contents
-from grebestack.mesh.store import Files, Store, found
-from grebestack.program.auditing import Writer
+from grebestack.program.audit_recording import Writer
+from grebestack.program.cluster_member import form
 from grebestack.program.config import from_text
-from grebestack.program.fleet import form
 from grebestack.protocol.snapshot import save
-from grebestack.waiting.interface import Condition
 from tests.golden_samples import FOLDER, RECORDS, SERVER, STAMP, encoded_record
 
 WAIT_S = 10.0
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -15,16 +15,16 @@
 
 import pytest
 
-from grebestack.audit.acts import OF_OPERATORS, Act, Gap, decode
+from grebestack.audit.html_report import as_page
 from grebestack.audit.merge import as_data, as_text, merge
-from grebestack.audit.page import as_page
 from grebestack.audit.reading import MAGIC, Record, assemble
 from grebestack.audit.recorder import FIRST, Limits, Recorder, place
-from grebestack.audit.stamps import Stamp, Stamps, digest
-from grebestack.fleet.record import frame
+from grebestack.audit.records import OF_OPERATORS, Act, Gap, decode
+from grebestack.audit.version_sets import Stamp, Stamps, digest
+from grebestack.consensus.log_format import frame
 from grebestack.program.config import ConfigError, from_file
+from tests.dispatcher_group import Yard
 from tests.standins import APPLIANCE_SETTINGS, wait_until
-from tests.yard import Yard
 
 
 class Disk:
@@ -243,7 +243,8 @@
         time.sleep(1.0)
         yard.kill("n1")  # in the middle of whatever it did
         yard.start("n1")
-        wait_until(lambda: yard.serving("n1"))
+        restarted = tmp_path / "n1.log"  # holds the lines of both processes
+        wait_until(lambda: restarted.read_text().count("event=ready") == 2)
         time.sleep(0.5)
         yard.over = True
         time.sleep(0.5)
@@ -283,14 +284,14 @@
 def test_a_disk_that_fails_stops_no_job_and_the_gap_is_written_down(tmp_path: Path) -> None:
     code = (
         "import errno, sys, time\n"
-        "from grebestack.mesh.store import Files\n"
-        "from grebestack.program import auditing\n"
+        "from grebestack.cluster_io.log_store import Files\n"
+        "from grebestack.program import audit_recording\n"
         "class Bad(Files):\n"
         "    began = time.monotonic()\n"
         "    def sync(self, fd):\n"
         "        if 1 < time.monotonic() - self.began < 2.5: raise OSError(errno.EIO, 'failed')\n"
         "        super().sync(fd)\n"
-        "auditing.FILES = Bad\n"
+        "audit_recording.FILES = Bad\n"
         "from grebestack.__main__ import main\n"
         "sys.exit(main())\n"
     )
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from grebestack.core.interface import Effect, Group, WorkerState
+from grebestack.core.api import Effect, Group, WorkerState
 from grebestack.protocol.lists import ListReader
 from grebestack.protocol.settings import settings_of
 
@@ -85,30 +85,30 @@
 }
 READ = {
     "dispatcher": 2,
-    "siblings": 3,
+    "dispatcher_count": 3,
     "zone": 1,
-    "over_share_worth": 0.15,
-    "list_on_request": True,
-    "must_ask_ms": 9000.0,
+    "over_quota_weight_factor": 0.15,
+    "polls_endpoint_list": True,
+    "poll_deadline_ms": 9000.0,
     "drain_grace_ms": 950.0,
     "answer_grace_ms": 17.0,
-    "cold_from": 0.13,
-    "warm_within_ms": 23_000.0,
-    "fall_multiple": 2.5,
-    "fall_window_ms": 1100.0,
+    "slow_start_initial_share": 0.13,
+    "slow_start_ms": 23_000.0,
+    "overload_factor": 2.5,
+    "overload_window_ms": 1100.0,
     "max_attempts": 6,
-    "second_copies": True,
+    "hedging_enabled": True,
     "cancel": True,
     "probing": False,
     "retry_after": True,
     "max_retry_after_ms": 1900.0,
     "connect_timeout_ms": 260.0,
-    "tells_start": True,
+    "reports_attempt_start": True,
     "progress_ms": 350.0,
-    "cross_zone_price": 0.07,
-    "late_fail_price": 0.021,
-    "worth_by_work": True,
-    "live_weights": False,
+    "cross_zone_cost": 0.07,
+    "late_failure_cost": 0.021,
+    "weight_by_work": True,
+    "weights_follow_load": False,
     "report_fields": frozenset(),
     "tick_ms": 3.5,
 }
@@ -122,17 +122,27 @@
 def test_each_field_of_a_class_and_of_a_tenant_is_read() -> None:
     told = settings_of(SECOND)
     flip, read = told.classes
-    assert (flip.name, flip.aim_ms, flip.deadline_ms) == ("flip", 310.0, 4900.0)
-    assert (flip.worth, flip.late_worth) == (11.0, 0.45)
-    assert (flip.effect, flip.stretch, flip.kind, flip.group) == (Effect.UNSAFE, 1.75, -1, Group.ALL)
-    assert (read.effect, read.stretch, read.kind, read.group) == (Effect.KEYED, 2.25, 2, Group.CELL)
-    assert (read.window_ms, read.worth, read.late_worth) == (9500.0, 31.0, 0.25)
-    assert [(t.name, t.allowance_per_s) for t in told.tenants] == [("north", 71.5), ("south", 40.25)]
+    assert (flip.name, flip.latency_objective_ms, flip.deadline_ms) == ("flip", 310.0, 4900.0)
+    assert (flip.priority_weight, flip.late_priority_weight) == (11.0, 0.45)
+    assert (flip.effect, flip.objective_stretch, flip.kind, flip.group) == (
+        Effect.NOT_IDEMPOTENT,
+        1.75,
+        -1,
+        Group.ALL,
+    )
+    assert (read.effect, read.objective_stretch, read.kind, read.group) == (
+        Effect.IDEMPOTENT_WITH_KEY,
+        2.25,
+        2,
+        Group.CELL,
+    )
+    assert (read.retry_window_ms, read.priority_weight, read.late_priority_weight) == (9500.0, 31.0, 0.25)
+    assert [(t.name, t.quota_per_s) for t in told.tenants] == [("north", 71.5), ("south", 40.25)]
 
 
 def test_a_stretch_that_a_class_names_itself_comes_before_the_list_of_all() -> None:
     one = SECOND | {"services": [SECOND["services"][0] | {"aimStretch": 0.5}]}
-    assert settings_of(one).classes[0].stretch == 0.5
+    assert settings_of(one).classes[0].objective_stretch == 0.5
 
 
 def test_each_field_of_a_list_entry_is_read() -> None:
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from grebestack.audit import acts
+from grebestack.audit import records
 from grebestack.audit.reading import MAGIC
-from grebestack.fleet.record import read
-from grebestack.handover.frames import read_note
+from grebestack.cluster_io.config_store import Contents
+from grebestack.cluster_io.log_store import Store
+from grebestack.consensus.log_format import read
+from grebestack.hot_restart.framing import read_note
 from grebestack.jobs.store import JobStore
-from grebestack.mesh.contents import Contents
-from grebestack.mesh.store import Store
 from grebestack.protocol.snapshot import load as load_snapshot
-from grebestack.routing.table import Server
+from grebestack.routing.worker_table import Server
 from tests.golden_files import (
     BANS,
     BATCH,
@@ -82,9 +82,9 @@
         segment = read(bytes.fromhex(digits), 1, MAGIC)
         assert segment.doubt == "" and not segment.torn
         for payload in segment.payloads:
-            items = acts.decode(payload)
-            assert acts.encode(items) == payload
-            whats += [item.what for item in items if isinstance(item, acts.Act)]
+            items = records.decode(payload)
+            assert records.encode(items) == payload
+            whats += [item.what for item in items if isinstance(item, records.Act)]
     assert whats == ["send", "operator"]
 
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -9,19 +9,19 @@
 
 import pytest
 
-from grebestack.core import interface as api
-from grebestack.core.interface import Outcome
+from grebestack.core import api
+from grebestack.core.api import Outcome
 from grebestack.drmaa.errors import DrmaaError
 from grebestack.drmaa.template import Templates
+from grebestack.job_queue.interface import Stage as RoomStage
 from grebestack.jobs import store as store_module
 from grebestack.jobs.records import Batch, Job, JobError, JobLimits, JobState, Kind
 from grebestack.jobs.service import JobService
 from grebestack.jobs.store import JobStore, StoreError
 from grebestack.routing.engine import Engine
-from grebestack.routing.session import Dispatch, Stage
-from grebestack.routing.table import Server, ServerTable
-from grebestack.waiting.interface import Stage as RoomStage
-from tests.driver import entry
+from grebestack.routing.requests import Dispatch, Stage
+from grebestack.routing.worker_table import Server, ServerTable
+from tests.policy_driver import entry
 from tests.test_engine import SETTINGS, Clock
 
 ORDER = {"jobCategory": "order"}
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -8,16 +8,16 @@
 
 OURS = {
     "core",
-    "core.interface",
+    "core.api",
     "core.policy",
     "core.state",
     "program",
     "program.config",
     "program.dispatcher",
-    "program.hangup",
-    "program.life",
+    "program.reload_signal",
+    "program.lifecycle",
     "program.log",
-    "program.tally",
+    "program.traffic_log",
     "protocol",
     "protocol.discovery",
     "protocol.lists",
@@ -27,13 +27,13 @@
     "routing",
     "routing.engine",
     "routing.interfaces",
-    "routing.session",
-    "routing.table",
+    "routing.requests",
+    "routing.worker_table",
     "transport",
     "transport.client",
     "transport.server",
-    "watching",
-    "watching.life",
+    "endpoint_watch",
+    "endpoint_watch.state_machine",
 }
 LIBRARIES = {"httptools", "uvloop"}
 NEVER = {"sqlite3", "http.client", "tkinter", "multiprocessing", "unittest"}
@@ -54,5 +54,9 @@
     assert installed - {"grebestack"} == LIBRARIES
     assert not NEVER & set(loaded)
     # The configuration in force and all of the fleet is an operator's file's alone.
-    assert not {name for name in ours if name.split(".")[0] in ("fleet", "mesh")}
-    assert not {"program.configuring", "program.fleet"} & ours
+    assert not {
+        name
+        for name in ours
+        if name.split(".")[0] in ("consensus", "config_distribution", "cluster_tasks", "cluster_io")
+    }
+    assert not {"program.config_updates", "program.cluster_member"} & ours
