--- a/grebestack/job_queue/job_queue.py
+++ b/grebestack/job_queue/job_queue.py
@@ -382,7 +382,7 @@
 
     def _due(self) -> None:
         """Deadlines first: what is overdue is not let in."""
-        while self.left > 0 and self.deadlines.first() <= self.unix_ms:
+        while self.left > 0 and self._has_come(self.deadlines.first()):
             node = self.deadlines.pop()
             if node.stage in (Stage.BLOCKED, Stage.READY):  # else the engine keeps its deadline
                 self._end(node, Cause.OVERDUE)
@@ -392,7 +392,7 @@
             node.intake = None
             self._try(node)
             self.left -= 1
-        while self.left > 0 and self.timed.first() <= self.unix_ms:
+        while self.left > 0 and self._has_come(self.timed.first()):
             node = self.timed.pop()
             node.started = True
             self._try(node)
@@ -405,6 +405,14 @@
             self._ripen(self.ripening.pop())
             self.left -= 1
 
+    def _has_come(self, unix_ms: float) -> bool:
+        """Whether a wall-clock time has come, in milliseconds.
+
+        It is rounded as the tick that was asked for it; else that tick could come before the time and be
+        asked for again without end.
+        """
+        return unix_ms - self.offset_ms <= self.now
+
     def _ripen(self, node: Node) -> None:
         """A job has waited for so long that it goes before all that have not."""
         if node.stage is Stage.RELEASED:
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import random
 import time
 from collections.abc import Iterable
 from typing import Any
@@ -118,6 +119,22 @@
     assert len(d.room.graph.nodes) == len(d.out)
 
 
+def test_a_start_time_that_rounding_puts_after_its_tick_is_reached() -> None:
+    chance = random.Random(3)
+    found = 0
+    while found < 20:
+        offset, start = chance.choice([-7_200_000.0, -1000.0, 1e9]), chance.uniform(1.0, 2500.0)
+        if (start - offset) + offset >= start:
+            continue
+        found += 1
+        d = Driver()
+        d.now = start - offset - 1.0
+        d.feed(api.Wall(offset))
+        d.submit(job("a", start_unix_ms=start))
+        d.go_on(2.0)
+        assert names(d.released) == ["a"]
+
+
 def test_a_submission_is_taken_whole_or_not_at_all() -> None:
     d = Driver(most_jobs=4, most_edges=2)
     d.submit(job("old"))
