--- a/grebestack/core/api.py
+++ b/grebestack/core/api.py
@@ -212,7 +212,7 @@
     state: WorkerState = WorkerState.READY
     weight: float = 1.0
     started_ms: float | None = None  # its latest start; None: long ago
-    reinstated: bool = False  # the operators have just put it back to use
+    put_back: bool = False  # the operators have just put it back to use
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebestack/core/state.py
+++ b/grebestack/core/state.py
@@ -195,7 +195,7 @@
         """Take over the list's line; tells whether it changes who may be sent to."""
         was = (self.ready, self.entry.started_ms)
         self.entry, self.ready = entry, entry.state is WorkerState.READY
-        self.fresh = self.fresh or entry.reinstated
+        self.fresh = self.fresh or entry.put_back
         if self.ready and not was[0]:
             # It was left out and is put back: what was held against it was of before, and with little traffic
             # nothing would ever show otherwise.
--- a/grebestack/routing/worker_table.py
+++ b/grebestack/routing/worker_table.py
@@ -96,7 +96,7 @@
         if (name in self.cordoned) != on:
             (self.cordoned.add if on else self.cordoned.discard)(name)
             if (server := self.listed.get(name)) is not None:
-                entry = replace(server.entry, reinstated=not on)
+                entry = replace(server.entry, put_back=not on)
                 self._tell(ListKind.CHANGES, (replace(server, entry=entry),))
 
     def uid(self, name: str) -> str:
--- a/tests/loop_dispatcher.py
+++ b/tests/loop_dispatcher.py
@@ -194,7 +194,7 @@
 
 def settings(**changes: Any) -> api.Settings:
     """Three classes, view (safe), book (keyed) and order (unsafe), and no aims that end a wait."""
-    retry_window_ms = changes.pop("window_ms", 30_000.0)
+    retry_window_ms = changes.pop("retry_window_ms", 30_000.0)
     classes = tuple(
         replace(
             c,
@@ -205,7 +205,7 @@
         )
         for c in (IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT)
     )
-    changes = {"tells_start": False, "second_copies": False, "connect_timeout_ms": 50.0} | changes
+    changes = {"reports_attempt_start": False, "hedging_enabled": False, "connect_timeout_ms": 50.0} | changes
     return replace(BASE, classes=classes, **changes)
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -30,7 +30,7 @@
     return len(refused)
 
 
-@pytest.mark.parametrize("late_worth", [0.0, 0.3])
+@pytest.mark.parametrize("late_priority_weight", [0.0, 0.3])
 def test_late_starts_close_the_door_where_late_earns_nothing_and_starts_in_time_open_it(
     late_priority_weight: float,
 ) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("reject", [False, True])
-@pytest.mark.parametrize("siblings", [4, 40])
+@pytest.mark.parametrize("dispatcher_count", [4, 40])
 def test_all_dispatchers_together_keep_a_cold_workers_budget(dispatcher_count: int, reject: bool) -> None:
     """Each wants far more than the worker can do; one slot is what a dispatcher may assume it has."""
     budget = 3.0 * 0.25 * 1500.0
@@ -180,7 +180,7 @@
     assert sum(work > budget for work in sent) <= 1
 
 
-@pytest.mark.parametrize("siblings", [4, 40])
+@pytest.mark.parametrize("dispatcher_count", [4, 40])
 def test_a_warming_worker_is_not_starved_however_many_dispatchers_share_it(dispatcher_count: int) -> None:
     # Guards against turns drawn from the warmth of their moment: among 40, most came after the whole warming.
     allowed = 3.0 * (0.25 + 1.0) / 2 * 8000.0
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("restarted", [0, 7])
-@pytest.mark.parametrize("siblings", [1, 20, 30, 200])
+@pytest.mark.parametrize("dispatcher_count", [1, 20, 30, 200])
 def test_turns_at_a_cold_worker_that_lay_unused_are_not_all_taken_by_a_burst(
     dispatcher_count: int,
     restarted: int,
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -477,7 +477,7 @@
     for name in ("w0", "w1", "w2"):  # wherever it stands on the ring
         d.listed(entry(name, state=api.WorkerState.DRAINING), kind=api.ListKind.CHANGES)
         d.wait(2100)
-        back = entry(name, started_ms=d.now - 500, reinstated=True)
+        back = entry(name, started_ms=d.now - 500, put_back=True)
         d.listed(back, kind=api.ListKind.CHANGES)
         d.listed(entry(name, started_ms=d.now - 500), kind=api.ListKind.CHANGES)  # the list says it again
         used = []
