--- /dev/null
+++ b/grebestack/core/actions.py
@@ -0,0 +1,76 @@
+"""The actions that a policy returns, to be carried out in order by the embedding dispatcher.
+
+Times are milliseconds on the clock of the events.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class Send:
+    """Start the next attempt of a request; without a timeout it runs until the client gives up.
+
+    The first byte must be sent by `by_ms` or not at all: the connection may be established late.
+    """
+
+    request: int
+    worker: str
+    timeout_ms: float | None = None
+    by_ms: float = math.inf
+
+
+@dataclass(frozen=True, slots=True)
+class Cancel:
+    """Cancel one attempt, at once or when its worker confirms that it has dropped it."""
+
+    request: int
+    attempt: int
+    at_once: bool = True
+
+
+@dataclass(frozen=True, slots=True)
+class Reject:
+    """Final answer: not executed, and a retry is harmless."""
+
+    request: int
+    retry_after_ms: float | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class Fail:
+    """Final answer: failed; the request may have been executed."""
+
+    request: int
+
+
+@dataclass(frozen=True, slots=True)
+class SetTimer:
+    """Request a `TimerFired` at or after a time; timers cannot be cancelled."""
+
+    at_ms: float
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class WatchList:
+    """Subscribe to changes of the endpoint list."""
+
+    on: bool = True
+
+
+@dataclass(frozen=True, slots=True)
+class FetchList:
+    """Request the whole endpoint list once."""
+
+
+@dataclass(frozen=True, slots=True)
+class Probe:
+    """Request the load report of a worker."""
+
+    worker: str
+
+
+Action = Send | Cancel | Reject | Fail | SetTimer | WatchList | FetchList | Probe
--- /dev/null
+++ b/grebestack/core/admission.py
@@ -0,0 +1,92 @@
+"""Admission: tenants' quotas, shedding of requests, and the Retry-After of rejected ones."""
+
+from __future__ import annotations
+
+from grebestack.core.context import DecisionContext
+from grebestack.core.settings import JobClass
+
+ADMISSION_INCREASE_FACTOR = 1.15  # by each prompt start
+ADMISSION_DECREASE_FACTOR = 0.5  # by each overdue start of a job that cannot be moved
+MIN_ADMISSION_PROBABILITY = 0.05
+ADMISSION_PROBE_INTERVAL_MS = 1000.0  # one request is admitted if none was sent for this long
+QUOTA_BURST_S = 2.0
+
+
+class TokenBucket:
+    """Token bucket with a burst of two seconds, or of one token at low rates."""
+
+    def __init__(self) -> None:
+        """Start with one token."""
+        self.tokens, self.updated_ms = 1.0, 0.0
+
+    def take(self, now_ms: float, rate_per_s: float) -> bool:
+        """Take one token if there is one."""
+        refill = rate_per_s * (now_ms - self.updated_ms) / 1000.0
+        burst = max(1.0, QUOTA_BURST_S * rate_per_s)
+        self.tokens, self.updated_ms = min(burst, self.tokens + refill), now_ms
+        if self.tokens < 1.0:
+            return False
+        self.tokens -= 1.0
+        return True
+
+
+class AdmissionControl:
+    """Sheds classes whose late answers are worth nothing while workers' queues do not drain."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        """Start with every request admitted."""
+        self.context = context
+        self.admission_probability = 1.0
+        self.next_probe_ms = 0.0
+        self.quotas: list[TokenBucket] = []
+
+    def on_settings_changed(self) -> None:
+        """Start with full quotas for the tenants of the new settings."""
+        self.quotas = [TokenBucket() for _ in self.context.settings.tenants]
+
+    def is_within_quota(self, tenant: int) -> bool:
+        """Whether a request is within its tenant's quota; an unknown tenant has none.
+
+        Each dispatcher grants its part of the quota, which is a rate over all dispatchers.
+        """
+        if not self.quotas:
+            return True
+        if tenant >= len(self.quotas):
+            return False
+        settings = self.context.settings
+        rate_per_s = settings.tenants[tenant].quota_per_s / settings.dispatcher_count
+        return self.quotas[tenant].take(self.context.now_ms, rate_per_s)
+
+    def is_shed(self, job_class: JobClass) -> bool:
+        """Whether a new request is shed: at random, unless its late answer is worth something."""
+        return not (
+            job_class.late_priority_weight > 0
+            or self.context.random.random() <= self.admission_probability
+            or self.context.now_ms >= self.next_probe_ms
+        )
+
+    def on_sent(self) -> None:
+        """Postpone the request that is admitted when nothing is sent."""
+        self.next_probe_ms = self.context.now_ms + ADMISSION_PROBE_INTERVAL_MS
+
+    def on_prompt_start(self) -> None:
+        """Admit more requests after a start in time."""
+        self.admission_probability = min(1.0, ADMISSION_INCREASE_FACTOR * self.admission_probability)
+
+    def on_overdue_start(self, *, may_move: bool) -> None:
+        """Admit fewer requests after an overdue start, if the job could not move or had moved already."""
+        factor = 1.0 if may_move else ADMISSION_DECREASE_FACTOR
+        self.admission_probability = max(MIN_ADMISSION_PROBABILITY, self.admission_probability * factor)
+
+    def retry_after_ms(self, class_index: int, queued_count: int) -> float | None:
+        """Return when a rejected client should retry: once those queued before it may have been served.
+
+        None if the settings have no Retry-After.
+        """
+        settings = self.context.settings
+        if not settings.retry_after or settings.max_retry_after_ms <= 0:
+            return None
+        running = sum(w.attempt_count for w in self.context.workers.values() if w.is_ready)
+        rounds = 1.0 + queued_count / max(1, running)
+        wait_ms = self.context.jittered_ms(self.context.estimates.run_ms[class_index] * rounds)
+        return min(settings.max_retry_after_ms, wait_ms)
--- a/grebestack/core/checkpoint.py
+++ b/grebestack/core/checkpoint.py
@@ -1,133 +1,147 @@
-"""What a dispatcher has learned, for the process that takes its place: plain values, by name.
+"""What a dispatcher has learned, as plain values for the process that replaces it.
 
-Nothing is decided here. Times are those of one monotonic clock, which the processes of one machine share.
+Times are those of one monotonic clock, which the processes of one machine share. The stored keys are read by
+other versions of the program and stay as they are; attributes may have other names.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping
-from typing import TYPE_CHECKING, Any
-
-from grebestack.core.api import Outcome
-from grebestack.core.state import Attempt, WorkerView
-
-if TYPE_CHECKING:
-    from grebestack.core.policy import Policy
-
-OF_WORKER = (
-    "ceiling",
-    "pace",
-    "strikes",
-    "full_until",
-    "raise_after",
-    "warm_at",
-    "good_ms",
-    "broke_ms",
-    "breaks",
-    "seen_free",
-    "seen_memory",
-    "told_ms",
-    "others",
-    "others_memory",
-    "ours",
-    "luck",
-)
-OF_CLASS = ("run_ms", "slots")
-OF_KIND = ("kind_slots", "kind_weight")
-
-
-def kept(policy: Policy) -> dict[str, Any]:
-    """What a policy knows of workers, kinds and classes."""
-    learned = policy.learned
+from typing import Any
+
+from grebestack.core.events import Outcome
+from grebestack.core.policy import Policy
+from grebestack.core.workers import Attempt
+
+DEFAULT_RUN_MS = 1000.0  # of an inherited attempt whose class is unknown
+# Stored key and attribute.
+WORKER_FIELDS = {
+    "ceiling": "concurrency_limit",
+    "pace": "slowness",
+    "strikes": "consecutive_overloads",
+    "full_until": "backoff_until_ms",
+    "raise_after": "raise_limit_after_ms",
+    "warm_at": "warm_at_ms",
+    "good_ms": "last_success_ms",
+    "broke_ms": "first_connection_error_ms",
+    "breaks": "consecutive_connection_errors",
+    "seen_free": "max_free_slots",
+    "seen_memory": "max_free_memory",
+    "told_ms": "load_known_ms",
+    "others": "others_slots",
+    "others_memory": "others_memory",
+    "ours": "own_slots",
+    "luck": "rounding",
+}
+CLASS_FIELDS = {"run_ms": "run_ms", "slots": "slots"}
+KIND_FIELDS = {"kind_slots": "kind_slots", "kind_weight": "kind_weight"}
+
+
+def save_checkpoint(policy: Policy) -> dict[str, Any]:
+    """Return what a policy has learned of workers, kinds and classes."""
+    estimates = policy.estimates
     return {
         "workers": {
-            name: {field: getattr(view, field) for field in OF_WORKER}
-            for name, view in policy.workers.items()
-            if view.ready
+            name: {key: getattr(worker, attribute) for key, attribute in WORKER_FIELDS.items()}
+            for name, worker in policy.workers.items()
+            if worker.is_ready
         },
         "classes": {
-            name: {field: getattr(learned, field)[index] for field in OF_CLASS}
-            for index, name in enumerate(learned.names)
+            name: {key: getattr(estimates, attribute)[index] for key, attribute in CLASS_FIELDS.items()}
+            for index, name in enumerate(estimates.class_names)
         },
-        **{field: {str(kind): value for kind, value in getattr(learned, field).items()} for field in OF_KIND},
-        "others": list(learned.others),
-        "worth": learned.worth,
+        **{
+            key: {str(kind): value for kind, value in getattr(estimates, attribute).items()}
+            for key, attribute in KIND_FIELDS.items()
+        },
+        "others": list(estimates.others_load),
+        "worth": estimates.request_value,
     }
 
 
 def _number(value: Any, like: Any) -> Any:
+    """Return a finite number as the type of another; ValueError if it is none."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise ValueError(f"{value!r} is no finite number")
     return type(like)(value)
 
 
-def take(policy: Policy, raw: Mapping[str, Any]) -> None:
-    """Take over what another policy kept; the workers must be listed.
+def restore_checkpoint(policy: Policy, raw: Mapping[str, Any]) -> None:
+    """Take over the checkpoint of another policy; the workers must be listed already.
 
-    ValueError, KeyError, TypeError or AttributeError if it can't be used, and nothing is changed then.
+    Raises
+    ------
+    ValueError, KeyError, TypeError, AttributeError
+        If the checkpoint cannot be used; the policy is unchanged then.
     """
-    learned = policy.learned
+    estimates = policy.estimates
     workers = [
-        (view, field, _number(known[field], getattr(view, field)))
+        (worker, attribute, _number(known[key], getattr(worker, attribute)))
         for name, known in raw["workers"].items()
-        if (view := policy.workers.get(name)) is not None
-        for field in OF_WORKER
+        if (worker := policy.workers.get(name)) is not None
+        for key, attribute in WORKER_FIELDS.items()
     ]
     classes = [
-        (getattr(learned, field), index, _number(raw["classes"][name][field], 1.0))
-        for index, name in enumerate(learned.names)
+        (getattr(estimates, attribute), index, _number(raw["classes"][name][key], 1.0))
+        for index, name in enumerate(estimates.class_names)
         if name in raw["classes"]
-        for field in OF_CLASS
+        for key, attribute in CLASS_FIELDS.items()
     ]
     kinds = [
-        (getattr(learned, field), int(kind), _number(value, 1.0))
-        for field in OF_KIND
-        for kind, value in raw[field].items()
+        (getattr(estimates, attribute), int(kind), _number(value, 1.0))
+        for key, attribute in KIND_FIELDS.items()
+        for kind, value in raw[key].items()
     ]
     slots, memory = (_number(value, 1.0) for value in raw["others"])
-    learned.worth, learned.others = _number(raw["worth"], 1.0), (slots, memory)
-    for view, field, value in workers:
-        setattr(view, field, value)
-    for table, place, value in [*classes, *kinds]:
-        table[place] = value
-    policy.orders.clear()
+    estimates.request_value, estimates.others_load = _number(raw["worth"], 1.0), (slots, memory)
+    for worker, attribute, value in workers:
+        setattr(worker, attribute, value)
+    for table, index, value in [*classes, *kinds]:
+        table[index] = value
+    policy.selector.orders.clear()
 
 
-class Elsewhere:
-    """Attempts of the process whose place this one takes: they count as its own at their workers.
+class InheritedAttempts:
+    """Attempts of the predecessor, counted as this dispatcher's own at their workers.
 
-    Guards the new process from taking them for the jobs of other dispatchers: it would find workers full with
-    what is its own share, and claim none of it until all lists and reports have been renewed.
+    Otherwise they would pass for the load of other dispatchers, and this one would find its own share of
+    the workers in use until all lists and reports have been renewed.
     """
 
     def __init__(self, policy: Policy) -> None:
+        """Start without inherited attempts."""
         self.policy = policy
-        self.out: dict[str, tuple[WorkerView, Attempt]] = {}
+        self.attempts: dict[str, Attempt] = {}
 
-    def sent(
-        self, key: str, worker: str, slots: float, memory: float, sent_ms: float, class_name: str
+    def add(
+        self, key: str, worker_name: str, slots: float, memory: float, sent_ms: float, class_name: str
     ) -> None:
-        """An attempt is out there; one that is known, or at a worker that is not listed, is passed over."""
-        view, learned = self.policy.workers.get(worker), self.policy.learned
-        if view is None or key in self.out:
+        """Count an attempt; a known one, or one at a worker that is not listed, is ignored."""
+        worker, estimates = self.policy.workers.get(worker_name), self.policy.estimates
+        if worker is None or key in self.attempts:
             return
-        run_ms = learned.run_ms[learned.names.index(class_name)] if class_name in learned.names else 1000.0
-        attempt = Attempt(view, sent_ms, slots, memory, run_ms, started_ms=sent_ms)
-        view.out.append(attempt)
-        view.jobs, view.used, view.memory = view.jobs + 1, view.used + slots, view.memory + memory
-        self.out[key] = view, attempt
-
-    def ended(self, key: str, now_ms: float) -> None:
-        """It has ended, or is given up."""
-        if key not in self.out:
+        names = estimates.class_names
+        run_ms = estimates.run_ms[names.index(class_name)] if class_name in names else DEFAULT_RUN_MS
+        attempt = Attempt(worker, sent_ms, slots, memory, run_ms, started_ms=sent_ms)
+        worker.recent_attempts.append(attempt)
+        worker.attempt_count += 1
+        worker.used_slots += slots
+        worker.used_memory += memory
+        self.attempts[key] = attempt
+
+    def end(self, key: str, now_ms: float) -> None:
+        """Remove an attempt that has ended or is given up; an unknown one is ignored."""
+        attempt = self.attempts.pop(key, None)
+        if attempt is None:
             return
-        view, attempt = self.out.pop(key)
         attempt.outcome, attempt.ended_ms = Outcome.OK, now_ms
-        view.jobs, view.used = view.jobs - 1, view.used - attempt.slots
-        view.memory -= attempt.memory
-
-    def over(self, now_ms: float) -> None:
-        """The other process is gone."""
-        for key in list(self.out):
-            self.ended(key, now_ms)
+        worker = attempt.worker
+        worker.attempt_count -= 1
+        worker.used_slots -= attempt.slots
+        worker.used_memory -= attempt.memory
+
+    def end_all(self, now_ms: float) -> None:
+        """Remove all attempts: the predecessor has exited."""
+        for key in list(self.attempts):
+            self.end(key, now_ms)
--- /dev/null
+++ b/grebestack/core/context.py
@@ -0,0 +1,30 @@
+"""What all decisions of a dispatcher share: the time, the settings, the workers and the estimates."""
+
+from __future__ import annotations
+
+from random import Random
+
+from grebestack.core.estimates import Estimates
+from grebestack.core.settings import Settings
+from grebestack.core.workers import TrackedWorker
+
+MAX_BACKOFF_DOUBLINGS = 5
+
+
+class DecisionContext:
+    """The inputs that all decisions share; only `Policy` changes the time and the settings.
+
+    All random numbers come from `random`, so a seed and a sequence of events determine every decision.
+    """
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        """Start at time 0 without workers."""
+        self.settings = settings
+        self.now_ms = 0.0
+        self.random = Random(seed)
+        self.estimates = Estimates(settings.tick_ms, self.random)
+        self.workers: dict[str, TrackedWorker] = {}
+
+    def jittered_ms(self, mean_ms: float, doublings: int = 0) -> float:
+        """Return a random delay with exponential backoff: 0.5 to 1.5 of the mean, doubled so often."""
+        return mean_ms * 2.0 ** min(doublings, MAX_BACKOFF_DOUBLINGS) * self.random.uniform(0.5, 1.5)
--- /dev/null
+++ b/grebestack/core/estimates.py
@@ -0,0 +1,117 @@
+"""Estimates learned from what was observed: running times, job sizes and start delays."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+from random import Random
+from typing import Protocol
+
+from grebestack.core.settings import JobClass
+
+LEARNING_RATE = 0.02  # share of each sample in a moving average
+START_DELAY_DECREASE = 0.2  # share by which the least start delay follows a sample below it
+LOAD_MEMORY_MS = 2000.0  # known load of other dispatchers is forgotten within this
+MAX_HINT_RATIO = 8.0  # a running time counts at most this many times its hint
+
+
+class LoadObservation(Protocol):
+    """The load of other dispatchers at one worker, as last reported."""
+
+    @property
+    def load_known_ms(self) -> float:
+        """When the load was last reported; 0 if never."""
+
+    @property
+    def others_slots(self) -> float:
+        """Slots that other dispatchers use there."""
+
+    @property
+    def others_memory(self) -> float:
+        """Memory that other dispatchers use there."""
+
+
+class Estimates:
+    """Moving averages and extremes of observed values, in milliseconds, slots and units of memory."""
+
+    def __init__(self, tick_ms: float, random: Random) -> None:
+        """Start without classes; no start delay is estimated below a tick."""
+        self.tick_ms, self.random = tick_ms, random
+        self.class_names: list[str] = []
+        self.run_ms: list[float] = []  # by class
+        self.run_ms_per_hinted_ms: list[float] = []  # by class
+        self.slots: list[float] = []  # by class
+        self.request_value = 1.0  # mean priority weight of a request
+        self.kind_slots: dict[int, float] = {}  # most slots seen in use on one worker of a kind
+        self.kind_weight: dict[int, float] = {}  # highest weight in the endpoint list of a kind
+        self.others_load = (0.0, 0.0)  # slots and memory of the other dispatchers at an average worker
+        self.least_start_delay_ms: dict[bool, float] = {}  # in the own zone (True) or another
+
+    def add_classes(self, classes: Sequence[JobClass]) -> None:
+        """Add the classes that are new; a redefined class starts with the estimates of its former one."""
+        for c in classes[len(self.class_names) :]:
+            names = self.class_names
+            former = len(names) - 1 - names[::-1].index(c.name) if c.name in names else None
+            self.class_names.append(c.name)
+            self.run_ms.append(c.latency_objective_ms if former is None else self.run_ms[former])
+            self.run_ms_per_hinted_ms.append(1.0 if former is None else self.run_ms_per_hinted_ms[former])
+            self.slots.append(1.0 if former is None else self.slots[former])
+
+    def on_arrival(self, class_index: int, slots: float, value: float) -> None:
+        """Learn the slots and the value of an arriving request."""
+        self.request_value += LEARNING_RATE * (value - self.request_value)
+        self.slots[class_index] += LEARNING_RATE * (slots - self.slots[class_index])
+
+    def mean_job_slots(self) -> float:
+        """Return the mean slots of a job over all classes."""
+        return sum(self.slots) / len(self.slots)
+
+    def mean_run_ms(self) -> float:
+        """Return the mean running time over all classes."""
+        return sum(self.run_ms) / len(self.run_ms)
+
+    def slot_ms(self, class_index: int) -> float:
+        """Return the slot-milliseconds of a job of a class."""
+        return self.run_ms[class_index] * self.slots[class_index]
+
+    def expected_run_ms(self, class_index: int, cost_ms: float | None) -> float:
+        """Return the expected running time of a job, by its hint if it has one, else by its class."""
+        return self.run_ms_per_hinted_ms[class_index] * cost_ms if cost_ms else self.run_ms[class_index]
+
+    def on_success(self, class_index: int, run_ms: float, cost_ms: float | None) -> None:
+        """Learn the running time of a job that succeeded."""
+        self.run_ms[class_index] += LEARNING_RATE * (run_ms - self.run_ms[class_index])
+        if cost_ms:
+            known = self.run_ms_per_hinted_ms
+            known[class_index] += LEARNING_RATE * (min(MAX_HINT_RATIO, run_ms / cost_ms) - known[class_index])
+
+    def update_others_load(self, workers: Sequence[LoadObservation], now_ms: float) -> None:
+        """Learn the mean load of other dispatchers from the workers whose load was reported lately."""
+        recent = [worker for worker in workers if worker.load_known_ms > now_ms - LOAD_MEMORY_MS]
+        if recent:
+            slots = sum(worker.others_slots for worker in recent) / len(recent)
+            memory = sum(worker.others_memory for worker in recent) / len(recent)
+            self.others_load = max(0.0, slots), max(0.0, memory)
+
+    def on_start_delay(self, own_zone: bool, delay_ms: float) -> None:
+        """Learn how long a job took to start, or has waited for its start.
+
+        The estimate follows the minimum, as delay-based congestion control follows the shortest round trip.
+        A mean would grow with the workers' queues until every start looked prompt.
+        """
+        known_ms = self.least_start_delay_ms.get(own_zone, delay_ms)
+        step = 1 + LEARNING_RATE / 4 if delay_ms > known_ms else 1 - START_DELAY_DECREASE
+        self.least_start_delay_ms[own_zone] = max(self.tick_ms, known_ms * step)
+
+    def start_delay_ms(self, own_zone: bool) -> float:
+        """Return the start delay at an idle worker; one tick if unknown."""
+        return self.least_start_delay_ms.get(own_zone, self.tick_ms)
+
+    def on_slots_seen(self, kind: int, slots: float) -> None:
+        """Learn that one worker of a kind has at least so many slots."""
+        self.kind_slots[kind] = max(self.kind_slots.get(kind, 1.0), slots)
+
+
+def lower_median(values: Iterable[float]) -> float:
+    """Return the lower median; 0 if there are no values."""
+    ordered = sorted(values) or [0.0]
+    return ordered[(len(ordered) - 1) // 2]
--- /dev/null
+++ b/grebestack/core/events.py
@@ -0,0 +1,173 @@
+"""The events that a policy handles, each with its contract.
+
+Times are milliseconds on one monotonic clock that the embedding dispatcher owns. A request is what a client
+asked for; an attempt is one sending of it to a worker, numbered 0, 1, 2 ... in the order of the `Send`
+actions of that request.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from enum import Enum
+
+from grebestack.core.settings import Settings
+
+
+class WorkerState(Enum):
+    """The state of a worker in the endpoint list."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+class ListKind(Enum):
+    """What a `WorkersListed` event carries."""
+
+    CACHED = "cached"  # the whole list from disk, possibly stale
+    FULL = "full"  # the whole list
+    CHANGES = "changes"  # changed entries only
+    FAILED = "failed"  # a call or the subscription failed; the known list stays in force
+
+
+class Outcome(Enum):
+    """How an attempt or a probe ended."""
+
+    OK = "ok"
+    ERROR = "error"  # the worker answered with an error; it may have run
+    REJECTED = "rejected"  # not executed
+    TIMEOUT = "timeout"  # no answer in time; it may have run, or may still run
+    CONNECT_FAILED = "connect_failed"  # never reached the worker
+    RESET = "reset"  # the connection broke; it may have run
+    CANCELLED = "cancelled"  # it may have run
+    NOT_SENT = "moot"  # never sent
+
+    @property
+    def never_ran(self) -> bool:
+        """True where the outcome proves that the attempt was never executed."""
+        return self is Outcome.REJECTED or self is Outcome.CONNECT_FAILED or self is Outcome.NOT_SENT
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerEntry:
+    """One entry of the endpoint list."""
+
+    worker: str
+    zone: int = 0
+    kind: int = 0
+    cell: int = 0
+    state: WorkerState = WorkerState.READY
+    weight: float = 1.0
+    started_ms: float | None = None  # None: long ago
+    put_back: bool = False  # the operators have just put it back into use; the name is a key on the wire
+
+
+@dataclass(frozen=True, slots=True)
+class WorkersListed:
+    """The endpoint list was received, or a call for it failed."""
+
+    kind: ListKind
+    workers: tuple[WorkerEntry, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class SettingsChanged:
+    """New settings apply; every class of the former ones keeps its index and its meaning."""
+
+    settings: Settings
+
+
+@dataclass(frozen=True, slots=True)
+class RequestArrived:
+    """A client sent a request; exactly one final answer is due by `deadline_ms`."""
+
+    request: int
+    job_class: int
+    deadline_ms: float
+    slots: float = 1.0
+    memory: float = 0.0
+    tenant: int = 0
+    key: int | None = None
+    cost_ms: float | None = None
+    retry: bool = False
+    aged: bool = False  # waited so long that it goes before all others
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptStarted:
+    """The worker reported that the job has begun to run."""
+
+    request: int
+    attempt: int
+    worker: str
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptProgress:
+    """The worker reported how much of the job is done."""
+
+    request: int
+    attempt: int
+    worker: str
+    done: float
+
+
+@dataclass(frozen=True, slots=True)
+class StreamStarted:
+    """The response of a streamed class began; from here the attempt belongs to the client."""
+
+    request: int
+    attempt: int
+    worker: str
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptEnded:
+    """An attempt ended; `closed` means that its request has been answered too."""
+
+    request: int
+    attempt: int
+    worker: str
+    outcome: Outcome
+    elapsed_ms: float
+    closed: bool
+    report: Mapping[str, float] = field(default_factory=dict)
+
+
+@dataclass(frozen=True, slots=True)
+class RequestDropped:
+    """The client disconnected; no answer is due."""
+
+    request: int
+
+
+@dataclass(frozen=True, slots=True)
+class TimerFired:
+    """A timer set by `SetTimer` is due."""
+
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class ProbeEnded:
+    """A `Probe` ended, with the load report of its worker."""
+
+    worker: str
+    outcome: Outcome
+    elapsed_ms: float
+    report: Mapping[str, float] = field(default_factory=dict)
+
+
+Event = (
+    WorkersListed
+    | SettingsChanged
+    | RequestArrived
+    | AttemptStarted
+    | AttemptProgress
+    | StreamStarted
+    | AttemptEnded
+    | RequestDropped
+    | TimerFired
+    | ProbeEnded
+)
--- /dev/null
+++ b/grebestack/core/retries.py
@@ -0,0 +1,77 @@
+"""Whether a request may be sent again, hedged, moved or rejected without harm.
+
+Pure functions of one request. Times are in milliseconds.
+"""
+
+from __future__ import annotations
+
+import math
+
+from grebestack.core.requests import Request
+from grebestack.core.settings import Effect, Group, Settings
+
+
+def may_reject(request: Request) -> bool:
+    """Whether a rejection, which tells the client that a retry is harmless, would be true.
+
+    It is true for an idempotent request, for one with a key that all workers recognise, and for one that
+    was certainly not executed.
+    """
+    effect, everywhere = request.job_class.effect, request.job_class.group is Group.ALL
+    return (
+        effect is Effect.IDEMPOTENT
+        or (effect is Effect.IDEMPOTENT_WITH_KEY and everywhere)
+        or not request.possibly_executed()
+    )
+
+
+def may_send(request: Request, now_ms: float, settings: Settings) -> bool:
+    """Whether a further attempt is allowed, whatever the worker.
+
+    It must not execute a request twice that is not idempotent, nor exceed the attempt limit, the deadline
+    or the retry window; and a second copy needs hedging. One tick is kept as a margin.
+    """
+    now_ms += settings.tick_ms
+    limit = min(request.max_attempts, settings.max_attempts)
+    has_copy = not settings.hedging_enabled and any(a.outcome is None for a in request.attempts)
+    is_over = (
+        request.is_closed
+        or has_copy
+        or len(request.attempts) >= limit
+        or now_ms >= request.arrival.deadline_ms
+    )
+    is_harmless = request.job_class.effect is not Effect.NOT_IDEMPOTENT or not request.possibly_executed()
+    return is_harmless and not is_over and now_ms <= send_by_ms(request)
+
+
+def send_by_ms(request: Request) -> float:
+    """Return by when the first byte of the next attempt must be sent.
+
+    A worker recognises an idempotency key for the retry window, counted from the first attempt that may
+    have been executed. The limit covers the wait for a connection. Infinite where no window applies.
+    """
+    with_key = request.job_class.effect is Effect.IDEMPOTENT_WITH_KEY
+    executed = with_key and request.possibly_executed()
+    return executed[0].sent_ms + request.job_class.retry_window_ms if executed else math.inf
+
+
+def retry_scope(request: Request) -> tuple[int | None, int | None]:
+    """Return the zone and cell in which a retry must stay; None: any.
+
+    Once a request with a key may have been executed, only the workers of its group recognise the key.
+    """
+    group, executed = request.job_class.group, request.possibly_executed()
+    if not executed or request.job_class.effect is not Effect.IDEMPOTENT_WITH_KEY or group is Group.ALL:
+        return None, None
+    entry = executed[0].worker.entry
+    return entry.zone, entry.cell if group is Group.CELL else None
+
+
+def may_cancel_and_retry(request: Request, settings: Settings) -> bool:
+    """Whether an attempt may be cancelled and, once its worker has dropped it, retried elsewhere."""
+    return settings.cancel and request.job_class.effect is not Effect.NOT_IDEMPOTENT
+
+
+def may_hedge(request: Request, settings: Settings) -> bool:
+    """Whether a second attempt may be sent at once in place of one that is cancelled."""
+    return settings.hedging_enabled and may_cancel_and_retry(request, settings)
--- /dev/null
+++ b/grebestack/core/selection.py
@@ -0,0 +1,246 @@
+"""Selection of a worker: the blocks of the script in order, their ranking and their invalidate rules."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import NamedTuple
+
+from grebestack.core.context import DecisionContext
+from grebestack.core.hashing import coprime_walk, rendezvous_distance, stable_hash
+from grebestack.core.outliers import SLUGGISH_FACTOR, OutlierDetection
+from grebestack.core.queueing import Reservation
+from grebestack.core.requests import Request
+from grebestack.core.retries import retry_scope
+from grebestack.core.script import ResolvedScript, block_members, built_in_script
+from grebestack.core.settings import Block, Effect
+from grebestack.core.slow_start import SlowStart
+from grebestack.core.workers import TrackedWorker
+
+RING_STEP = 0.618034  # golden ratio: any run of dispatcher numbers is spread evenly over the ring
+EXHAUSTED_MS = 10.0  # a block that had no valid worker is not searched again for this long
+QUEUE_AHEAD_SHARE = 0.5  # of the latency objective that jobs may queue at a worker, so that it never idles
+
+
+class OrderKey(NamedTuple):
+    """Identifies a ranking of workers: a block narrowed to a kind, a zone and a cell."""
+
+    block_number: int
+    kind: int
+    zone: int | None
+    cell: int | None
+
+
+class Selector:
+    """Finds the worker for a request."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        outliers: OutlierDetection,
+        slow_start: SlowStart,
+        reservation: Reservation,
+    ) -> None:
+        """Start with the script of the settings."""
+        self.context, self.outliers = context, outliers
+        self.slow_start, self.reservation = slow_start, reservation
+        self.orders: dict[OrderKey, list[TrackedWorker]] = {}
+        # Until when a ranking has no valid worker, for requests of at least so many slots.
+        self.exhausted_until: dict[OrderKey, tuple[float, float]] = {}
+        self.zone_count = 1
+        self.rules: dict[str, Callable[[TrackedWorker, Request, float | None], bool]] = {
+            "max_concurrent_invocations": self._concurrency_reached,
+            "capacity_used": self._capacity_used,
+            "overload": self._overloaded,
+        }
+        self.on_settings_changed()
+
+    def on_settings_changed(self) -> None:
+        """Resolve the script of the new settings and forget the rankings."""
+        settings = self.context.settings
+        script = ResolvedScript(settings.script or built_in_script(settings), settings.classes)
+        self.blocks, self.paths, self.rejects_at_end = script.blocks, script.paths, script.rejects_at_end
+        self.ring_position = settings.dispatcher * RING_STEP % 1.0
+        # Neither starts nor free slots are reported, so queues at workers are invisible.
+        self.is_load_unknown = (
+            not settings.reports_attempt_start and "free_slots" not in settings.report_fields
+        )
+        live = (c for index, c in enumerate(settings.classes) if index not in settings.retired)
+        self.has_retriable_classes = any(c.effect is not Effect.NOT_IDEMPOTENT for c in live)
+        self.on_workers_changed()
+
+    def on_workers_changed(self) -> None:
+        """Forget the rankings, and that blocks had no valid worker."""
+        self.orders.clear()
+        self.exhausted_until.clear()
+
+    def on_ranking_timer(self) -> None:
+        """Forget the rankings: some worker may have warmed up or become slow."""
+        self.orders.clear()
+        self.zone_count = len({worker.entry.zone for worker in self.context.workers.values()})
+
+    def on_slots_freed(self) -> None:
+        """Search all blocks again."""
+        self.exhausted_until.clear()
+
+    # Blocks in order.
+
+    def select(self, request: Request, only: TrackedWorker | None = None) -> TrackedWorker | None:
+        """Return the worker to send to, or None; with `only`, that worker or None."""
+        zone, cell = retry_scope(request)
+        now_ms, slots = self.context.now_ms, request.arrival.slots
+        for number in self.paths[request.queue_key.class_index]:
+            if self.blocks[number].place == "other" and not self.may_use_remote_zone(request):
+                continue
+            key = OrderKey(number, request.job_class.kind, zone, cell)
+            until_ms, least_slots = self.exhausted_until.get(key, (0.0, 0.0))
+            if not only and now_ms < until_ms and slots >= least_slots:
+                continue
+            if worker := self._pick(key, request, only):
+                return worker
+            if not only:
+                self.exhausted_until[key] = (now_ms + EXHAUSTED_MS, slots)
+        return None
+
+    def may_use_remote_zone(self, request: Request) -> bool:
+        """Whether a request has waited long enough for its own zone.
+
+        It waits for a share of its latency objective: the cost of crossing zones divided by its value.
+        """
+        context = self.context
+        value = max(request.job_class.priority_weight * request.value_units(context.settings), 1e-9)
+        share = context.settings.cross_zone_cost * context.estimates.request_value / value
+        waited_ms = context.now_ms - request.arrived_ms
+        return waited_ms >= request.job_class.latency_objective_ms * min(1.0, share)
+
+    def fits_when_idle(self, request: Request, worker: TrackedWorker) -> bool:
+        """Whether a wide job (of more than one slot) may run at a worker once that has free slots."""
+        scope = retry_scope(request)
+        may_use = worker.own_zone or self.may_use_remote_zone(request)
+        if not (1.0 < request.arrival.slots <= worker.max_free_slots and may_use):
+            return False
+        kind = request.job_class.kind
+        paths = self.paths[request.queue_key.class_index]
+        return any(worker in self._order(OrderKey(number, kind, *scope)) for number in paths)
+
+    def _pick(self, key: OrderKey, request: Request, only: TrackedWorker | None) -> TrackedWorker | None:
+        """Return the first valid worker of one block, or a random one, as its strategy says.
+
+        A request that is not idempotent prefers a worker that succeeded lately: an error would be final,
+        while retriable requests find out at less cost whether a worker has failed.
+        """
+        block = self.blocks[key.block_number]
+        rule, threshold = self.rules[block.invalidate], block.threshold
+        is_unavailable, now_ms = self._is_unavailable, self.context.now_ms
+        valid = (
+            w
+            for w in self._walk(block, key, request, only)
+            if not (rule(w, request, threshold) or is_unavailable(w, request) or request.may_run_at(w))
+        )
+        if block.strategy == "random":
+            pool = list(valid)
+            return self.context.random.choice(pool) if pool else None
+        first = next(valid, None)
+        is_final = request.job_class.effect is Effect.NOT_IDEMPOTENT
+        if first and self.has_retriable_classes and is_final and not first.succeeded_recently(now_ms):
+            return next((w for w in valid if w.succeeded_recently(now_ms)), first)
+        return first
+
+    def _walk(
+        self, block: Block, key: OrderKey, request: Request, only: TrackedWorker | None
+    ) -> Iterable[TrackedWorker]:
+        """Return the workers of a block in the order in which a request tries them."""
+        order, settings = self._order(key), self.context.settings
+        if only:  # the platform strategy walks by keys: a single worker is for requests that have one
+            allowed = only in order and (block.strategy != "platform" or request.has_key)
+            return [only] if allowed else []
+        if block.strategy == "platform":
+            # With the dispatcher in the hash, not all dispatchers start at the same worker.
+            what = request.job_class.name if request.arrival.key is None else request.arrival.key
+            start = stable_hash(f"{settings.dispatcher} {what}")
+            return coprime_walk(order, start, int(len(order) * RING_STEP))
+        if block.open and self.is_load_unknown:
+            now_ms = self.context.now_ms
+            return sorted(order, key=lambda w: (w.warm_at_ms > now_ms, w.used_slots))
+        if block.open and request.has_key and settings.reports_attempt_start:
+            hash_key = request.arrival.key or 0
+            return sorted(
+                order, key=lambda w: (not w.is_reinstated, rendezvous_distance(hash_key, w.name_hash))
+            )
+        return order
+
+    def _order(self, key: OrderKey) -> list[TrackedWorker]:
+        """Return the ready workers of a block, best first.
+
+        The ranking starts at this dispatcher's place on a ring, so that dispatchers do not all fill the
+        same workers.
+        """
+        order = self.orders.get(key)
+        if order is None:
+            context, block = self.context, self.blocks[key.block_number]
+            members = block_members(context.workers, block, key.kind, key.zone, key.cell)
+            order = [worker for worker in members if worker.is_ready]
+            if block.workers == ("*",):
+                order.sort(key=lambda w: (w.name_hash, w.entry.worker))
+            if block.open:
+                for place, worker in enumerate(order):
+                    distance = abs(place / len(order) - self.ring_position)
+                    worker.set_ring_distance(distance, context.settings.dispatcher_count, self.zone_count)
+                slow, now_ms = SLUGGISH_FACTOR * self.outliers.typical_slowness, context.now_ms
+                order.sort(
+                    key=lambda w: (
+                        -w.is_reinstated,
+                        w.warm_at_ms > now_ms,
+                        w.slowness > slow,
+                        w.ring_distance,
+                    )
+                )
+            self.orders[key] = order
+        return order
+
+    # Validity: one predicate for each invalidate rule; an unavailable worker is always invalid.
+
+    def _is_unavailable(self, worker: TrackedWorker, request: Request) -> bool:
+        """Whether a worker is warming up, reserved, ejected or backing off."""
+        # The turn comes first: it draws random numbers.
+        is_warming = worker.warm_at_ms > self.context.now_ms and not self.slow_start.has_turn(worker)
+        return (
+            is_warming
+            or self.reservation.excludes(worker, request)
+            or self.outliers.is_ejected(worker, request.queue_key.class_index)
+            or self.outliers.is_backing_off(worker, request)
+        )
+
+    def _concurrency_reached(self, worker: TrackedWorker, request: Request, limit: float | None) -> bool:
+        """Rule max_concurrent_invocations: slots in use here beyond a limit, or the learned one (None)."""
+        if worker.attempt_count == 0:
+            return self.context.now_ms < worker.backoff_until_ms
+        limit = worker.concurrency_limit if limit is None else limit
+        arrival = request.arrival
+        return worker.used_slots + arrival.slots > limit or worker.used_memory + arrival.memory > limit
+
+    def _capacity_used(self, worker: TrackedWorker, request: Request, share: float | None) -> bool:
+        """Rule capacity_used: a share of the reported slots (None: all, and some jobs queued ahead)."""
+        if not worker.load_known_ms:
+            return self._concurrency_reached(worker, request, None)
+        context, job_slots = self.context, request.arrival.slots
+        typical = SLUGGISH_FACTOR * self.outliers.typical_slowness
+        slowness = worker.slowness / typical if worker.attempt_count else 1.0
+        ahead = 0.0
+        if not share:
+            run_ms = context.estimates.run_ms[request.queue_key.class_index]
+            ahead = QUEUE_AHEAD_SHARE * request.job_class.latency_objective_ms / run_ms
+        slots = worker.max_free_slots * ((share or 1.0) / max(1.0, slowness) + ahead)
+        own_share = worker.slot_share(slots, job_slots, context.now_ms, context.estimates)
+        return worker.used_slots + job_slots > own_share
+
+    def _overloaded(self, worker: TrackedWorker, request: Request, slots: float | None) -> bool:
+        """Rule overload: unstarted attempts or backoff; without reports of starts, memory and slots."""
+        context = self.context
+        if context.settings.reports_attempt_start:
+            return worker.unstarted_count > 0 or context.now_ms < worker.backoff_until_ms
+        if not worker.load_known_ms:
+            return self._concurrency_reached(worker, request, slots)
+        others_memory = worker.others_load(context.now_ms, context.estimates)[1]
+        memory = worker.used_memory + others_memory + request.arrival.memory
+        is_short = "free_memory" in worker.load_report and memory > worker.max_free_memory
+        return is_short or self._capacity_used(worker, request, 1.0)
--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -57,7 +57,7 @@
         self.tasks: set[asyncio.Task[None]] = set()  # the listener, connections being adopted
         self.again: asyncio.TimerHandle | None = None
         self.own = OwnOperations(dispatcher)
-        self.elsewhere = checkpoint.Elsewhere(dispatcher.engine.policy)
+        self.inherited_attempts = checkpoint.InheritedAttempts(dispatcher.engine.policy)
         dispatcher.front.elsewhere = self.called_back
         self.orphans: set[str] = set()  # ids of jobs of the elder's that this process answers
         dispatcher.front.open_elsewhere = lambda call_id: (
@@ -226,7 +226,7 @@
             "names": list(d.table.names)[-MOST_TOLD:],
             "servers": servers,
             "clock": d.reader.unix_to_clock_ms,
-            "learned": checkpoint.kept(d.engine.policy),
+            "learned": checkpoint.save_checkpoint(d.engine.policy),
         }
 
     def _take_over(self, what: Message) -> None:
@@ -243,20 +243,20 @@
             if not d.table.known:  # else it comes late, and what is known is newer
                 # Before the list: what a cold server may be sent is drawn when it is listed, from how many
                 # slots its kind has and how long jobs run. After it: what is known of each server.
-                checkpoint.take(d.engine.policy, what["learned"])
+                checkpoint.restore_checkpoint(d.engine.policy, what["learned"])
                 d.table.update(ListKind.CACHED, [server_of(raw) for raw in what["servers"]])
-                checkpoint.take(d.engine.policy, what["learned"])
+                checkpoint.restore_checkpoint(d.engine.policy, what["learned"])
         except (KeyError, ValueError, TypeError, AttributeError) as error:
             log.warning("welcome_refused", extra={"kv": {"why": repr(error)}})
         log.info("upgrade_welcomed", extra={"kv": {"servers": len(d.table.servers), "bans": len(bans)}})
 
     def _count(self, what: Message | None) -> None:
         if what is None:
-            self.elsewhere.over(self.dispatcher.clock.now_ms())
+            self.inherited_attempts.end_all(self.dispatcher.clock.now_ms())
         elif what["is"] == "ended":
-            self.elsewhere.ended(str(what["key"]), self.dispatcher.clock.now_ms())
+            self.inherited_attempts.end(str(what["key"]), self.dispatcher.clock.now_ms())
         else:
-            self.elsewhere.sent(
+            self.inherited_attempts.add(
                 str(what["key"]),
                 str(what["worker"]),
                 float(what["slots"]),
--- a/grebestack/routing/engine.py
+++ b/grebestack/routing/engine.py
@@ -292,7 +292,9 @@
     def tally(self) -> tuple[Counter[str], dict[str, int]]:
         """Dispatches by server since this was last asked, and those that are out, by server."""
         sent, self.sent = self.sent, Counter()
-        return sent, {name: view.jobs for name, view in self.policy.workers.items() if view.jobs}
+        return sent, {
+            n: worker.attempt_count for n, worker in self.policy.workers.items() if worker.attempt_count
+        }
 
     # Answers.
 
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -7,7 +7,7 @@
 from typing import Any
 from unittest.mock import MagicMock
 
-from grebestack.core import checkpoint as learned
+from grebestack.core import checkpoint
 from grebestack.core.api import ListKind, RequestArrived, WorkerEntry, WorkersListed
 from grebestack.core.policy import Policy
 from grebestack.hot_restart import framing, state_machine
@@ -42,28 +42,30 @@
     policy = Policy(BASE, 1)
     policy.handle(1.0, WorkersListed(ListKind.FULL, (WorkerEntry("runner-1"),)))
     view = policy.workers["runner-1"]
-    view.ceiling, view.pace, view.strikes, view.full_until, view.raise_after = 1.5, 2.5, 3, 4.5, 5.5
-    view.warm_at, view.good_ms, view.broke_ms, view.breaks = 6.5, 7.5, 8.5, 9
-    view.seen_free, view.seen_memory, view.told_ms = 10.5, 11.5, 12.5
-    view.others, view.others_memory, view.ours, view.luck = 13.5, 14.5, 15.5, 16.5
-    policy.learned.run_ms[:] = [101.0, 102.0, 103.0]
-    policy.learned.slots[:] = [1.25, 2.25, 3.25]
-    policy.learned.kind_slots, policy.learned.kind_weight = {0: 8.0, 4: 9.0}, {0: 18.0, 5: 19.0}
-    policy.learned.others, policy.learned.worth = (20.5, 21.5), 22.5
+    view.concurrency_limit, view.slowness, view.consecutive_overloads = 1.5, 2.5, 3
+    view.backoff_until_ms, view.raise_limit_after_ms = 4.5, 5.5
+    view.warm_at_ms, view.last_success_ms = 6.5, 7.5
+    view.first_connection_error_ms, view.consecutive_connection_errors = 8.5, 9
+    view.max_free_slots, view.max_free_memory, view.load_known_ms = 10.5, 11.5, 12.5
+    view.others_slots, view.others_memory, view.own_slots, view.rounding = 13.5, 14.5, 15.5, 16.5
+    policy.estimates.run_ms[:] = [101.0, 102.0, 103.0]
+    policy.estimates.slots[:] = [1.25, 2.25, 3.25]
+    policy.estimates.kind_slots, policy.estimates.kind_weight = {0: 8.0, 4: 9.0}, {0: 18.0, 5: 19.0}
+    policy.estimates.others_load, policy.estimates.request_value = (20.5, 21.5), 22.5
     return policy
 
 
 def keepsake() -> dict[str, Any]:
     """What is kept of what the policy has learned."""
-    return learned.kept(taught_policy())
+    return checkpoint.save_checkpoint(taught_policy())
 
 
 def keepsake_taken(raw: dict[str, Any]) -> dict[str, Any]:
     """What a new policy keeps after it has taken this."""
     policy = Policy(BASE, 2)
     policy.handle(1.0, WorkersListed(ListKind.FULL, (WorkerEntry("runner-1"),)))
-    learned.take(policy, raw)
-    return learned.kept(policy)
+    checkpoint.restore_checkpoint(policy, raw)
+    return checkpoint.save_checkpoint(policy)
 
 
 def pact_messages() -> list[dict[str, Any]]:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from grebestack.core import api as core
-from grebestack.core.checkpoint import Elsewhere, kept, take
+from grebestack.core.checkpoint import InheritedAttempts, restore_checkpoint, save_checkpoint
 from grebestack.core.policy import Policy
 from grebestack.hot_restart import framing, state_machine
 from tests.policy_driver import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT, settings
@@ -190,33 +190,33 @@
     )
     for policy in old, new:
         policy.handle(1.0, listed)
-    old.learned.run_ms[2], old.workers["w"].pace, old.learned.kind_slots[0] = 321.0, 2.0, 8.0
-    told = json.loads(json.dumps(kept(old)))
+    old.estimates.run_ms[2], old.workers["w"].slowness, old.estimates.kind_slots[0] = 321.0, 2.0, 8.0
+    told = json.loads(json.dumps(save_checkpoint(old)))
     torn = json.loads(json.dumps(told))
     torn["others"] = [1.0, float("nan")]
     with pytest.raises(ValueError):
-        take(new, torn)
-    assert new.workers["w"].pace == 1.0
-    take(new, told)
-    assert new.workers["w"].pace == 2.0 and new.learned.kind_slots == {0: 8.0}
-    assert new.learned.run_ms[0] == 321.0  # by the class's name, not by its place
+        restore_checkpoint(new, torn)
+    assert new.workers["w"].slowness == 1.0
+    restore_checkpoint(new, told)
+    assert new.workers["w"].slowness == 2.0 and new.estimates.kind_slots == {0: 8.0}
+    assert new.estimates.run_ms[0] == 321.0  # by the class's name, not by its place
 
 
 def test_the_elders_jobs_count_as_ones_own_until_they_end() -> None:
     policy = Policy(settings(report_fields=frozenset({"free_slots"}), weights_follow_load=True), 1)
     policy.handle(1.0, core.WorkersListed(core.ListKind.FULL, (core.WorkerEntry("w", weight=8.0),)))
-    policy.learned.kind_slots[0] = 8.0
-    elsewhere = Elsewhere(policy)
+    policy.estimates.kind_slots[0] = 8.0
+    inherited = InheritedAttempts(policy)
     for n in range(6):
-        elsewhere.sent(f"{n}", "w", 1.0, 0.0, 100.0, "order")
-    elsewhere.sent("0", "w", 1.0, 0.0, 100.0, "order")
-    elsewhere.sent("x", "gone", 1.0, 0.0, 100.0, "order")
+        inherited.add(f"{n}", "w", 1.0, 0.0, 100.0, "order")
+    inherited.add("0", "w", 1.0, 0.0, 100.0, "order")
+    inherited.add("x", "gone", 1.0, 0.0, 100.0, "order")
     policy.handle(2000.0, core.WorkersListed(core.ListKind.CHANGES, (core.WorkerEntry("w", weight=4.5),)))
     view = policy.workers["w"]
-    assert (view.jobs, view.used) == (6, 6.0) and view.others < 1.0
-    elsewhere.ended("0", 2001.0)
-    elsewhere.over(2002.0)
-    assert (view.jobs, view.used) == (0, 0.0)
+    assert (view.attempt_count, view.used_slots) == (6, 6.0) and view.others_slots < 1.0
+    inherited.end("0", 2001.0)
+    inherited.end_all(2002.0)
+    assert (view.attempt_count, view.used_slots) == (0, 0.0)
 
 
 def handed_over(door: Any) -> bool:
--- a/tests/test_many_dispatchers.py
+++ b/tests/test_many_dispatchers.py
@@ -227,7 +227,7 @@
     reader, table = ListReader({"models": ["c8"]}), ServerTable()
     engine = Fleet(SimClock(), SETTINGS, 1, Machines(SimClock(), 1, 0, 8, lambda d, r: 1.0), 1, 1).engines[0]
     table.on_change = engine.table.on_change
-    engine.policy.learned.in_work(0, 8.0)
+    engine.policy.estimates.on_slots_seen(0, 8.0)
     odd = ("nan", "inf", "-inf", -4.0, None, 1e300)
     for n, (weight, boot) in enumerate((w, b) for w in (*odd, 7.5) for b in (*odd, 0)):
         raw = {"uid": f"s-{n}", "endpoint": "127.0.0.1:9", "state": "Ready", "model": "c8"}
@@ -239,7 +239,7 @@
     views = engine.policy.workers
     assert len(views) == 49 and all(view.entry.weight > 0 for view in views.values())
     assert len([r for r in caplog.records if r.message == "bad_list_value"]) == 2
-    assert all(view.warm_at <= engine.clock.now_ms() + SETTINGS.slow_start_ms for view in views.values())
+    assert all(view.warm_at_ms <= engine.clock.now_ms() + SETTINGS.slow_start_ms for view in views.values())
     for dispatcher_count in (None, -3, 0, float("nan"), float("inf")):
         options = {"services": [{"name": "a", "aimMs": 1, "hardLimitMs": 2, "effect": "free"}]}
         assert settings_of(options | {"siblings": dispatcher_count}).dispatcher_count == 1
--- a/tests/test_queue_order.py
+++ b/tests/test_queue_order.py
@@ -5,7 +5,8 @@
 import pytest
 
 from grebestack.core import api
-from grebestack.core.state import Learned, distance, stable_hash
+from grebestack.core.estimates import Estimates
+from grebestack.core.hashing import rendezvous_distance, stable_hash
 from tests.policy_driver import ORDER, VIEW, Dispatcher, entry, sends, settings
 
 
@@ -74,25 +75,25 @@
         request, _ = d.ask(VIEW, cost_ms=100.0)
         d.wait(100)
         d.end(request, "w0")
-    before = d.policy.workers["w0"].pace
+    before = d.policy.workers["w0"].slowness
     request, _ = d.ask(VIEW, cost_ms=2000.0)
     d.wait(2000)
     d.end(request, "w0")
-    assert d.policy.workers["w0"].pace == pytest.approx(before, abs=0.1)
+    assert d.policy.workers["w0"].slowness == pytest.approx(before, abs=0.1)
 
 
 def test_running_time_is_expected_by_the_hint_where_there_is_one() -> None:
-    learned = Learned(1.0, Dispatcher().policy.random)
-    learned.classes(settings().classes)
+    estimates = Estimates(1.0, Dispatcher().policy.context.random)
+    estimates.add_classes(settings().classes)
     for _ in range(400):
-        learned.ran(VIEW, 150.0, 100.0)
-    learned.ran(VIEW, 90_000.0, 100.0)  # one that hung says little
-    assert learned.expects(VIEW, 40.0) == pytest.approx(60.0, rel=0.1)
-    assert learned.expects(VIEW, None) == learned.run_ms[VIEW]
+        estimates.on_success(VIEW, 150.0, 100.0)
+    estimates.on_success(VIEW, 90_000.0, 100.0)  # one that hung says little
+    assert estimates.expected_run_ms(VIEW, 40.0) == pytest.approx(60.0, rel=0.1)
+    assert estimates.expected_run_ms(VIEW, None) == estimates.run_ms[VIEW]
 
 
 def home(key: int, spots: list[int]) -> int:
-    return min(spots, key=lambda spot: distance(key, spot))
+    return min(spots, key=lambda spot: rendezvous_distance(key, spot))
 
 
 def test_every_key_has_a_home_that_all_dispatchers_agree_on_and_that_stays() -> None:
@@ -100,7 +101,7 @@
     homes = [home(key, spots) for key in range(1000)]
     counts = [homes.count(spot) for spot in spots]
     assert min(counts) > 60 and max(counts) < 140
-    mean = sum(distance(key, spots[0]) for key in range(1000)) / 1000
+    mean = sum(rendezvous_distance(key, spots[0]) for key in range(1000)) / 1000
     assert mean == pytest.approx(1.0, abs=0.15)
     gone = [home(key, spots[1:]) for key in range(1000)]
     assert all(now == was for now, was in zip(gone, homes, strict=True) if was != spots[0])
@@ -111,8 +112,8 @@
     d.listed(entry("w0"))
     view = d.policy.workers["w0"]
     for key in (1, 2, 3, 1, 4):
-        view.keep(key, 3)
-    assert list(view.kept) == [3, 1, 4]
+        view.cache_key(key, 3)
+    assert list(view.cached_keys) == [3, 1, 4]
 
 
 def test_a_cheaper_class_goes_first_where_the_worker_keeps_what_it_needs() -> None:
@@ -134,10 +135,10 @@
     # Guards the CPU of a dispatcher in a large fleet with many held jobs.
     d, looked = Dispatcher(settings(hedging_enabled=False), workers=40), list[object]()
     for view in d.policy.workers.values():
-        view.keep(7, 4)
-    look = d.policy._drain_held
-    d.policy._drain_held = lambda freed=None: looked.append(freed) or look(freed)  # type: ignore[method-assign, func-returns-value]
-    d.policy._scan()
+        view.cache_key(7, 4)
+    look = d.policy._serve_queue
+    d.policy._serve_queue = lambda freed=None: looked.append(freed) or look(freed)  # type: ignore[method-assign, func-returns-value]
+    d.policy._scan_queue()
     assert len([view for view in looked if view]) == 6 and looked[-1] is None
 
 
@@ -149,14 +150,14 @@
         running, _ = d.ask(ORDER, key=key)
         held, _ = d.ask(ORDER, key=key)
         d.start(running, "w0")
-        assert d.policy.requests[held].held
-        d.policy.workers["w0"].used = 0.0
-        assert d.policy._select(d.policy.requests[held], d.policy.workers["w0"]) is not None
+        assert d.policy.requests[held].is_queued
+        d.policy.workers["w0"].used_slots = 0.0
+        assert d.policy.selector.select(d.policy.requests[held], d.policy.workers["w0"]) is not None
 
 
 def test_a_worker_that_has_restarted_keeps_nothing_of_before() -> None:
     d, running = full()
     d.end(running, "w0")
-    assert 7 in d.policy.workers["w0"].kept
+    assert 7 in d.policy.workers["w0"].cached_keys
     d.listed(entry("w0", started_ms=d.now))
-    assert not d.policy.workers["w0"].kept
+    assert not d.policy.workers["w0"].cached_keys
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -134,7 +134,7 @@
     d.listed(entry("other"))
     assert sends(d.ask(VIEW)[1]) == ["other"]
     assert d.end(request, "w0") == []
-    assert d.policy.workers["w0"].used == 0
+    assert d.policy.workers["w0"].used_slots == 0
 
 
 def test_the_list_is_asked_for_once_and_again_after_a_failure() -> None:
@@ -201,13 +201,13 @@
             overload_window_ms=1500.0,
         )
         d = Dispatcher(configured, workers=0, seed=1000 * seed + number)
-        d.policy.learned.kind_slots[0] = 8.0
+        d.policy.estimates.kind_slots[0] = 8.0
         started = d.now
         d.listed(entry("cold", started_ms=started))
         d.wait(rest_ms)
         if number % 10 < restarted:  # what it sent before is forgotten, and the start is told again
             again = Dispatcher(configured, workers=0, seed=2000 * seed + number)
-            again.now, again.policy.learned.kind_slots[0] = d.now, 8.0
+            again.now, again.policy.estimates.kind_slots[0] = d.now, 8.0
             again.listed(entry("cold", started_ms=started))
             d = again
         for _ in range(30):
@@ -237,9 +237,9 @@
     d = Dispatcher(
         settings(dispatcher_count=50, slow_start_initial_share=0.2, slow_start_ms=8000.0), workers=1
     )
-    d.policy.workers["w0"].ceiling = 9.0
+    d.policy.workers["w0"].concurrency_limit = 9.0
     d.listed(entry("w0", started_ms=d.now), kind=api.ListKind.CHANGES)
-    assert d.policy.workers["w0"].ceiling == 1.0
+    assert d.policy.workers["w0"].concurrency_limit == 1.0
     assert sends(d.ask(VIEW)[1]) == []
 
 
@@ -255,7 +255,7 @@
     attempts = len(sends(d.log))
     d.start(again, "w0", attempts - 1)
     d.end(again, "w0", attempt=attempts - 1)
-    assert d.policy.workers["w0"].warm_at > d.now
+    assert d.policy.workers["w0"].warm_at_ms > d.now
 
 
 def test_connections_that_break_under_a_worker_that_works_on_do_not_make_it_cold() -> None:
@@ -264,7 +264,7 @@
         settings(dispatcher_count=2, slow_start_initial_share=0.2, slow_start_ms=8000.0), workers=1
     )
     view = d.policy.workers["w0"]
-    view.ceiling = 4.0
+    view.concurrency_limit = 4.0
     first, second, third = (d.ask(VIEW)[0] for _ in range(3))
     for request in (first, second, third):
         d.start(request, "w0")
@@ -272,19 +272,19 @@
     d.end(first, "w0", api.Outcome.RESET)
     d.end(second, "w0", api.Outcome.RESET)
     d.end(third, "w0")  # it had it before the others broke
-    assert view.warm_at <= d.now and view.breaks == 0
+    assert view.warm_at_ms <= d.now and view.consecutive_connection_errors == 0
     again, _ = d.ask(VIEW)
     d.end(again, "w0", api.Outcome.RESET)
     d.wait(1500)
     d.start(again, "w0", 1)
     d.end(again, "w0", attempt=1)
-    assert view.warm_at <= d.now
+    assert view.warm_at_ms <= d.now
 
 
 def test_a_cold_workers_budget_counts_the_slots_that_reports_show() -> None:
     d = Dispatcher(settings(report_fields=frozenset({"free_slots"})), workers=1)
     d.feed(api.ProbeEnded("w0", api.Outcome.OK, 1.0, {"free_slots": 8.0}))
-    assert d.policy.learned.kind_slots[0] == 8.0
+    assert d.policy.estimates.kind_slots[0] == 8.0
 
 
 def test_a_hung_head_gets_no_more_than_single_trials() -> None:
@@ -292,7 +292,7 @@
     for _ in range(300):
         d.ask(VIEW)
         d.wait(10)
-    assert d.policy.workers["w0"].jobs <= 2
+    assert d.policy.workers["w0"].attempt_count <= 2
     assert len(sends(d.log)) < 30
 
 
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -7,8 +7,11 @@
 import pytest
 
 from grebestack.core import api
-from grebestack.core.policy import Policy, built_in_script
-from grebestack.core.state import KEEP_MS, Agenda, distance, stable_hash
+from grebestack.core.estimates import LOAD_MEMORY_MS
+from grebestack.core.hashing import rendezvous_distance, stable_hash
+from grebestack.core.policy import Policy
+from grebestack.core.script import built_in_script
+from grebestack.core.timers import TimerQueue
 from tests.policy_driver import BASE, ORDER, VIEW, Dispatcher, entry, sends, settings
 
 ALL_FAIL = {"default": api.Tag((api.Block(),), "fail")}
@@ -87,7 +90,7 @@
 
 def test_where_free_slots_are_reported_the_blocks_read_them() -> None:
     d = Dispatcher(settings(report_fields=frozenset({"free_slots"})))
-    blocks = [d.policy.blocks[n] for n in d.policy.paths[VIEW]]
+    blocks = [d.policy.selector.blocks[n] for n in d.policy.selector.paths[VIEW]]
     assert [b.invalidate for b in blocks[:2]] == ["capacity_used", "capacity_used"]
     assert {b.strategy for b in blocks[:2]} == {"best_first"}
 
@@ -98,11 +101,11 @@
     view = d.policy.workers["w0"]
     for free in (4.0, *[0.0] * 20):
         d.feed(api.ProbeEnded("w0", api.Outcome.OK, 1.0, {"free_slots": free}))
-    learned = d.policy.learned
-    learned.others = (1.0, 0.0)  # what they have elsewhere
-    assert view.others_now(d.now, learned)[0] == pytest.approx(4, abs=0.1)
-    assert view.others_now(d.now + KEEP_MS / 2, learned)[0] == pytest.approx(2.5, abs=0.1)
-    assert view.others_now(d.now + KEEP_MS, learned)[0] == 1.0
+    estimates = d.policy.estimates
+    estimates.others_load = (1.0, 0.0)  # what they have elsewhere
+    assert view.others_load(d.now, estimates)[0] == pytest.approx(4, abs=0.1)
+    assert view.others_load(d.now + LOAD_MEMORY_MS / 2, estimates)[0] == pytest.approx(2.5, abs=0.1)
+    assert view.others_load(d.now + LOAD_MEMORY_MS, estimates)[0] == 1.0
 
 
 def test_jobs_of_ours_that_ended_since_a_report_was_made_do_not_pass_for_the_others() -> None:
@@ -117,7 +120,7 @@
             d.end(request, "w0")
         # Made before the ends, and told after them.
         d.feed(api.ProbeEnded("w0", api.Outcome.OK, 1.0, {"free_slots": 2.0}))
-        assert view.others < 1.0
+        assert view.others_slots < 1.0
         d.wait(50)
 
 
@@ -148,7 +151,7 @@
         d.end(d.last, "w0")
         run(d)
     view = d.policy.workers["w0"]
-    assert 2.0 <= view.ceiling <= 8.0
+    assert 2.0 <= view.concurrency_limit <= 8.0
 
 
 def test_an_overdue_start_lowers_the_ceiling_and_moves_the_job() -> None:
@@ -158,7 +161,7 @@
     done = d.wait(100)
     assert api.Cancel(request, 0) in done
     assert sends(done) == [w for w in ("w0", "w1") if w != head]
-    assert d.policy.workers[head].ceiling == 0.0
+    assert d.policy.workers[head].concurrency_limit == 0.0
 
 
 def test_a_keys_jobs_go_to_the_same_home_from_all_dispatchers_and_to_the_next_where_they_wait() -> None:
@@ -172,7 +175,7 @@
         (second,) = sends(d.end(request, first, api.Outcome.CANCELLED))
         homes.add((first, second))
     ((first, second),) = homes
-    nearest = sorted((distance(77, stable_hash(f"w{n}")), f"w{n}") for n in range(40))
+    nearest = sorted((rendezvous_distance(77, stable_hash(f"w{n}")), f"w{n}") for n in range(40))
     assert [name for _, name in nearest[:2]] == [first, second]
 
 
@@ -180,10 +183,10 @@
     """Neither reports nor starts: one worker filled to a ceiling that grows piled jobs up in its queue."""
     d = Dispatcher(settings(reports_attempt_start=False), workers=6)
     for view in d.policy.workers.values():
-        view.ceiling = 8.0
+        view.concurrency_limit = 8.0
     for _ in range(12):
         d.ask(VIEW)
-    assert [view.jobs for view in d.policy.workers.values()] == [2] * 6
+    assert [view.attempt_count for view in d.policy.workers.values()] == [2] * 6
 
 
 @pytest.mark.parametrize("told", [True, False])
@@ -208,13 +211,13 @@
     request, actions = d.ask(VIEW)
     d.wait(200)
     (second,) = sends(d.end(request, sends(actions)[0], api.Outcome.CANCELLED))
-    assert d.policy.admitted == 1.0
+    assert d.policy.admission.admission_probability == 1.0
     d.start(request, second, 1)
     moved, actions = d.ask(VIEW)
     d.wait(200)
     d.end(moved, sends(actions)[0], api.Outcome.CANCELLED)
     d.wait(200)
-    assert d.policy.admitted < 1.0, "it waits wherever it goes"
+    assert d.policy.admission.admission_probability < 1.0, "it waits wherever it goes"
 
 
 def test_where_copies_are_forbidden_an_overdue_job_moves_once_its_worker_has_given_it_up() -> None:
@@ -297,17 +300,17 @@
 def test_queues_everywhere_do_not_stretch_the_patience_past_a_part_of_the_aim() -> None:
     d = Dispatcher(workers=1)
     view = d.policy.workers["w0"]
-    d.policy.learned.start_ms[True] = 10_000.0
+    d.policy.estimates.least_start_delay_ms[True] = 10_000.0
     request, _ = d.ask(VIEW)
     d.wait(BASE.classes[VIEW].latency_objective_ms / 2)
-    assert view.strikes == 1 and view.ceiling == 0.0
+    assert view.consecutive_overloads == 1 and view.concurrency_limit == 0.0
 
 
 def test_prompt_starts_are_learned_from_a_low_quantile() -> None:
     d = Dispatcher(workers=1)
     for n in range(3000):
-        d.policy.learned.start(True, 5.0 if n % 3 == 0 else 400.0)
-    assert d.policy.learned.start_ms[True] < 10.0
+        d.policy.estimates.on_start_delay(True, 5.0 if n % 3 == 0 else 400.0)
+    assert d.policy.estimates.least_start_delay_ms[True] < 10.0
 
 
 def reporting(workers: int = 2) -> Dispatcher:
@@ -360,7 +363,7 @@
         sent += sends(done)
         d.wait(1500 if sent[-1] == sent[0] else 250)
         d.end(request, sent[-1])
-    assert d.policy.workers[sent[0]].pace > 1.5 and sent[-20:].count(sent[0]) <= 1
+    assert d.policy.workers[sent[0]].slowness > 1.5 and sent[-20:].count(sent[0]) <= 1
     assert sum(sends(d.ask(VIEW)[1]) == sent[:1] for _ in range(8)) <= 1
 
 
@@ -369,9 +372,9 @@
     d = reporting(3)
     for _ in range(4):
         assert sends(d.ask(ORDER)[1])
-    hung = next(view for view in d.policy.workers.values() if view.jobs == 4)
+    hung = next(view for view in d.policy.workers.values() if view.attempt_count == 4)
     d.wait(3000)
-    assert hung.pace > 2.5
+    assert hung.slowness > 2.5
     assert hung.entry.worker not in sends(d.ask(ORDER)[1])
 
 
@@ -419,23 +422,23 @@
     d = with_slots(8.0)
     for _ in range(30):
         d.ask(VIEW)
-    waiting = 8 * BASE.classes[VIEW].latency_objective_ms / 2 // d.policy.learned.run_ms[VIEW]
-    assert d.policy.workers["w0"].jobs == 8 + waiting > 8
+    waiting = 8 * BASE.classes[VIEW].latency_objective_ms / 2 // d.policy.estimates.run_ms[VIEW]
+    assert d.policy.workers["w0"].attempt_count == 8 + waiting > 8
 
 
 def test_an_older_timer_does_what_is_due_when_it_overtakes_a_newer_one() -> None:
     # Guards against a deadline that passes after a long turn of the loop, in which timers came out of order.
-    agenda, done = Agenda(), list[str]()
-    agenda.add(100.0, lambda: done.append("later"))
-    assert agenda.timer_needed() == 100.0
-    older = agenda.token
-    agenda.add(90.0, lambda: done.append("sooner"))
-    assert agenda.timer_needed() == 90.0
-    agenda.run(110.0, older)
-    assert done == ["sooner", "later"] and agenda.timer_needed() is None
-    agenda.run(110.0, agenda.token)
-    agenda.add(120.0, lambda: done.append("next"))
-    assert done == ["sooner", "later"] and agenda.timer_needed() == 120.0
+    timers, done = TimerQueue(), list[str]()
+    timers.add(100.0, lambda: done.append("later"))
+    assert timers.next_timer_ms() == 100.0
+    older = timers.token
+    timers.add(90.0, lambda: done.append("sooner"))
+    assert timers.next_timer_ms() == 90.0
+    timers.run_due(110.0, older)
+    assert done == ["sooner", "later"] and timers.next_timer_ms() is None
+    timers.run_due(110.0, timers.token)
+    timers.add(120.0, lambda: done.append("next"))
+    assert done == ["sooner", "later"] and timers.next_timer_ms() == 120.0
 
 
 def test_an_order_goes_where_a_job_ended_well_lately_and_a_view_tries_the_others() -> None:
@@ -448,10 +451,10 @@
     assert sends(d.ask(ORDER)[1]) == [first]
     d.end(d.last, first)
     d.wait(2000)
-    d.policy.workers[other].good_ms = d.now
+    d.policy.workers[other].last_success_ms = d.now
     assert sends(d.ask(ORDER)[1]) == [other]
     assert sends(d.ask(VIEW)[1]) == [first]
-    d.policy.workers[other].good_ms = 0.0
+    d.policy.workers[other].last_success_ms = 0.0
     assert sends(d.ask(ORDER)[1]) == [first]
 
 
@@ -462,10 +465,10 @@
         number, actions = d.ask(ORDER)
         if sends(actions):
             d.end(number, "w0", api.Outcome.RESET)
-    assert d.policy.workers["w0"].strikes and not sends(d.ask(ORDER)[1])
+    assert d.policy.workers["w0"].consecutive_overloads and not sends(d.ask(ORDER)[1])
     d.listed(entry("w0", state=api.WorkerState.DRAINING), kind=api.ListKind.CHANGES)
     d.listed(entry("w0"), kind=api.ListKind.CHANGES)
-    assert sends(d.ask(ORDER)[1]) == ["w0"] or d.policy.workers["w0"].jobs == 1
+    assert sends(d.ask(ORDER)[1]) == ["w0"] or d.policy.workers["w0"].attempt_count == 1
 
 
 def test_a_worker_that_operators_put_back_is_used_soon_though_it_is_cold() -> None:
@@ -473,7 +476,7 @@
     d = Dispatcher(
         settings(slow_start_initial_share=0.1, slow_start_ms=24_000, overload_factor=3.0), workers=3
     )
-    d.policy.learned.kind_slots[0] = 8.0
+    d.policy.estimates.kind_slots[0] = 8.0
     for name in ("w0", "w1", "w2"):  # wherever it stands on the ring
         d.listed(entry(name, state=api.WorkerState.DRAINING), kind=api.ListKind.CHANGES)
         d.wait(2100)
@@ -497,6 +500,6 @@
     d.ask(ORDER, tenant=1)
     for tenant in (0, 0, 2, 1):
         d.ask(VIEW, tenant=tenant)
-    held = d.policy.held
-    over = {level[1]: [r.asked.tenant for r in held.heads(level, 9)] for level in held.levels}
+    queue = d.policy.queue
+    over = {key.is_over_quota: [r.arrival.tenant for r in queue.heads(key, 9)] for key in queue.keys}
     assert over == {False: [0, 1], True: [0, 2]}
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -123,7 +123,7 @@
 
 def test_what_is_learned_of_a_class_passes_on_and_of_workers_stays() -> None:
     policy = Policy(settings(), 1)
-    policy.learned.run_ms[1] = 77.0
+    policy.estimates.run_ms[1] = 77.0
     policy.handle(1.0, api.WorkersListed(api.ListKind.FULL, (api.WorkerEntry("w"),)))
     view = policy.workers["w"]
     strict = api.JobClass("book", 1000, 15000, api.Effect.NOT_IDEMPOTENT)
@@ -134,8 +134,8 @@
             settings(classes=(IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT, strict, added))
         ),
     )
-    assert policy.learned.run_ms[3:] == [77.0, 50.0] and policy.workers["w"] is view
-    policy.handle(2000.0, api.TimerFired(policy.agenda.token))  # the queue's order is renewed
+    assert policy.estimates.run_ms[3:] == [77.0, 50.0] and policy.workers["w"] is view
+    policy.handle(2000.0, api.TimerFired(policy.timers.token))  # the queue's order is renewed
     policy.handle(2001.0, api.RequestArrived(1, 4, 2100.0))
 
 
