--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -110,90 +110,95 @@
 
 
 @dataclass
-class Judge:
+class RuleChecker:
     """An independent reading of rules 1 to 3 over the events and actions of one dispatcher."""
 
     settings: api.Settings
-    broken: list[str] = field(default_factory=list)
-    asked: dict[int, api.RequestArrived] = field(default_factory=dict)
-    came: dict[int, float] = field(default_factory=dict)
-    ended: set[int] = field(default_factory=set)
+    violations: list[str] = field(default_factory=list)
+    arrivals: dict[int, api.RequestArrived] = field(default_factory=dict)
+    arrived_ms: dict[int, float] = field(default_factory=dict)
+    answered: set[int] = field(default_factory=set)
     sent: dict[int, list[tuple[float, str, api.Outcome | None]]] = field(default_factory=dict)
     places: dict[str, tuple[int, int]] = field(default_factory=dict)
-    told: dict[str, float] = field(default_factory=dict)
+    unavailable_since: dict[str, float] = field(default_factory=dict)
 
     def event(self, now: float, event: api.Event) -> None:
-        """Note what the dispatcher was told."""
+        """Note an event that the dispatcher handles."""
         if isinstance(event, api.RequestArrived):
-            self.asked[event.request] = event
-            self.came[event.request] = now
+            self.arrivals[event.request] = event
+            self.arrived_ms[event.request] = now
             self.sent[event.request] = []
         elif isinstance(event, api.AttemptEnded):
             at, worker, _ = self.sent[event.request][event.attempt]
             self.sent[event.request][event.attempt] = (at, worker, event.outcome)
             if event.closed:
-                self.ended.add(event.request)
+                self.answered.add(event.request)
         elif isinstance(event, api.RequestDropped):
-            self.ended.add(event.request)
+            self.answered.add(event.request)
         elif isinstance(event, api.WorkersListed) and event.kind is not api.ListKind.FAILED:
             named = {item.worker for item in event.workers}
             if event.kind is not api.ListKind.CHANGES:
                 for worker in set(self.places) - named:
-                    self.told.setdefault(worker, now)
+                    self.unavailable_since.setdefault(worker, now)
             for item in event.workers:
                 self.places[item.worker] = (item.zone, item.cell)
                 if item.state is api.WorkerState.READY:
-                    self.told.pop(item.worker, None)
+                    self.unavailable_since.pop(item.worker, None)
                 else:
-                    self.told.setdefault(item.worker, now)
+                    self.unavailable_since.setdefault(item.worker, now)
 
     def action(self, now: float, action: api.Action) -> None:
-        """Judge what the dispatcher did."""
+        """Check an action of the dispatcher."""
         if isinstance(action, api.Send):
             self._send(now, action)
         elif isinstance(action, api.Reject | api.Fail):
-            request = self.asked[action.request]
-            if action.request in self.ended:
-                self.broken.append(f"two answers to {action.request}")
-            if now > max(request.deadline_ms + self.settings.answer_grace_ms, self.came[action.request]):
-                self.broken.append(f"late answer to {action.request}")
-            if isinstance(action, api.Reject) and not self._harmless(action.request):
-                self.broken.append(f"refused {action.request}, which may have run")
-            self.ended.add(action.request)
-
-    def _ran(self, request: int) -> list[tuple[float, str, api.Outcome | None]]:
+            request = self.arrivals[action.request]
+            if action.request in self.answered:
+                self.violations.append(f"two answers to {action.request}")
+            if now > max(
+                request.deadline_ms + self.settings.answer_grace_ms, self.arrived_ms[action.request]
+            ):
+                self.violations.append(f"late answer to {action.request}")
+            if isinstance(action, api.Reject) and not self._may_reject(action.request):
+                self.violations.append(f"refused {action.request}, which may have run")
+            self.answered.add(action.request)
+
+    def _possibly_executed(self, request: int) -> list[tuple[float, str, api.Outcome | None]]:
         proof = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
         return [attempt for attempt in self.sent[request] if attempt[2] not in proof]
 
-    def _harmless(self, request: int) -> bool:
-        job_class = self.settings.classes[self.asked[request].job_class]
+    def _may_reject(self, request: int) -> bool:
+        job_class = self.settings.classes[self.arrivals[request].job_class]
         if job_class.effect is api.Effect.IDEMPOTENT:
             return True
         if job_class.effect is api.Effect.IDEMPOTENT_WITH_KEY and job_class.group is api.Group.ALL:
             return True
-        return not self._ran(request)
+        return not self._possibly_executed(request)
 
     def _send(self, now: float, action: api.Send) -> None:
-        job_class = self.settings.classes[self.asked[action.request].job_class]
-        if action.request in self.ended:
-            self.broken.append(f"sent {action.request} after its end")
-        if action.worker in self.told and now > self.told[action.worker] + self.settings.drain_grace_ms:
-            self.broken.append(f"sent {action.request} to drained {action.worker}")
-        ran = self._ran(action.request)
-        if ran and job_class.effect is api.Effect.NOT_IDEMPOTENT:
-            self.broken.append(f"sent unsafe {action.request} twice")
-        if ran and job_class.effect is api.Effect.IDEMPOTENT_WITH_KEY:
+        job_class = self.settings.classes[self.arrivals[action.request].job_class]
+        if action.request in self.answered:
+            self.violations.append(f"sent {action.request} after its end")
+        if (
+            action.worker in self.unavailable_since
+            and now > self.unavailable_since[action.worker] + self.settings.drain_grace_ms
+        ):
+            self.violations.append(f"sent {action.request} to drained {action.worker}")
+        executed = self._possibly_executed(action.request)
+        if executed and job_class.effect is api.Effect.NOT_IDEMPOTENT:
+            self.violations.append(f"sent unsafe {action.request} twice")
+        if executed and job_class.effect is api.Effect.IDEMPOTENT_WITH_KEY:
             part = {api.Group.ALL: 0, api.Group.ZONE: 1, api.Group.CELL: 2}[job_class.group]
-            if any(self.places[w][:part] != self.places[action.worker][:part] for _, w, _ in ran):
-                self.broken.append(f"sent keyed {action.request} outside its group")
-            if now > ran[0][0] + job_class.retry_window_ms:
-                self.broken.append(f"sent keyed {action.request} after its window")
+            if any(self.places[w][:part] != self.places[action.worker][:part] for _, w, _ in executed):
+                self.violations.append(f"sent keyed {action.request} outside its group")
+            if now > executed[0][0] + job_class.retry_window_ms:
+                self.violations.append(f"sent keyed {action.request} after its window")
         if not self.settings.hedging_enabled and any(a[2] is None for a in self.sent[action.request]):
-            self.broken.append(f"a second copy of {action.request}")
+            self.violations.append(f"a second copy of {action.request}")
         self.sent[action.request].append((now, action.worker, None))
 
     def finish(self, now: float) -> None:
         """At the end nothing may be unanswered past its deadline."""
-        for number, request in self.asked.items():
-            if number not in self.ended and now > request.deadline_ms + self.settings.answer_grace_ms:
-                self.broken.append(f"lost {number}")
+        for number, request in self.arrivals.items():
+            if number not in self.answered and now > request.deadline_ms + self.settings.answer_grace_ms:
+                self.violations.append(f"lost {number}")
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -8,7 +8,7 @@
 
 from grebestack.core import api
 from grebestack.core.policy import Policy
-from tests.policy_driver import BASE, BOOK, ORDER, VIEW, Judge, entry, settings
+from tests.policy_driver import BASE, BOOK, ORDER, VIEW, RuleChecker, entry, settings
 
 STEPS = st.lists(st.tuples(st.integers(0, 11), st.integers(0, 10**6), st.integers(0, 10**6)), max_size=150)
 OUTCOMES = list(api.Outcome)
@@ -19,7 +19,7 @@
     """Turns numbers into legal events, as the settings allow, and has every step judged."""
 
     def __init__(self, configured: api.Settings, workers: int) -> None:
-        self.policy, self.judge = Policy(configured, 3), Judge(configured)
+        self.policy, self.checker = Policy(configured, 3), RuleChecker(configured)
         self.now, self.last = 0.0, 0
         self.timers: list[tuple[float, int]] = []
         self.open: list[tuple[int, int, str]] = []
@@ -32,20 +32,20 @@
         return entry(name, zone=zone, cell=cell, state=STATES[pick % 3], started_ms=started)
 
     def feed(self, event: api.Event) -> None:
-        self.judge.event(self.now, event)
+        self.checker.event(self.now, event)
         for action in self.policy.handle(self.now, event):
             if isinstance(action, api.SetTimer):
                 self.timers.append((action.at_ms, action.token))
                 continue
             if isinstance(action, api.Send):
-                number = len(self.judge.sent[action.request])
+                number = len(self.checker.sent[action.request])
                 self.open.append((action.request, number, action.worker))
-            self.judge.action(self.now, action)
+            self.checker.action(self.now, action)
 
     def finish(self, at: tuple[int, int, str], outcome: api.Outcome) -> None:
         self.open.remove(at)
         request, attempt, worker = at
-        closed = outcome is api.Outcome.OK or request in self.judge.ended
+        closed = outcome is api.Outcome.OK or request in self.checker.answered
         self.feed(api.AttemptEnded(request, attempt, worker, outcome, 1.0, closed))
 
     def step(self, what: int, a: int, b: int) -> None:
@@ -57,13 +57,13 @@
                 self.feed(api.RequestArrived(self.last, a % 3, deadline, slots=1 + b % 4, memory=b % 3))
         elif what <= 6 and self.open:
             at = self.open[a % len(self.open)]
-            if what == 4 and at[0] not in self.judge.ended:
+            if what == 4 and at[0] not in self.checker.answered:
                 self.feed(api.AttemptStarted(*at))
             else:
                 self.finish(at, OUTCOMES[b % len(OUTCOMES)])
         elif what == 7 and self.last:
             request = 1 + a % self.last
-            if request not in self.judge.ended:
+            if request not in self.checker.answered:
                 self.feed(api.RequestDropped(request))
         elif what == 8 and names:
             kind = [api.ListKind.FULL, api.ListKind.CHANGES, api.ListKind.CHANGES, api.ListKind.FAILED][a % 4]
@@ -123,20 +123,20 @@
     world.wait(7000)
     for at in list(world.open):
         world.finish(at, api.Outcome.TIMEOUT)
-    world.judge.finish(world.now)
-    assert world.judge.broken == []
+    world.checker.finish(world.now)
+    assert world.checker.violations == []
     assert world.policy.requests == {}, "ledgers are let go"
 
 
 def judged(*steps: tuple[float, object]) -> list[str]:
-    judge = Judge(BASE)
+    checker = RuleChecker(BASE)
     for now, step in steps:
         if isinstance(step, api.Send | api.Reject | api.Fail):
-            judge.action(now, step)
+            checker.action(now, step)
         else:
-            judge.event(now, step)  # type: ignore[arg-type]
-    judge.finish(10**6)
-    return judge.broken
+            checker.event(now, step)  # type: ignore[arg-type]
+    checker.finish(10**6)
+    return checker.violations
 
 
 LIST = api.WorkersListed(api.ListKind.FULL, (entry("a"), entry("b", zone=1)))
