--- a/benchmarks/scaling/hollow.py
+++ b/benchmarks/scaling/hollow.py
@@ -24,7 +24,8 @@
 
 from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
 from grebestack.program import log
-from grebestack.program.config import Config, from_file
+from grebestack.program.config.model import Config
+from grebestack.program.config.operator_file import from_file
 from grebestack.program.config_updates import Laying
 from grebestack.protocol.settings import unmoved
 from scaling.marks import whole
--- a/benchmarks/scaling/taking.py
+++ b/benchmarks/scaling/taking.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from grebestack.program.config import from_file
+from grebestack.program.config.operator_file import from_file
 from grebestack.program.config_updates import Laying
 from scaling.fits import fit
 from scaling.hollow import HollowHost
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -54,7 +54,8 @@
 from grebestack.core.api import ListKind
 from grebestack.jobs.records import Job, JobState
 from grebestack.jobs.store import JobStore
-from grebestack.program.config import check, from_file
+from grebestack.program.config.operator_file import from_file
+from grebestack.program.config.platform import check_reload
 from grebestack.program.shared_discovery import SharedSource
 from grebestack.protocol.lists import ListReader, Objects
 from grebestack.protocol.platform import PlatformFront
@@ -608,7 +609,7 @@
             path.write_text(contents(size, size, 601.0 + n % 2))
             began = time.thread_time()
             config = from_file(str(path))
-            check(config, former)
+            check_reload(config, former)
             parsed = time.thread_time()
             settings = merged(engine.settings, config.settings)
             engine.resettle(settings)
--- a/grebestack/program/appliance.py
+++ b/grebestack/program/appliance.py
@@ -18,7 +18,8 @@
 from grebestack.jobs.service import JobService
 from grebestack.jobs.store import JobStore, StoreError
 from grebestack.membership.interface import Drained, MembershipSettings
-from grebestack.program.config import Config, ConsulConfig, DrmaaConfig, MembershipConfig, StartError
+from grebestack.program.config.errors import StartError
+from grebestack.program.config.model import Config, ConsulConfig, DrmaaConfig, WorkerMembershipConfig
 from grebestack.protocol.membership_adapter import Roster
 from grebestack.protocol.runners import Runners
 from grebestack.routing.engine import Engine
@@ -29,7 +30,7 @@
 FORGET_MS = 3_600_000.0
 
 
-def roster(config: MembershipConfig, engine: Engine) -> Roster:
+def roster(config: WorkerMembershipConfig, engine: Engine) -> Roster:
     """What is believed of the servers, between their sources and the server table."""
     settings = MembershipSettings(
         flaps=config.flaps,
@@ -94,18 +95,20 @@
     """Open the store and take up its jobs, before any call-back can come. StartError: it can't be used."""
     jobs, classes = drmaa.jobs, config.settings.classes
     try:
-        store = JobStore(drmaa.store)
-        _forget(store, drmaa.keep_days, engine.clock)
+        store = JobStore(drmaa.store_path)
+        _forget(store, drmaa.retention_days, engine.clock)
         if roster is not None:
             for server in store.drains():
                 roster.feed(Drained(server, True))
-        templates = Templates(config.settings, jobs.queued)
+        templates = Templates(config.settings, jobs.queued_classes)
         limits = JobLimits(
-            wanted=tuple(jobs.wanted_by_class.get(c.name, jobs.wanted_s) for c in classes),
-            most_open=drmaa.most_open,
-            most_waiting=jobs.most_waiting,
-            most_conditions=jobs.most_conditions,
-            ahead=jobs.ahead,
+            wanted=tuple(
+                jobs.latency_objective_s_by_class.get(c.name, jobs.latency_objective_s) for c in classes
+            ),
+            most_open=drmaa.max_open_jobs,
+            most_waiting=jobs.max_queued,
+            most_conditions=jobs.max_conditions,
+            ahead=jobs.lookahead,
             ripe=jobs.ripe,
         )
         service = JobService(engine, runners, config.settings, store, templates, limits)
--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -22,7 +22,8 @@
 from grebestack.cluster_io.log_store import Files, FolderTakenError, take
 from grebestack.consensus.log_format import frame
 from grebestack.core.api import ListKind, WorkerEntry
-from grebestack.program.config import AuditConfig, StartError
+from grebestack.program.config.errors import StartError
+from grebestack.program.config.model import AuditConfig
 from grebestack.routing.requests import Session
 
 if TYPE_CHECKING:
@@ -113,12 +114,12 @@
         first = int(names[-1][len(PREFIX) : -len(SUFFIX)]) + 1 if names else 1
         options = dispatcher.config.options
         self.stamps = Stamps(Stamp(program_version(), digest(options), self._source(), 1))
-        limits = Limits(full_rate=config.full_rate, off_ms=config.clock_off_ms)
+        limits = Limits(full_rate=config.max_full_rate, off_ms=config.max_clock_error_ms)
         self.recorder = Recorder(dispatcher.config.name, os.urandom(6).hex(), self.stamps, limits, first)
         who = self.recorder.name.encode("ascii", "replace")
         self.header = b"X-Act-Stamp: %s %s " % (who, self.recorder.life.encode())
         self.recorder.turned(self._now())
-        keep = config.keep_mb * 1024 * 1024
+        keep = config.max_size_mb * 1024 * 1024
         self.writer = Writer(config.folder, keep, FILES(), self._told)
         self.writer.thread.start()
         self.again_s, self.changes, self.waits = AGAIN_S, 0, False
@@ -135,7 +136,7 @@
 
     def _source(self) -> str:
         config = self.dispatcher.config
-        source = config.servers.source
+        source = config.worker_source.kind
         return f"{source} {':'.join(map(str, config.discovery))}" if source == "discovery" else source
 
     def _turn(self, **changes: str | int) -> None:
--- a/grebestack/program/bootstrap_command.py
+++ b/grebestack/program/bootstrap_command.py
@@ -4,7 +4,8 @@
 
 import argparse
 
-from grebestack.program.config import ConfigError, from_file
+from grebestack.program.config.errors import ConfigError
+from grebestack.program.config.operator_file import from_file
 
 
 def main(arguments: list[str]) -> int:
--- a/grebestack/program/cluster_member.py
+++ b/grebestack/program/cluster_member.py
@@ -20,7 +20,8 @@
 from grebestack.consensus.messages import Began, Born, Record, Roll, encode
 from grebestack.program import rolling_restart, shared_discovery
 from grebestack.program.cluster_task import Attendance
-from grebestack.program.config import Config, ConfigError, FleetConfig, StartError, TalliesConfig
+from grebestack.program.config.errors import ConfigError, StartError
+from grebestack.program.config.model import ClusterConfig, Config, MetricsExportConfig
 from grebestack.routing.interfaces import Clock, Listing
 from grebestack.transport.client import Pools, Response
 
@@ -93,14 +94,14 @@
         self,
         node: Node,
         task: str,
-        config: TalliesConfig,
+        config: MetricsExportConfig,
         pools: Pools,
         clock: Clock,
         counts: Callable[[], Mapping[str, int]],
     ) -> None:
         self.node, self.config, self.pools, self.clock, self.counts = node, config, pools, clock, counts
         s = node.settings
-        self.tallies = Tallies(s.fleet, task, s.name, config.every_s * 1000.0)
+        self.tallies = Tallies(s.fleet, task, s.name, config.interval_s * 1000.0)
         self.post: Post | None = None
         self.failed = ""
         self.attendance = Attendance(node, clock, task, word, self._heard, self._look)
@@ -152,20 +153,24 @@
 class Fleet:
     """What a dispatcher has where its file has a [fleet]."""
 
-    def __init__(self, dispatcher: Dispatcher, config: FleetConfig) -> None:
+    def __init__(self, dispatcher: Dispatcher, config: ClusterConfig) -> None:
         self.dispatcher, self.config = dispatcher, config
-        terms = Terms(config.term_s * 1000.0, config.drift, config.guard_ms)
-        exports = EXPORTS if config.tallies is not None else ()
-        tasks = (*exports, rolling_restart.TASK, *((shared_discovery.TASK,) if config.share_servers else ()))
+        terms = Terms(config.lease_term_s * 1000.0, config.max_clock_drift, config.lease_guard_ms)
+        exports = EXPORTS if config.metrics_export is not None else ()
+        tasks = (
+            *exports,
+            rolling_restart.TASK,
+            *((shared_discovery.TASK,) if config.share_worker_source else ()),
+        )
         settings = NodeSettings(
-            dispatcher.config.name, config.name, config.listen, config.members, config.folder, tasks, terms
+            dispatcher.config.name, config.name, config.listen, config.peers, config.folder, tasks, terms
         )
         try:
             self.node = Node(dispatcher.loop, settings, FILES(), CLOCK)
         except FolderTakenError as error:
             raise StartError(str(error)) from error
         self.tasks, self.exports = tasks, exports
-        pace = Pace(config.return_s * 1000.0, config.pause_s * 1000.0)
+        pace = Pace(config.restart_timeout_s * 1000.0, config.restart_pause_s * 1000.0)
         self.paced = rolling_restart.Paced(dispatcher, self.node, pace)
 
     async def start(self) -> None:
@@ -175,11 +180,13 @@
         self.node.listen(server)
         log.info("fleet_listening", extra={"kv": {"address": ":".join(map(str, self.config.listen))}})
         self.paced.attendance.begin()
-        if self.config.tallies is not None:
+        if self.config.metrics_export is not None:
             engine = self.dispatcher.engine
             pools = Pools(loop, 4, 1.0, 30.0)
             for task in self.exports:
-                Exporter(self.node, task, self.config.tallies, pools, engine.clock, lambda: engine.counts)
+                Exporter(
+                    self.node, task, self.config.metrics_export, pools, engine.clock, lambda: engine.counts
+                )
 
     def share(
         self, listings: Sequence[Listing], make: Callable[[Sequence[Listing]], shared_discovery.Source]
@@ -264,14 +271,14 @@
 
 def form(config: Config) -> str:
     """Write the first record of a member that founds a fleet; where it stands. ConfigError: it can't be."""
-    if config.fleet is None:
+    if config.cluster is None:
         raise ConfigError("the file has no [fleet]")
-    names = sorted({config.name, *config.fleet.members})
+    names = sorted({config.name, *config.cluster.peers})
     roll = Roll(1, tuple((name, FOUNDING) for name in names))
-    records: list[Record] = [Born(config.fleet.name, FOUNDING, roll), Began(0)]
+    records: list[Record] = [Born(config.cluster.name, FOUNDING, roll), Began(0)]
     try:
-        log_store.found(config.fleet.folder, [encode(record) for record in records])
+        log_store.found(config.cluster.folder, [encode(record) for record in records])
     except OSError as error:
         raise ConfigError(str(error)) from error
-    fleet = config.fleet
+    fleet = config.cluster
     return f"{config.name} founds the fleet {fleet.name} of {', '.join(names)} in {fleet.folder}"
--- /dev/null
+++ b/grebestack/program/config/files.py
@@ -0,0 +1,32 @@
+"""Reading configuration files, and addresses in them that both kinds of file have."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from grebestack.program.config.errors import ConfigError
+from grebestack.protocol.lists import address_of
+from grebestack.transport.client import Address
+
+
+def read(path: str) -> str:
+    """Return a file's text. ConfigError: it can't be read, or isn't UTF-8."""
+    try:
+        with open(path, encoding="utf-8") as file:
+            return file.read()
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from error
+    except UnicodeDecodeError as error:
+        raise ConfigError(f"{path}: not UTF-8") from error
+
+
+def control_address(raw: Any) -> Address | None:
+    """Return the admin address, None where there is none. ValueError: it is no address."""
+    if raw is None or raw == "":
+        return None
+    if not isinstance(raw, str):
+        raise ValueError(f"control must be HOST:PORT, not {raw!r}")
+    try:
+        return address_of(raw)
+    except ValueError as error:
+        raise ValueError(f"control must be HOST:PORT: {error}") from error
--- /dev/null
+++ b/grebestack/program/config/model.py
@@ -0,0 +1,164 @@
+"""The configuration of one dispatcher as values.
+
+Fields are read in the order of their declaration, and those of `WorkerMembershipConfig` are TOML keys.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import Any
+
+from grebestack.core.api import Settings
+from grebestack.transport.client import Address
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerMembershipConfig:
+    """When reports of worker sources are acted on; times in seconds."""
+
+    flaps: int = 3
+    flap_window_s: float = 60.0
+    hold_s: float = 2.0
+    hold_most_s: float = 60.0
+    removed_share: float = 0.5
+    keep_least: int = 1
+    moved_s: float = 60.0
+    stale_s: float = 60.0
+
+
+@dataclass(frozen=True, slots=True)
+class ConsulConfig:
+    """Which Consul agents are queried, for what, and how instances are read."""
+
+    agents: tuple[Address, ...]
+    services: tuple[str, ...]
+    token_file: str = ""
+    wait_s: float = 30.0  # the longest blocking query
+    datacenter: str = ""
+    namespace: str = ""
+    partition: str = ""
+    tags: tuple[str, ...] = ()
+    filter: str = ""
+    consistency: str = "default"
+    max_stale_s: float | None = None
+    checks: tuple[str, ...] = ()
+    warning: str = "full"
+    prefer: str = ""
+    networks: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class WorkerSource:
+    """Where the worker table comes from: `discovery`, `consul`, or a `list` in the file."""
+
+    kind: str = "discovery"
+    entries: tuple[Mapping[str, Any], ...] = ()
+    snapshot_path: str = ""  # file that keeps the last good lists; empty: none is kept
+    consul: ConsulConfig | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class JobsConfig:
+    """The limits of the job queue, and what holds for jobs of each class."""
+
+    latency_objective_s: float = 60.0
+    max_queued: int = 100_000
+    max_conditions: int = 500
+    lookahead: int = 16
+    ripe: float = 0.5
+    latency_objective_s_by_class: Mapping[str, float] = field(default_factory=dict)
+    queued_classes: frozenset[str] = frozenset()  # jobs of these queue by default
+
+
+@dataclass(frozen=True, slots=True)
+class DrmaaConfig:
+    """The DRMAA front."""
+
+    listen: Address
+    store_path: str
+    max_open_jobs: int = 1000
+    retention_days: float = 30.0
+    max_body_bytes: int = 1024 * 1024
+    jobs: JobsConfig = field(default_factory=JobsConfig)
+
+
+@dataclass(frozen=True, slots=True)
+class MetricsExportConfig:
+    """The cluster's metrics: one member gathers and exports them, by POST to a collector."""
+
+    collector: Address
+    path: str
+    interval_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class AuditConfig:
+    """The audit log on this dispatcher's own disk; see docs/audit.md."""
+
+    folder: str
+    max_size_mb: float = 256.0  # beyond this the oldest segments are removed
+    max_full_rate: float = 2000.0  # records a second up to which every one is kept
+    max_clock_error_ms: float = 100.0
+
+
+@dataclass(frozen=True, slots=True)
+class ClusterConfig:
+    """The cluster of dispatchers that this one is a member of; see docs/fleet-leases.md."""
+
+    name: str
+    listen: Address
+    peers: Mapping[str, Address]
+    folder: str
+    lease_term_s: float
+    max_clock_drift: float  # a fraction of the elapsed time
+    lease_guard_ms: float
+    restart_timeout_s: float  # a member that is restarted is back within this
+    restart_pause_s: float  # between the restarts of two members
+    share_worker_source: bool  # one member reads the source, the others receive it from there
+    metrics_export: MetricsExportConfig | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class RelayConfig:
+    """Where followers connect to a relay."""
+
+    address: Address
+    place: str  # region/zone
+
+
+@dataclass(frozen=True, slots=True)
+class DistributionConfig:
+    """How the cluster's configuration reaches this dispatcher; see docs/fleet-leases.md."""
+
+    cluster: str
+    is_follower: bool  # it has no vote
+    place: str  # region/zone; empty: not given
+    relays: Mapping[str, RelayConfig]
+    voters: frozenset[str]  # all, with this one if it votes; a follower may know none
+    folder: str
+
+
+@dataclass(frozen=True, slots=True)
+class Config:
+    """The configuration of one dispatcher."""
+
+    name: str
+    listen: Address
+    discovery: Address
+    options: Mapping[str, Any]
+    settings: Settings
+    seed: int = 0
+    max_sockets: int = 1024
+    known_workers: Mapping[str, Any] = field(default_factory=dict)
+    worker_source: WorkerSource = field(default_factory=WorkerSource)
+    drmaa: DrmaaConfig | None = None
+    accepts_requests: bool = True  # at `listen`, besides call-backs of workers
+    listen_fd: int | None = None  # the clients' listening socket, if the platform holds it
+    control: Address | None = None  # the operators' admin address; None: no admin server
+    key_paths: frozenset[str] = frozenset()  # of all keys in the platform's file
+    cluster: ClusterConfig | None = None  # None: not a voting member of a cluster
+    distribution: DistributionConfig | None = None  # None: only the local file is used
+    path: str = ""  # of the operator's file; empty: the platform's environment
+    audit: AuditConfig | None = None  # None: no audit log
+    membership: WorkerMembershipConfig | None = None  # None: discovery feeds the worker table itself
--- /dev/null
+++ b/grebestack/program/config/operator_file.py
@@ -0,0 +1,121 @@
+"""The operator's file, in TOML, and the sections of it that a configuration version replaces."""
+
+from __future__ import annotations
+
+import os
+import tomllib
+from collections.abc import Mapping
+from typing import Any
+
+from grebestack.program.config.audit import AUDIT_KEYS, audit_config
+from grebestack.program.config.cluster import FLEET_KEYS, cluster_config
+from grebestack.program.config.distribution import distribution_config
+from grebestack.program.config.errors import ConfigError
+from grebestack.program.config.files import control_address, read
+from grebestack.program.config.jobs import DRMAA_KEYS, JOBS_KEYS, drmaa_config, jobs_config
+from grebestack.program.config.model import Config
+from grebestack.program.config.validation import read_integer, read_table
+from grebestack.program.config.worker_membership import MEMBERSHIP_KEYS, worker_membership_config
+from grebestack.program.config.worker_source import SERVERS_KEYS, source_kind, worker_source
+from grebestack.protocol.lists import address_of
+from grebestack.protocol.settings import WireError, settings_of
+
+_KEYS = {
+    "name",
+    "listen",
+    "control",
+    "platform",
+    "sockets",
+    "servers",
+    "membership",
+    "drmaa",
+    "jobs",
+    "settings",
+    "fleet",
+    "audit",
+}
+_VERSION_SECTIONS = ("settings", "servers")
+
+
+def from_file(path: str) -> Config:
+    """Read an operator's file. ConfigError: it can't be read or used."""
+    return from_text(path, read(path))
+
+
+def from_text(path: str, text: str, version: bytes | None = None) -> Config:
+    """Return the configuration in an operator's file.
+
+    Parameters
+    ----------
+    path : of the file; paths in it are relative to its folder.
+    text : the file's.
+    version : the contents of a configuration version, whose sections replace the file's.
+
+    Raises
+    ------
+    ConfigError : the text or the version can't be used.
+    """
+    try:
+        raw = tomllib.loads(text)
+    except tomllib.TOMLDecodeError as error:
+        raise ConfigError(f"{path}: not TOML: {error}") from error
+    if version is not None:
+        raw |= version_sections(version)
+    try:
+        return _config_of(raw, path)
+    except KeyError as error:
+        raise ConfigError(f"{path}: lacks {error}") from error
+    except (ValueError, TypeError, AttributeError, WireError) as error:
+        raise ConfigError(f"{path}: {error}") from error
+
+
+def version_sections(contents: bytes) -> Mapping[str, Any]:
+    """Return the sections in a configuration version. ConfigError: names field, value and what is allowed."""
+    try:
+        raw = tomllib.loads(contents.decode())
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise ConfigError(f"not TOML: {error}") from error
+    allowed = ", ".join(_VERSION_SECTIONS)
+    if unknown := sorted(set(raw) - set(_VERSION_SECTIONS)):
+        raise ConfigError(f"unknown key {unknown[0]!r:.60}; allowed are the sections {allowed}")
+    if not raw:
+        raise ConfigError(f"no section; allowed are {allowed}, one at least")
+    return raw
+
+
+def _config_of(raw: Mapping[str, Any], path: str) -> Config:
+    """Sections are read in a fixed order, which decides what is reported where there are many mistakes."""
+    if unknown := sorted(set(raw) - _KEYS):
+        raise ValueError(f"unknown key {unknown[0]!r}")
+    servers = read_table(raw, "servers", SERVERS_KEYS)
+    kind = source_kind(servers)
+    drmaa = read_table(raw, "drmaa", DRMAA_KEYS)
+    jobs = read_table(raw, "jobs", JOBS_KEYS)
+    membership = worker_membership_config(read_table(raw, "membership", MEMBERSHIP_KEYS))
+    fleet = read_table(raw, "fleet", FLEET_KEYS)
+    audit = read_table(raw, "audit", AUDIT_KEYS)
+    name = str(raw.get("name", "grebestack"))
+    folder = os.path.dirname(path)
+    distribution = distribution_config(fleet, name, folder) if fleet else None
+    is_follower = distribution is not None and distribution.is_follower
+    options = raw["settings"]
+    settings = settings_of(options)
+    class_names = [traffic_class.name for traffic_class in settings.classes]
+    return Config(
+        name=name,
+        listen=address_of(raw["listen"]),
+        discovery=address_of(servers["address"]) if kind == "discovery" else ("", 0),
+        options=options,
+        settings=settings,
+        seed=int.from_bytes(os.urandom(8), "big"),
+        max_sockets=read_integer(raw, "sockets", 1024, 128),
+        worker_source=worker_source(servers, folder, options),
+        drmaa=drmaa_config(drmaa, folder, jobs_config(jobs, class_names)) if drmaa else None,
+        accepts_requests=bool(raw.get("platform", False)),
+        control=control_address(raw.get("control")),
+        membership=membership,
+        cluster=cluster_config(fleet, name, folder) if fleet and not is_follower else None,
+        distribution=distribution,
+        path=path,
+        audit=audit_config(audit, folder) if audit else None,
+    )
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -26,7 +26,11 @@
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.timeouts import START_MS
 from grebestack.config_distribution.versions import MOST_CONTENTS, Version
-from grebestack.program.config import Config, ConfigError, ForceConfig, StartError, check, from_text, read
+from grebestack.program.config.errors import ConfigError, StartError
+from grebestack.program.config.files import read
+from grebestack.program.config.model import Config, DistributionConfig
+from grebestack.program.config.operator_file import from_text
+from grebestack.program.config.platform import check_reload
 
 log = logging.getLogger(__name__)
 DECIDED_S = 0.7  # the door wants its answer by then; see admin.server.ANSWER_S
@@ -68,7 +72,7 @@
         raise ConfigError(f"the size is {len(contents)} bytes; allowed: {MOST_CONTENTS}")
     config = from_text(path, text, contents)
     if former is not None:
-        check(config, former)
+        check_reload(config, former)
     return config
 
 
@@ -119,7 +123,7 @@
         # What is in force is said by what the dispatcher holds now, not by what it was given.
         now = self.host.config
         kv |= {"by": version.by, "since_ms": version.since_ms, "at_ms": round(monotonic_ms(), 1)}
-        kv |= {"settings": digest(now.options), "servers": digest([*map(dict, now.servers.entries)])}
+        kv |= {"settings": digest(now.options), "servers": digest([*map(dict, now.worker_source.entries)])}
         log.info("configuration_laid", extra={"kv": kv})
         return ""
 
@@ -128,7 +132,12 @@
     """What a dispatcher has where a configuration in force reaches it: a voter's part, or a follower's."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, host: Host, config: ForceConfig, name: str, node: Node | None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        host: Host,
+        config: DistributionConfig,
+        name: str,
+        node: Node | None,
     ) -> None:
         self.loop, self.config, self.name = loop, config, name
         self.laying = Laying(host)
@@ -161,12 +170,12 @@
             # A relay follows voters alone: no two relays ever follow each other.
             if name != self.name and (self.name not in config.relays or name in config.voters)
         }
-        return FollowerSettings(self.name, config.fleet, config.place, relays, folder)
+        return FollowerSettings(self.name, config.cluster, config.place, relays, folder)
 
     def _relay(self) -> RelayServer | None:
         if self.name not in self.config.relays:
             return None
-        fleet, address, random = self.config.fleet, self.config.relays[self.name].address, Random()
+        fleet, address, random = self.config.cluster, self.config.relays[self.name].address, Random()
         if self.voter is not None:
             pure = Relay(self.name, fleet, self.voter.voter.life, random, floor=self.voter.voter.floor)
             relay = self.voter.relay = RelayServer(self.loop, pure, address, self.voter.tallied, CLOCK)
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -17,7 +17,9 @@
 import uvloop
 
 from grebestack.core.api import ListKind
-from grebestack.program.config import Config, ConfigError, DrmaaConfig, StartError, check
+from grebestack.program.config.errors import ConfigError, StartError
+from grebestack.program.config.model import Config, DrmaaConfig
+from grebestack.program.config.platform import check_reload
 from grebestack.program.lifecycle import KILL_DEADLINE_MS, LATE_MS, Clients, Life, Stage
 from grebestack.program.traffic_log import Tally
 from grebestack.protocol.discovery import Watch, terms_of
@@ -51,6 +53,19 @@
 LET_GO_S = 0.6  # so long before late answers are due, an upgrade's old process lets its last jobs go
 STATS_S = 5.0
 TALLY_S = 1.0
+# The configuration's fields that wait for a restart, and their names in logs and answers.
+_SHOWN_NAME_BY_FIELD = {
+    "name": "name",
+    "listen": "listen",
+    "control": "control",
+    "max_sockets": "sockets",
+    "drmaa": "drmaa",
+    "accepts_requests": "platform",
+    "membership": "membership",
+    "cluster": "fleet",
+    "audit": "audit",
+    "distribution": "force",
+}
 
 
 class LoopClock:
@@ -86,7 +101,9 @@
         )
         reports = Reports(report_names(config.options.get("extra") or {}))
         self.runners = self.engine.servers = Runners(self.engine, self.pools, reports)
-        self.front = PlatformFront(self.engine, config.settings, self.runners.called_back, config.platform)
+        self.front = PlatformFront(
+            self.engine, config.settings, self.runners.called_back, config.accepts_requests
+        )
         self.acceptor = Acceptor(self.front, clients)
         self.server: asyncio.Server | None = None
         self.upgrade: Upgrade | None = None
@@ -96,18 +113,18 @@
 
             self.roster = appliance.roster(config.membership, self.engine)
         self.fleet: Fleet | None = None
-        if config.fleet is not None:
+        if config.cluster is not None:
             from grebestack.program import (
                 cluster_member,  # only here: the platform's dispatchers share nothing
             )
 
-            self.fleet = cluster_member.Fleet(self, config.fleet)
+            self.fleet = cluster_member.Fleet(self, config.cluster)
         self.configuring: Configuring | None = None
-        if config.force is not None:
+        if config.distribution is not None:
             from grebestack.program import config_updates  # only here: nothing of it is on the platform
 
             node = self.fleet.node if self.fleet is not None else None
-            self.configuring = config_updates.Configuring(loop, self, config.force, config.name, node)
+            self.configuring = config_updates.Configuring(loop, self, config.distribution, config.name, node)
             self.reread = self.configuring.reread
         self.auditor: Auditor | None = None
         if config.audit is not None:
@@ -124,7 +141,7 @@
 
     def _room(self, among: int) -> tuple[int, int]:
         """Connections from clients at each front and to servers, where so many processes share the room."""
-        most, spare = self.config.sockets, SPARE_SOCKETS + (DOOR_SOCKETS if self.config.control else 0)
+        most, spare = self.config.max_sockets, SPARE_SOCKETS + (DOOR_SOCKETS if self.config.control else 0)
         if among == 1:
             budget = max(64, most - spare)
             clients = budget * 13 // 20
@@ -166,33 +183,33 @@
         return self.engine.clock
 
     def _source(self, config: Config, follows: Watch | None = None) -> Source | None:
-        source = config.servers.source
-        entries = config.servers.entries if source == "list" else ()
+        source = config.worker_source.kind
+        entries = config.worker_source.entries if source == "list" else ()
         servers = [self.reader.server(raw, strict=True) for raw in entries]
         listings: list[Listing] = [self.table]
         if self.roster is not None and config.membership is not None:
             stale_s = float("inf") if source == "list" else config.membership.stale_s
             at = f" {':'.join(map(str, config.discovery))}" if source == "discovery" else ""
             names = [f"{source}{at}"]
-            if config.servers.consul is not None:
-                names = [f"consul {service}" for service in config.servers.consul.services]
-            listings = [*self.roster.sources(names, stale_s * 1000.0, config.servers.snapshot)]
+            if config.worker_source.consul is not None:
+                names = [f"consul {service}" for service in config.worker_source.consul.services]
+            listings = [*self.roster.sources(names, stale_s * 1000.0, config.worker_source.snapshot_path)]
         if source == "list":
             self.loop.call_soon(listings[0].update, ListKind.FULL, servers)
             return None
-        if self.fleet is not None and self.fleet.config.share_servers:
+        if self.fleet is not None and self.fleet.config.share_worker_source:
             return self.fleet.share(listings, lambda tapped: self._reading(config, tapped, None))
         return self._reading(config, listings, follows)
 
     def _reading(
         self, config: Config, listings: Sequence[Listing], follows: Watch | None
     ) -> Watch | ConsulSource:
-        if config.servers.consul is not None:
+        if config.worker_source.consul is not None:
             from grebestack.program import appliance
 
             pools = Pools(self.loop, 16, 2.0, 60.0, most_body=64 * 1024 * 1024)
             clock = self.engine.clock
-            return appliance.consul(config.servers.consul, pools, clock, config.options, listings)
+            return appliance.consul(config.worker_source.consul, pools, clock, config.options, listings)
         name_odd_discovery(config.options)
         terms = terms_of(config.settings)
         return Watch(self.loop, config.discovery, self.reader, listings[0], follows, terms)
@@ -203,7 +220,7 @@
         self.jobs, front = appliance.start(
             self.engine, self.runners, self.config, config, self.roster, self.fleet
         )
-        acceptor = Acceptor(front, self.acceptor.most, config.most_body)
+        acceptor = Acceptor(front, self.acceptor.most, config.max_body_bytes)
         self._sweep(acceptor)
         await self.loop.create_server(acceptor, *config.listen, backlog=BACKLOG)
         log.info("drmaa_listening", extra={"kv": {"address": ":".join(map(str, config.listen))}})
@@ -226,9 +243,9 @@
             self.loop.call_soon(self.reload)
         if self.config.listen_fd is not None:
             await self._begin_upgrade()
-        if self.config.known and isinstance(self.watch, Watch) and not self.table.servers:
-            self.watch.known(self.config.known)
-        self.config = replace(self.config, known={})  # it may be long, and is of a start alone
+        if self.config.known_workers and isinstance(self.watch, Watch) and not self.table.servers:
+            self.watch.known(self.config.known_workers)
+        self.config = replace(self.config, known_workers={})  # it may be long, and is of a start alone
         if self.watch is not None:
             self.watch.start()
         if self.configuring is not None:  # before anybody is served, so that nobody is under an older version
@@ -340,7 +357,7 @@
         """
         try:
             config = self.reread()
-            check(config, self.config)
+            check_reload(config, self.config)
         except ConfigError as error:
             log.error("reload_failed", extra={"kv": {"error": error}})
             return
@@ -348,11 +365,12 @@
 
     def waits(self, config: Config) -> list[str]:
         """The fields in which a configuration differs from the one in force and that wait for a restart."""
-        fixed = ["name", "listen", "control", "sockets", "drmaa", "platform", "membership", "fleet", "audit"]
-        fixed.append("force")
+        fixed = dict(_SHOWN_NAME_BY_FIELD)
         if self.config.drmaa is not None:
-            fixed.append("options")  # the store's records name classes by their place
-        waits = [name for name in fixed if getattr(config, name) != getattr(self.config, name)]
+            fixed["options"] = "options"  # the store's records name classes by their place
+        waits = [
+            shown for name, shown in fixed.items() if getattr(config, name) != getattr(self.config, name)
+        ]
         if self.config.drmaa is None and config.options != self.config.options:
             waits += unmoved(self.config.options, config.options)
         return waits
@@ -362,8 +380,8 @@
 
         Why it can't be, or nothing; nothing has changed where it can't.
         """
-        moved = (config.discovery, config.servers) != (self.config.discovery, self.config.servers)
-        settings = (self.config.options, self.config.settings, self.config.keys)
+        moved = (config.discovery, config.worker_source) != (self.config.discovery, self.config.worker_source)
+        settings = (self.config.options, self.config.settings, self.config.key_paths)
         waits = self.waits(config)
         resettled = self.config.drmaa is None and config.options != self.config.options
         if resettled:
@@ -374,14 +392,16 @@
         if not moved or self.stopped:
             return ""
         former = self.watch
-        config = replace(self.config, discovery=config.discovery, servers=config.servers)
+        config = replace(self.config, discovery=config.discovery, worker_source=config.worker_source)
         try:
             watch = self._source(config, former if isinstance(former, Watch) else None)
         except (ValueError, KeyError, TypeError) as error:  # guards the old source against a malformed list
             log.error("reload_failed", extra={"kv": {"error": repr(error)}})
             if resettled:
                 options, former_settings, keys = settings
-                self._resettle(replace(self.config, options=options, settings=former_settings, keys=keys))
+                self._resettle(
+                    replace(self.config, options=options, settings=former_settings, key_paths=keys)
+                )
             return f"servers: {error!r}"
         if former is not None:
             former.retire()
@@ -395,7 +415,9 @@
     def _resettle(self, config: Config) -> None:
         former = self.engine.settings
         settings = merged(former, config.settings)
-        self.config = replace(self.config, options=config.options, settings=settings, keys=config.keys)
+        self.config = replace(
+            self.config, options=config.options, settings=settings, key_paths=config.key_paths
+        )
         if self.auditor is not None:  # before: what is decided from now on is decided under them
             self.auditor.settled(config.options)
         self.engine.resettle(settings)
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -24,7 +24,7 @@
 from grebestack.jobs.store import EdgeRow, JobStore
 from grebestack.program.audit_recording import Writer
 from grebestack.program.cluster_member import form
-from grebestack.program.config import from_text
+from grebestack.program.config.operator_file import from_text
 from grebestack.protocol.snapshot import save
 from tests.golden_samples import FOLDER, RECORDS, SERVER, STAMP, encoded_record
 
--- a/tests/golden_links.py
+++ b/tests/golden_links.py
@@ -12,7 +12,7 @@
 from grebestack.config_distribution.messages import Said, encode
 from grebestack.consensus.messages import Hello, Message
 from grebestack.program.cluster_member import Post
-from grebestack.program.config import TalliesConfig
+from grebestack.program.config.model import MetricsExportConfig
 from tests.golden_samples import EXPORTS, FEED, MEMBER
 
 DISK_SEQUENCE = 98
@@ -122,7 +122,7 @@
     """The request by which the holder of the task exports tallies, head and body."""
     owner = MagicMock()
     owner.node.token.return_value = TOKEN
-    owner.config = TalliesConfig(("10.0.0.9", 9009), "/tallies", 5.0)
+    owner.config = MetricsExportConfig(("10.0.0.9", 9009), "/tallies", 5.0)
     request = Post(owner, cast(Any, EXPORTS["export"])).begin()
     assert request is not None
     return request.decode()
--- a/tests/golden_settings.py
+++ b/tests/golden_settings.py
@@ -13,7 +13,10 @@
 from typing import Any
 from unittest.mock import patch
 
-from grebestack.program.config import Config, ConfigError, check, from_platform, from_text, sections
+from grebestack.program.config.errors import ConfigError
+from grebestack.program.config.model import Config
+from grebestack.program.config.operator_file import from_text, version_sections
+from grebestack.program.config.platform import check_reload, from_platform
 from grebestack.protocol.settings import WireError, check_figures, settings_of
 from tests.golden_samples import FOLDER
 
@@ -193,6 +196,8 @@
         },
         "platform": {name: error_of(platforms_config, raw, {}) for name, raw in PLATFORMS_MISTAKES.items()},
         "figures": {name: error_of(check_figures, raw) for name, raw in FIGURES_MISTAKES.items()},
-        "version": {name: error_of(sections, raw) for name, raw in VERSIONS_MISTAKES.items()},
-        "read again": {"a key that is missing": error_of(check, platforms_config(least, {}), in_force)},
+        "version": {name: error_of(version_sections, raw) for name, raw in VERSIONS_MISTAKES.items()},
+        "read again": {
+            "a key that is missing": error_of(check_reload, platforms_config(least, {}), in_force)
+        },
     }
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -22,7 +22,8 @@
 from grebestack.audit.records import OF_OPERATORS, Act, Gap, decode
 from grebestack.audit.version_sets import Stamp, Stamps, digest
 from grebestack.consensus.log_format import frame
-from grebestack.program.config import ConfigError, from_file
+from grebestack.program.config.errors import ConfigError
+from grebestack.program.config.operator_file import from_file
 from tests.dispatcher_group import Yard
 from tests.standins import APPLIANCE_SETTINGS, wait_until
 
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -24,7 +24,9 @@
 from grebestack.config_distribution.messages import MOST, Greeting, Poll, Said, Still, encode
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import MOST_CONTENTS, Version, digest_of
-from grebestack.program.config import Config, ConfigError, from_file
+from grebestack.program.config.errors import ConfigError
+from grebestack.program.config.model import Config
+from grebestack.program.config.operator_file import from_file
 from grebestack.program.config_updates import Laying, read_contents
 from tests.follower_cluster import contents
 from tests.standins import APPLIANCE_SETTINGS
@@ -422,11 +424,13 @@
 
 def test_a_follower_a_relay_and_a_voter_are_told_apart(tmp_path: Path) -> None:
     follower = load(tmp_path, f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}')
-    assert follower.fleet is None and follower.force is not None and follower.force.follow
+    assert (
+        follower.cluster is None and follower.distribution is not None and follower.distribution.is_follower
+    )
     voter = load(tmp_path, f'[fleet]\n[fleet.members]\na = "h:2"\n{RELAY}')
-    assert voter.fleet is not None and voter.force is not None and not voter.force.follow
+    assert voter.cluster is not None and voter.distribution is not None and not voter.distribution.is_follower
     alone = load(tmp_path, '[fleet]\n[fleet.members]\na = "h:2"\n')
-    assert alone.fleet is not None and alone.force is None
+    assert alone.cluster is not None and alone.distribution is None
 
 
 # Versions over the file.
@@ -456,12 +460,15 @@
 ) -> None:
     laid = laying(tmp_path)
     assert laid.take(version(1, TWO), TWO) == ""
-    assert laid.host.config.options["limits"]["mostTries"] == 6 and len(laid.host.config.servers.entries) == 1
+    assert (
+        laid.host.config.options["limits"]["mostTries"] == 6
+        and len(laid.host.config.worker_source.entries) == 1
+    )
     (tmp_path / "a.toml").write_text(
         f'sockets = 2000\n{HEAD}[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}{APPLIANCE_SETTINGS}'
     )
     again = laid.reread()
-    assert again.sockets == 2000 and again.options["limits"]["mostTries"] == 6
+    assert again.max_sockets == 2000 and again.options["limits"]["mostTries"] == 6
     (tmp_path / "a.toml").write_text("half a file")
     with pytest.raises(ConfigError):
         laid.reread()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("layer", INWARD)
 def test_imports_point_inward(layer: str) -> None:
-    for path in (PACKAGE / layer).glob("*.py"):
+    for path in (PACKAGE / layer).rglob("*.py"):
         assert imported(ast.parse(path.read_text())) <= INWARD[layer], path.name
 
 
--- a/tests/test_peer_connection.py
+++ b/tests/test_peer_connection.py
@@ -13,7 +13,8 @@
 
 from grebestack.cluster_io.peer_connection import HEAD, MOST_QUEUED, Link
 from grebestack.consensus.messages import MOST, VERSION, Hello, Message, Ping, Word, encode
-from grebestack.program.config import ConfigError, from_file
+from grebestack.program.config.errors import ConfigError
+from grebestack.program.config.operator_file import from_file
 from tests.standins import APPLIANCE_SETTINGS
 
 HELLO = Hello(VERSION, "f", "b", "1", 1, 1, {})
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -32,7 +32,7 @@
 from scaling.run import agreement
 
 from grebestack.audit.version_sets import digest as digest_of
-from grebestack.program.config import from_file, from_text
+from grebestack.program.config.operator_file import from_file, from_text
 from tests.standins import wait_until
 
 
@@ -348,10 +348,12 @@
 
 def test_the_layout_is_what_the_program_reads(fleet: Fleet) -> None:
     configs = {path.stem: from_file(str(path)) for path in fleet.folder.glob("*.toml")}
-    forces = {name: config.force for name, config in configs.items() if config.force is not None}
+    forces = {
+        name: config.distribution for name, config in configs.items() if config.distribution is not None
+    }
     assert set(forces) == {*VOTERS, *RELAYS, *(f"real{n}" for n in range(1, 5))}
-    assert all(configs[name].fleet is not None for name in VOTERS)
-    assert {name for name, force in forces.items() if force.follow} == set(forces) - set(VOTERS)
+    assert all(configs[name].cluster is not None for name in VOTERS)
+    assert {name for name, force in forces.items() if force.is_follower} == set(forces) - set(VOTERS)
     for name, force in forces.items():
         wanted = set(VOTERS) if name in VOTERS else {*VOTERS, name} if name in RELAYS else set(RELAYS)
         assert set(force.relays) == wanted
@@ -388,7 +390,10 @@
     assert held(contents(1)) != held(contents(2)) and held(contents(1)) == held(contents(1, 4000))
     path = fleet.folder / "alone.toml"
     config = from_text(str(path), path.read_text(), contents(5))
-    assert held(contents(5)) == (digest_of(config.options), digest_of([*map(dict, config.servers.entries)]))
+    assert held(contents(5)) == (
+        digest_of(config.options),
+        digest_of([*map(dict, config.worker_source.entries)]),
+    )
 
 
 def row(size: int, slope: float = 0.1, late: bool = False) -> dict[str, Any]:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,8 @@
 
 from grebestack.core import api
 from grebestack.core.policy import Policy
-from grebestack.program.config import ConfigError, check, from_platform
+from grebestack.program.config.errors import ConfigError
+from grebestack.program.config.platform import check_reload, from_platform
 from grebestack.protocol.settings import merged, settings_of
 from tests.policy_driver import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT, Dispatcher, sends, settings
 from tests.standins import OPTIONS, World, call, wait_until
@@ -74,12 +75,12 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     former = from_platform({"RELAY_CONFIG": str(path)})
-    check(former, former)
+    check_reload(former, former)
     raw = deepcopy(GOOD)
     change(raw)
     path.write_text(json.dumps(raw))
     with pytest.raises(ConfigError, match=says):
-        check(from_platform({"RELAY_CONFIG": str(path)}), former)
+        check_reload(from_platform({"RELAY_CONFIG": str(path)}), former)
 
 
 def test_a_class_keeps_its_place_and_a_place_its_meaning() -> None:
