--- a/benchmarks/scaling/hollow.py
+++ b/benchmarks/scaling/hollow.py
@@ -39,11 +39,11 @@
     def __init__(self, config: Config) -> None:
         self.config = config
 
-    def waits(self, config: Config) -> Sequence[str]:
+    def fields_requiring_restart(self, config: Config) -> Sequence[str]:
         """The fields that need a restart, of those that a version may have."""
         return unmoved(self.config.options, config.options)
 
-    def adopt(self, config: Config) -> str:
+    def apply_config(self, config: Config) -> str:
         """Act under it."""
         self.config = config
         return ""
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -29,7 +29,7 @@
 from grebestack.jobs.records import Batch, Job, JobError, JobLimits
 from grebestack.jobs.service import JobService
 from grebestack.jobs.store import JobStore
-from grebestack.program.dispatcher import LoopClock
+from grebestack.program.loop_clock import LoopClock
 from grebestack.routing.engine import Engine
 from grebestack.routing.requests import Dispatch, Payload, Session, Stage
 from grebestack.routing.worker_table import Server
--- a/grebestack/program/admin_operations.py
+++ b/grebestack/program/admin_operations.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from grebestack.admin.commands import Answer, Call, Verb
-from grebestack.program.lifecycle import Life
+from grebestack.program.lifecycle import Lifecycle
 
 if TYPE_CHECKING:
     from grebestack.admin.server import Reply
@@ -19,7 +19,7 @@
 class Dispatcher(Protocol):
     """What calls work on."""
 
-    life: Life
+    lifecycle: Lifecycle
     fleet: Fleet | None
     configuring: Configuring | None
     auditor: Auditor | None
@@ -29,8 +29,8 @@
     def clock(self) -> Clock:
         """The time."""
 
-    def apply(self) -> None:
-        """Have all follow the state of `life`."""
+    def apply_lifecycle(self) -> None:
+        """Have all follow the state of `lifecycle`."""
 
 
 class OwnOperations:
@@ -59,12 +59,12 @@
             return self._of_fleet(call)
         if call.verb.named:
             return self._cordon(call.server, call.verb is Verb.CORDON)
-        life, now = self.dispatcher.life, self.dispatcher.clock.now_ms()
+        life, now = self.dispatcher.lifecycle, self.dispatcher.clock.now_ms()
         if call.verb is Verb.RESUME and not life.resume(now):
             return Answer(False, "stopping: a stop can't be taken back")
         if call.verb is Verb.QUIESCE:
             life.quiesce(now)
-        self.dispatcher.apply()
+        self.dispatcher.apply_lifecycle()
         return Answer(True, life.stage.value)
 
     def _of_fleet(self, call: Call) -> Answer:
@@ -81,8 +81,8 @@
         return Answer(True, fleet.shown() if call.verb is Verb.FLEET else fleet.leases())
 
     def _health(self) -> Answer:
-        life = self.dispatcher.life
-        return Answer(life.ready, "ready" if life.ready else f"not ready: {life.stage.value}")
+        life = self.dispatcher.lifecycle
+        return Answer(life.is_ready, "ready" if life.is_ready else f"not ready: {life.stage.value}")
 
     def _cordon(self, server: str, on: bool) -> Answer:
         table = self.dispatcher.table
--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import logging
 import os
 import queue
@@ -12,7 +13,7 @@
 import time
 from collections.abc import Callable
 from importlib.metadata import PackageNotFoundError, version
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 from grebestack.admin.commands import Call
 from grebestack.audit.reading import MAGIC
@@ -23,11 +24,15 @@
 from grebestack.consensus.log_format import frame
 from grebestack.core.api import ListKind, WorkerEntry
 from grebestack.program.config.errors import StartError
-from grebestack.program.config.model import AuditConfig
+from grebestack.program.config.model import AuditConfig, Config
 from grebestack.routing.requests import Session
 
 if TYPE_CHECKING:
-    from grebestack.program.dispatcher import Dispatcher
+    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.shared_discovery import Source
+    from grebestack.protocol.runners import Runners
+    from grebestack.routing.engine import Engine
+    from grebestack.routing.worker_table import ServerTable
 
 log = logging.getLogger(__name__)
 PREFIX, SUFFIX = "acts-", ".log"
@@ -100,10 +105,22 @@
         return "0"
 
 
+class AuditedDispatcher(Protocol):
+    """What the audit log uses of its dispatcher."""
+
+    config: Config
+    loop: asyncio.AbstractEventLoop
+    engine: Engine
+    runners: Runners
+    table: ServerTable
+    worker_source: Source | None
+    fleet: Fleet | None
+
+
 class Auditor:
     """Writes down what one dispatcher does, and under which versions."""
 
-    def __init__(self, dispatcher: Dispatcher, config: AuditConfig) -> None:
+    def __init__(self, dispatcher: AuditedDispatcher, config: AuditConfig) -> None:
         self.dispatcher, self.config = dispatcher, config
         try:
             self.lock = take(config.folder)
@@ -147,7 +164,7 @@
 
     def _listed(self, kind: ListKind, entries: tuple[WorkerEntry, ...]) -> None:
         self.changes += 1
-        revision = getattr(self.dispatcher.watch, "version", self.changes)
+        revision = getattr(self.dispatcher.worker_source, "version", self.changes)
         cordoned = self.dispatcher.table.cordoned
         self._turn(revision=revision, bans=digest(sorted(cordoned)) if cordoned else "")
         self.feed(kind, entries)
--- a/grebestack/program/cluster_member.py
+++ b/grebestack/program/cluster_member.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+import asyncio
 import logging
 from collections.abc import Callable, Mapping, Sequence
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 import msgspec
 
@@ -26,7 +27,8 @@
 from grebestack.transport.client import Pools, Response
 
 if TYPE_CHECKING:
-    from grebestack.program.dispatcher import Dispatcher
+    from grebestack.program.config_updates import Configuring
+    from grebestack.routing.engine import Engine
 
 log = logging.getLogger(__name__)
 FOUNDING = "founding"  # the incarnation of those that founded a fleet
@@ -150,10 +152,19 @@
         self.attendance.look()
 
 
+class ClusterDispatcher(rolling_restart.Host, Protocol):
+    """What a cluster member uses of its dispatcher."""
+
+    config: Config
+    loop: asyncio.AbstractEventLoop
+    engine: Engine
+    configuring: Configuring | None
+
+
 class Fleet:
     """What a dispatcher has where its file has a [fleet]."""
 
-    def __init__(self, dispatcher: Dispatcher, config: ClusterConfig) -> None:
+    def __init__(self, dispatcher: ClusterDispatcher, config: ClusterConfig) -> None:
         self.dispatcher, self.config = dispatcher, config
         terms = Terms(config.lease_term_s * 1000.0, config.max_clock_drift, config.lease_guard_ms)
         exports = EXPORTS if config.metrics_export is not None else ()
--- /dev/null
+++ b/grebestack/program/config_reload.py
@@ -0,0 +1,154 @@
+"""Puts a configuration that was read again in force, as far as it can be without a restart."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from dataclasses import replace
+from typing import TYPE_CHECKING, Protocol
+
+from grebestack.program.config.errors import ConfigError
+from grebestack.program.config.model import Config
+from grebestack.program.config.platform import check_reload
+from grebestack.protocol.discovery import Watch
+from grebestack.protocol.settings import merged, unmoved
+
+if TYPE_CHECKING:
+    from grebestack.program.audit_recording import Auditor
+    from grebestack.program.shared_discovery import Source
+    from grebestack.program.worker_sources import WorkerSources
+    from grebestack.protocol.platform import PlatformFront
+    from grebestack.routing.engine import Engine
+    from grebestack.transport.client import Pools
+
+log = logging.getLogger(__name__)
+# Fields that need a restart, and their names in logs and answers.
+_SHOWN_NAME_BY_FIELD = {
+    "name": "name",
+    "listen": "listen",
+    "control": "control",
+    "max_sockets": "sockets",
+    "drmaa": "drmaa",
+    "accepts_requests": "platform",
+    "membership": "membership",
+    "cluster": "fleet",
+    "audit": "audit",
+    "distribution": "force",
+}
+
+
+class ReloadableDispatcher(Protocol):
+    """What a reload uses of the dispatcher, and what it replaces: `config` and `worker_source`."""
+
+    config: Config
+    worker_source: Source | None
+    worker_sources: WorkerSources
+    read_config: Callable[[], Config]
+    engine: Engine
+    front: PlatformFront
+    pools: Pools
+    auditor: Auditor | None
+    is_stopped: bool
+
+
+def fields_requiring_restart(config: Config, current: Config) -> list[str]:
+    """Return the shown names of the fields in which two configurations differ and that need a restart."""
+    shown_names = dict(_SHOWN_NAME_BY_FIELD)
+    if current.drmaa is not None:
+        shown_names["options"] = "options"  # stored jobs name their classes by number
+    changed = [
+        shown for name, shown in shown_names.items() if getattr(config, name) != getattr(current, name)
+    ]
+    if current.drmaa is None and config.options != current.options:
+        changed += unmoved(current.options, config.options)
+    return changed
+
+
+class ConfigReloader:
+    """Replaces the settings and the worker source of a running dispatcher.
+
+    Open requests keep the settings that they arrived under.
+    """
+
+    def __init__(self, dispatcher: ReloadableDispatcher) -> None:
+        """Reload for a dispatcher, whose `config` and `worker_source` are replaced."""
+        self.dispatcher = dispatcher
+
+    def reload(self) -> None:
+        """Read the configuration again and apply it; one that can't be used is logged and changes nothing."""
+        try:
+            config = self.dispatcher.read_config()
+            check_reload(config, self.dispatcher.config)
+        except ConfigError as error:
+            log.error("reload_failed", extra={"kv": {"error": error}})
+            return
+        self.apply(config)
+
+    def apply(self, config: Config) -> str:
+        """Apply a checked configuration, all of it or nothing.
+
+        Returns why it can't be applied, or nothing.
+        """
+        before = self.dispatcher.config
+        has_moved = (config.discovery, config.worker_source) != (before.discovery, before.worker_source)
+        waiting = fields_requiring_restart(config, before)
+        has_new_settings = before.drmaa is None and config.options != before.options
+        if has_new_settings:
+            self._apply_settings(config)
+        address = ":".join(map(str, config.discovery))
+        kv = {"servers": address, "moved": has_moved, "waits_for_restart": ",".join(waiting)}
+        log.info("reloaded", extra={"kv": kv})
+        if not has_moved or self.dispatcher.is_stopped:
+            return ""
+        try:
+            source = self._create_worker_source(config)
+        except (ValueError, KeyError, TypeError) as error:  # a malformed list
+            log.error("reload_failed", extra={"kv": {"error": repr(error)}})
+            if has_new_settings:
+                self._apply_settings(self._with_settings_of(before))
+            return f"servers: {error!r}"
+        self._replace_worker_source(config, source)
+        return ""
+
+    def _with_settings_of(self, config: Config) -> Config:
+        return replace(
+            self.dispatcher.config,
+            options=config.options,
+            settings=config.settings,
+            key_paths=config.key_paths,
+        )
+
+    def _create_worker_source(self, config: Config) -> Source | None:
+        previous = self.dispatcher.worker_source
+        with_source = self._with_source_of(config)
+        return self.dispatcher.worker_sources.create(
+            with_source, previous if isinstance(previous, Watch) else None
+        )
+
+    def _with_source_of(self, config: Config) -> Config:
+        return replace(self.dispatcher.config, discovery=config.discovery, worker_source=config.worker_source)
+
+    def _replace_worker_source(self, config: Config, source: Source | None) -> None:
+        dispatcher = self.dispatcher
+        if dispatcher.worker_source is not None:
+            dispatcher.worker_source.retire()
+        dispatcher.config, dispatcher.worker_source = self._with_source_of(config), source
+        if dispatcher.auditor is not None:
+            dispatcher.auditor.moved()
+        if source is not None:
+            source.start()
+
+    def _apply_settings(self, config: Config) -> None:
+        dispatcher = self.dispatcher
+        settings = merged(dispatcher.engine.settings, config.settings)
+        dispatcher.config = replace(
+            dispatcher.config, options=config.options, settings=settings, key_paths=config.key_paths
+        )
+        if dispatcher.auditor is not None:  # first: decisions from now on belong to the new settings
+            dispatcher.auditor.settled(config.options)
+        dispatcher.engine.resettle(settings)
+        dispatcher.front.resettle(settings)
+        dispatcher.pools.connect_timeout_s = settings.connect_timeout_ms / 1000.0
+        names = [c.name for number, c in enumerate(settings.classes) if number not in settings.retired]
+        kv = {"classes": ",".join(names), "attempts": settings.max_attempts}
+        log.info("settings_changed", extra={"kv": kv})
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -48,15 +48,15 @@
     def config(self) -> Config:
         """What it acts under."""
 
-    def waits(self, config: Config) -> Sequence[str]:
+    def fields_requiring_restart(self, config: Config) -> Sequence[str]:
         """The fields in which a configuration differs from the one it acts under and that need a restart."""
 
-    def adopt(self, config: Config) -> str:
+    def apply_config(self, config: Config) -> str:
         """Put a checked configuration in force, all of it or nothing; why not, or nothing."""
 
 
 def value_of(config: Config, name: str) -> object:
-    """What a configuration says of a field that `Host.waits` has named."""
+    """What a configuration says of a field that `Host.fields_requiring_restart` has named."""
     found: Any = config.options
     for part in name.split("."):
         found = found.get(part) if isinstance(found, Mapping) else None
@@ -96,8 +96,8 @@
     def look(self, contents: bytes) -> Config:
         """What a version would put in force here. ConfigError: why it can't."""
         config = checked(self.path, self.text, contents, self.host.config)
-        before = self.host.waits(self.whole)
-        for name in self.host.waits(config):
+        before = self.host.fields_requiring_restart(self.whole)
+        for name in self.host.fields_requiring_restart(config):
             if name not in before:
                 if name == "options":
                     raise ConfigError("settings can't change without a restart where there is a [drmaa]")
@@ -115,7 +115,7 @@
         except ConfigError as error:
             why = str(error).removeprefix(f"{self.path}: ")
         else:
-            why = self.host.adopt(config)
+            why = self.host.apply_config(config)
         kv: dict[str, object] = {"number": version.number, "digest": version.digest}
         if why:
             return why
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -1,40 +1,48 @@
-"""Wires the parts of one dispatcher together and runs it until it is told to stop."""
+"""Builds one dispatcher from its parts and runs it until it is stopped.
+
+Parts that the platform's dispatchers don't have are imported where they are built, so that a start there
+loads nothing of them.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import gc
 import logging
-import math
 import os
 import signal
-import socket
 import time
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
 import uvloop
 
-from grebestack.core.api import ListKind
-from grebestack.program.config.errors import ConfigError, StartError
+from grebestack.program.client_listener import (
+    BACKLOG,
+    ClientListener,
+    connection_limits,
+    sweep_periodically,
+)
 from grebestack.program.config.model import Config, DrmaaConfig
-from grebestack.program.config.platform import check_reload
-from grebestack.program.lifecycle import KILL_DEADLINE_MS, LATE_MS, Clients, Life, Stage
-from grebestack.program.traffic_log import Tally
-from grebestack.protocol.discovery import Watch, terms_of
+from grebestack.program.config_reload import ConfigReloader, fields_requiring_restart
+from grebestack.program.lifecycle import Lifecycle, Stage
+from grebestack.program.lifecycle_control import LifecycleControl
+from grebestack.program.loop_clock import LoopClock
+from grebestack.program.traffic_log import TrafficLog
+from grebestack.program.worker_sources import WorkerSources
+from grebestack.protocol.discovery import Watch
 from grebestack.protocol.lists import ListReader
 from grebestack.protocol.platform import PlatformFront
 from grebestack.protocol.runners import Reports, Runners
-from grebestack.protocol.settings import merged, name_odd_discovery, report_names, unmoved
+from grebestack.protocol.settings import report_names
 from grebestack.routing.engine import Engine
-from grebestack.routing.interfaces import Clock, Listing
+from grebestack.routing.interfaces import Clock
 from grebestack.routing.worker_table import ServerTable
 from grebestack.transport.client import Address, Pools
-from grebestack.transport.server import SWEEP_S, Acceptor, Leading
+from grebestack.transport.server import Acceptor
 
 if TYPE_CHECKING:
-    from grebestack.consul.source import ConsulSource
     from grebestack.jobs.service import JobService
     from grebestack.program.audit_recording import Auditor
     from grebestack.program.cluster_member import Fleet
@@ -44,444 +52,261 @@
     from grebestack.protocol.membership_adapter import Roster
 
 log = logging.getLogger(__name__)
-SPARE_SOCKETS = 48  # standard streams, the loop's own, listeners, the watch, room to turn callers away
-DOOR_SOCKETS = 20  # set aside for the operators' door, where there is one: callers, and some just going
-SHARED_SOCKETS = 44  # the same two for each process of an upgrade, as few as do
-BACKLOG = 1024  # clients, or call-backs of servers, that come at the same moment
-LIST_WAIT_S = 1.0  # ready without a live list after this
-LEAVE_S = 0.5  # a stop waits so long for a client to read its last answer, or to end a request
-LET_GO_S = 0.6  # so long before late answers are due, an upgrade's old process lets its last jobs go
-STATS_S = 5.0
-TALLY_S = 1.0
-# The configuration's fields that wait for a restart, and their names in logs and answers.
-_SHOWN_NAME_BY_FIELD = {
-    "name": "name",
-    "listen": "listen",
-    "control": "control",
-    "max_sockets": "sockets",
-    "drmaa": "drmaa",
-    "accepts_requests": "platform",
-    "membership": "membership",
-    "cluster": "fleet",
-    "audit": "audit",
-    "distribution": "force",
-}
-
-
-class LoopClock:
-    """Monotonic time and the loop's timers."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop = loop
-
-    def now_ms(self) -> float:
-        """The time."""
-        return time.monotonic() * 1000.0
-
-    def call_at(self, at_ms: float, call: Callable[[], None]) -> asyncio.TimerHandle:
-        """Have a call made at a time."""
-        return self.loop.call_later(max(0.0, at_ms / 1000.0 - time.monotonic()), call)
+_LIST_TIMEOUT_S = 1.0  # ready without an up-to-date endpoint list after this
+_LIST_CHECK_INTERVAL_S = 0.01
+_ADMIN_BACKLOG = 64
+_DEFAULT_IDLE_TIMEOUT_MS = 10_000.0
+_IDLE_TIMEOUT_FRACTION = 0.6  # idle connections are closed before the workers close them
 
 
 class Dispatcher:
-    """One dispatcher of the platform."""
+    """One dispatcher with all its parts."""
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, reread: Callable[[], Config]) -> None:
-        self.config, self.loop, self.reread = config, loop, reread
+    def __init__(
+        self, config: Config, loop: asyncio.AbstractEventLoop, read_config: Callable[[], Config]
+    ) -> None:
+        """Build the parts; `read_config` reads the configuration again. StartError: a part can't be built."""
+        self.config, self.loop, self.read_config = config, loop, read_config
         self.reader = ListReader(config.options)
         self.table = ServerTable()
         self.engine = Engine(config.settings, config.seed, LoopClock(loop), self.table)
-        limits = config.options.get("limits") or {}
-        clients, servers = self._room(1)
-        self.pools = Pools(
-            loop,
-            servers,
-            config.settings.connect_timeout_ms / 1000.0,
-            float(limits.get("connIdleMs") or 10_000.0) / 1000.0 * 0.6,
-        )
+        limits = connection_limits(config)
+        self.pools = _worker_pools(loop, config, limits.workers)
         reports = Reports(report_names(config.options.get("extra") or {}))
         self.runners = self.engine.servers = Runners(self.engine, self.pools, reports)
         self.front = PlatformFront(
             self.engine, config.settings, self.runners.called_back, config.accepts_requests
         )
-        self.acceptor = Acceptor(self.front, clients)
-        self.server: asyncio.Server | None = None
-        self.upgrade: Upgrade | None = None
-        self.roster: Roster | None = None
-        if config.membership is not None:
-            from grebestack.program import appliance
-
-            self.roster = appliance.roster(config.membership, self.engine)
-        self.fleet: Fleet | None = None
-        if config.cluster is not None:
-            from grebestack.program import (
-                cluster_member,  # only here: the platform's dispatchers share nothing
-            )
-
-            self.fleet = cluster_member.Fleet(self, config.cluster)
-        self.configuring: Configuring | None = None
-        if config.distribution is not None:
-            from grebestack.program import config_updates  # only here: nothing of it is on the platform
-
-            node = self.fleet.node if self.fleet is not None else None
-            self.configuring = config_updates.Configuring(loop, self, config.distribution, config.name, node)
-            self.reread = self.configuring.reread
-        self.auditor: Auditor | None = None
-        if config.audit is not None:
-            from grebestack.program import audit_recording  # only here: the platform gives no disk for it
-
-            self.auditor = audit_recording.Auditor(self, config.audit)
-        self.watch = self._source(config)
+        self.acceptor = Acceptor(self.front, limits.clients)
+        self.listener = ClientListener(loop, config, self.acceptor)
+        self.lifecycle = Lifecycle()
         self.jobs: JobService | None = None
-        self.life = Life()
-        self.ending = self.stopped = False
-        self.next_apply: asyncio.TimerHandle | None = None
-        self.tally = Tally()
-        self.done: asyncio.Future[None] = loop.create_future()
-
-    def _room(self, among: int) -> tuple[int, int]:
-        """Connections from clients at each front and to servers, where so many processes share the room."""
-        most, spare = self.config.max_sockets, SPARE_SOCKETS + (DOOR_SOCKETS if self.config.control else 0)
-        if among == 1:
-            budget = max(64, most - spare)
-            clients = budget * 13 // 20
-            return clients // (1 if self.config.drmaa is None else 2), budget - clients * 9 // 8
-        # Clients' connections pass from one process to the other, so that both have the whole of their room.
-        clients = most * 21 // 50
-        return clients, max(8, (most - clients * 9 // 8) // among - SHARED_SOCKETS)
-
-    def share(self, among: int) -> None:
-        """Keep to a part of the room for connections, with another process of an upgrade or without."""
-        clients, servers = self._room(among)
-        self.acceptor.resize(clients)
-        self.pools.keep_within(servers)
-
-    async def listen(self) -> None:
-        """Accept clients, at the address or on the socket that the platform holds."""
-        if self.server is not None:
-            return
-        if self.config.listen_fd is None:
-            self.server = await self.loop.create_server(self.acceptor, *self.config.listen, backlog=BACKLOG)
-        else:
-            try:
-                sock = socket.socket(fileno=os.dup(self.config.listen_fd))
-            except OSError as error:
-                raise StartError(f"RELAY_LISTEN_FD: {self.config.listen_fd} is no open socket") from error
-            self.server = await self.loop.create_server(self.acceptor, sock=sock, backlog=BACKLOG)
-        address = ":".join(map(str, self.config.listen))
-        log.info("listening", extra={"kv": {"name": self.config.name, "address": address}})
+        self.upgrade: Upgrade | None = None
+        self.is_stopped = False
+        self.roster = self._build_roster()
+        self.fleet = self._build_cluster_member()
+        self.configuring = self._build_config_updates()
+        self.auditor = self._build_auditor()
+        self.worker_sources = WorkerSources(loop, self.engine, self.reader, self.roster, self.fleet)
+        self.worker_source: Source | None = self.worker_sources.create(config)
+        self.reloader = ConfigReloader(self)
+        self.control = LifecycleControl(self)
+        self.traffic_log = TrafficLog(loop, self.engine, self.pools, self.acceptor, self._list_calls)
+
+    def _build_roster(self) -> Roster | None:
+        if self.config.membership is None:
+            return None
+        from grebestack.program import appliance
 
-    def stop_listening(self) -> None:
-        """Close this process's own copy of the listener."""
-        if self.server is not None:
-            self.server.close()
-            self.server = None
+        return appliance.roster(self.config.membership, self.engine)
+
+    def _build_cluster_member(self) -> Fleet | None:
+        if self.config.cluster is None:
+            return None
+        from grebestack.program import cluster_member
+
+        return cluster_member.Fleet(self, self.config.cluster)
+
+    def _build_config_updates(self) -> Configuring | None:
+        if self.config.distribution is None:
+            return None
+        from grebestack.program import config_updates
+
+        node = self.fleet.node if self.fleet is not None else None
+        configuring = config_updates.Configuring(
+            self.loop, self, self.config.distribution, self.config.name, node
+        )
+        self.read_config = configuring.reread
+        return configuring
+
+    def _build_auditor(self) -> Auditor | None:
+        if self.config.audit is None:
+            return None
+        from grebestack.program import audit_recording
+
+        return audit_recording.Auditor(self, self.config.audit)
+
+    def _list_calls(self) -> int:
+        return self.worker_source.calls if isinstance(self.worker_source, Watch) else 0
+
+    # What the parts use.
 
     @property
     def clock(self) -> Clock:
         """Monotonic time and the loop's timers."""
         return self.engine.clock
 
-    def _source(self, config: Config, follows: Watch | None = None) -> Source | None:
-        source = config.worker_source.kind
-        entries = config.worker_source.entries if source == "list" else ()
-        servers = [self.reader.server(raw, strict=True) for raw in entries]
-        listings: list[Listing] = [self.table]
-        if self.roster is not None and config.membership is not None:
-            stale_s = float("inf") if source == "list" else config.membership.stale_s
-            at = f" {':'.join(map(str, config.discovery))}" if source == "discovery" else ""
-            names = [f"{source}{at}"]
-            if config.worker_source.consul is not None:
-                names = [f"consul {service}" for service in config.worker_source.consul.services]
-            listings = [*self.roster.sources(names, stale_s * 1000.0, config.worker_source.snapshot_path)]
-        if source == "list":
-            self.loop.call_soon(listings[0].update, ListKind.FULL, servers)
-            return None
-        if self.fleet is not None and self.fleet.config.share_worker_source:
-            return self.fleet.share(listings, lambda tapped: self._reading(config, tapped, None))
-        return self._reading(config, listings, follows)
-
-    def _reading(
-        self, config: Config, listings: Sequence[Listing], follows: Watch | None
-    ) -> Watch | ConsulSource:
-        if config.worker_source.consul is not None:
-            from grebestack.program import appliance
-
-            pools = Pools(self.loop, 16, 2.0, 60.0, most_body=64 * 1024 * 1024)
-            clock = self.engine.clock
-            return appliance.consul(config.worker_source.consul, pools, clock, config.options, listings)
-        name_odd_discovery(config.options)
-        terms = terms_of(config.settings)
-        return Watch(self.loop, config.discovery, self.reader, listings[0], follows, terms)
+    def limit_connections(self, processes: int) -> None:
+        """Use a part of the connections that so many processes of a hot restart share."""
+        limits = connection_limits(self.config, processes)
+        self.acceptor.resize(limits.clients)
+        self.pools.keep_within(limits.workers)
+
+    def stop_listening(self) -> None:
+        """Close this process's own copy of the clients' listener."""
+        self.listener.close()
+
+    def fields_requiring_restart(self, config: Config) -> list[str]:
+        """Return the fields in which a configuration differs from the current one and that need a restart."""
+        return fields_requiring_restart(config, self.config)
+
+    def apply_config(self, config: Config) -> str:
+        """Apply a checked configuration, all of it or nothing; return why it can't be, or nothing."""
+        return self.reloader.apply(config)
+
+    def apply_lifecycle(self) -> None:
+        """Have readiness and the clients' connections follow `lifecycle`."""
+        self.control.apply()
+
+    def stop(self) -> None:
+        """Begin a stop, which is over when all requests are answered."""
+        self.control.stop()
+
+    # The run.
+
+    async def run(self, has_hung_up: Callable[[], bool] = lambda: False) -> None:
+        """Serve until SIGTERM or SIGINT has come and all requests are answered.
+
+        `has_hung_up` returns whether a SIGHUP came before its handler was there.
+        """
+        self._handle_signals(has_hung_up)
+        if self.config.listen_fd is not None:
+            await self._begin_hot_restart()
+        self._start_worker_source()
+        await self._start_servers()
+        self._wait_for_list(time.monotonic() + _LIST_TIMEOUT_S)
+        self.traffic_log.start()
+        sweep_periodically(self.loop, self.acceptor)
+        gc.collect()
+        gc.freeze()
+        await self.control.stopped
+        self.is_stopped = True
+        self._close_parts()
+
+    def _handle_signals(self, has_hung_up: Callable[[], bool]) -> None:
+        for number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(number, self.stop)
+        self.loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
+        if has_hung_up():  # perhaps after the configuration was read
+            self.loop.call_soon(self.reloader.reload)
+
+    async def _begin_hot_restart(self) -> None:
+        from grebestack.program.hot_restart import Upgrade
+
+        folder = os.environ.get("TMPDIR")
+        if not folder:
+            log.warning("no_upgrades", extra={"kv": {"why": "TMPDIR is not set"}})
+            return
+        self.upgrade = Upgrade(self, folder)
+        await self.upgrade.begin()
+
+    def _start_worker_source(self) -> None:
+        known = self.config.known_workers
+        if known and isinstance(self.worker_source, Watch) and not self.table.servers:
+            self.worker_source.known(known)
+        self.config = replace(self.config, known_workers={})  # may be large, and is for the start only
+        if self.worker_source is not None:
+            self.worker_source.start()
+
+    async def _start_servers(self) -> None:
+        if self.configuring is not None:  # first, so that no client is served under an older version
+            await self._start_cluster()
+            await self.configuring.start()
+        if self.config.drmaa is not None:
+            await self._start_drmaa(self.config.drmaa)
+        if self.upgrade is None or self.upgrade.pact.elder is None:
+            await self.listener.open()
+        if self.configuring is None:
+            await self._start_cluster()
+
+    async def _start_cluster(self) -> None:
+        if self.fleet is not None:
+            await self.fleet.start()
+        if self.config.control is not None:
+            await self._start_admin_server(self.config.control)
 
     async def _start_drmaa(self, config: DrmaaConfig) -> None:
-        from grebestack.program import appliance  # only here: the platform's memory has no room for it
+        from grebestack.program import appliance
 
         self.jobs, front = appliance.start(
             self.engine, self.runners, self.config, config, self.roster, self.fleet
         )
         acceptor = Acceptor(front, self.acceptor.most, config.max_body_bytes)
-        self._sweep(acceptor)
+        sweep_periodically(self.loop, acceptor)
         await self.loop.create_server(acceptor, *config.listen, backlog=BACKLOG)
         log.info("drmaa_listening", extra={"kv": {"address": ":".join(map(str, config.listen))}})
 
-    async def _open_door(self, address: Address) -> None:
-        from grebestack.admin.server import Door  # only here: where there is no door nothing is loaded for it
+    async def _start_admin_server(self, address: Address) -> None:
+        from grebestack.admin.server import Door
         from grebestack.program.admin_operations import OwnOperations
 
         operations = OwnOperations(self) if self.upgrade is None else self.upgrade
-        shared = True if self.upgrade is not None else None  # two processes may have the same address then
-        await self.loop.create_server(Door(self.loop, operations), *address, backlog=64, reuse_port=shared)
+        reuse_port = True if self.upgrade is not None else None  # for both processes of a hot restart
+        await self.loop.create_server(
+            Door(self.loop, operations), *address, backlog=_ADMIN_BACKLOG, reuse_port=reuse_port
+        )
         log.info("control_listening", extra={"kv": {"address": ":".join(map(str, address))}})
 
-    async def run(self, hung_up: Callable[[], bool] = lambda: False) -> None:
-        """Serve until SIGTERM or SIGINT, and all is answered then; `hung_up`: SIGHUP has come already."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.stop)
-        self.loop.add_signal_handler(signal.SIGHUP, self.reload)
-        if hung_up():  # perhaps before the configuration was read, perhaps after
-            self.loop.call_soon(self.reload)
-        if self.config.listen_fd is not None:
-            await self._begin_upgrade()
-        if self.config.known_workers and isinstance(self.watch, Watch) and not self.table.servers:
-            self.watch.known(self.config.known_workers)
-        self.config = replace(self.config, known_workers={})  # it may be long, and is of a start alone
-        if self.watch is not None:
-            self.watch.start()
-        if self.configuring is not None:  # before anybody is served, so that nobody is under an older version
-            if self.fleet is not None:
-                await self.fleet.start()
-            if self.config.control is not None:
-                await self._open_door(self.config.control)
-            await self.configuring.start()
-        if self.config.drmaa is not None:
-            await self._start_drmaa(self.config.drmaa)
-        if self.upgrade is None or self.upgrade.pact.elder is None:
-            await self.listen()
-        if self.fleet is not None and self.configuring is None:
-            await self.fleet.start()
-        if self.config.control is not None and self.configuring is None:
-            await self._open_door(self.config.control)
-        self._when_listed(time.monotonic() + LIST_WAIT_S)
-        self._stats()
-        self._tally()
-        self._sweep(self.acceptor)
-        gc.collect()
-        gc.freeze()
-        await self.done
-        self.stopped = True
-        self.stop_listening()
-        if self.configuring is not None:
-            self.configuring.stop()
-        if self.fleet is not None:
-            self.fleet.stop()
-        if self.watch is not None:
-            self.watch.stop()
-        if self.auditor is not None:
-            self.auditor.stop()
-        if self.jobs is not None:
-            self.jobs.record_notes()
-            self.jobs.store.close()
-
-    def _when_listed(self, until: float) -> None:
-        """Ready once the list is up to date: the one held before the start may name servers that drain."""
-        if self.life.stage is Stage.STOPPING:
+    def _wait_for_list(self, until_s: float) -> None:
+        """Serve once the endpoint list is up to date: a remembered one may name workers that drain."""
+        if self.lifecycle.stage is Stage.STOPPING:
+            return
+        if not self.table.known and time.monotonic() < until_s:
+            self.loop.call_later(_LIST_CHECK_INTERVAL_S, self._wait_for_list, until_s)
             return
-        if self.table.known or time.monotonic() >= until:
-            if isinstance(self.watch, Watch):
-                self.watch.use_known()
-            if self.upgrade is None:
-                self._serve()
-            else:
-                self.upgrade.started()
+        if isinstance(self.worker_source, Watch):
+            self.worker_source.use_known()
+        if self.upgrade is None:
+            self._serve()
         else:
-            self.loop.call_later(0.01, self._when_listed, until)
+            self.upgrade.started()
 
     async def accept_and_serve(self) -> None:
-        """Accept clients and say so: at the end of the start, or again once the heir is lost."""
-        await self.listen()
+        """Accept clients and become ready: when the start is over, or again when the successor is lost."""
+        await self.listener.open()
         self._serve()
 
     def _serve(self) -> None:
-        self.life.started(self.engine.clock.now_ms())
-        self.apply()
+        self.lifecycle.finish_start(self.clock.now_ms())
+        self.apply_lifecycle()
         kv: dict[str, object] = {"servers": len(self.table.servers), "live": self.table.known}
-        if self.life.ready:
+        if self.lifecycle.is_ready:
             log.info("ready", extra={"kv": kv})
         else:
-            log.info("not_ready", extra={"kv": kv | {"state": self.life.stage.value}})
-
-    async def _begin_upgrade(self) -> None:
-        from grebestack.program.hot_restart import Upgrade  # only here: it is no part of other days
+            log.info("not_ready", extra={"kv": kv | {"state": self.lifecycle.stage.value}})
 
-        folder = os.environ.get("TMPDIR")
-        if not folder:
-            log.warning("no_upgrades", extra={"kv": {"why": "TMPDIR is not set"}})
-            return
-        self.upgrade = Upgrade(self, folder)
-        await self.upgrade.begin()
+    def _close_parts(self) -> None:
+        self.listener.close()
+        for part in (self.configuring, self.fleet, self.worker_source, self.auditor):
+            if part is not None:
+                part.stop()
+        if self.jobs is not None:
+            self.jobs.record_notes()
+            self.jobs.store.close()
 
-    def _stats(self) -> None:
-        kv = dict(self.engine.counts) | {
-            "open": len(self.engine.open_by_call_id),
-            "clients": len(self.acceptor.connections),
-            "server_connections": sum(len(pool.all) for pool in self.pools.pools.values()),
-        }
-        log.info("stats", extra={"kv": kv})
-        self.loop.call_later(STATS_S, self._stats)
 
-    def _tally(self) -> None:
-        """One line a second by which the logs of many dispatchers are counted together.
+def _worker_pools(loop: asyncio.AbstractEventLoop, config: Config, connections: int) -> Pools:
+    limits = config.options.get("limits") or {}
+    idle_timeout_ms = float(limits.get("connIdleMs") or _DEFAULT_IDLE_TIMEOUT_MS)
+    return Pools(
+        loop,
+        connections,
+        config.settings.connect_timeout_ms / 1000.0,
+        idle_timeout_ms / 1000.0 * _IDLE_TIMEOUT_FRACTION,
+    )
 
-        See benchmarks/fleet_counts.py.
-        """
-        self.loop.call_later(TALLY_S, self._tally)
-        sent, out = self.engine.tally()
-        counts = dict(self.engine.counts) | {
-            "dials": self.pools.tried,
-            "not_up": self.pools.not_up,
-            "list_calls": self.watch.calls if isinstance(self.watch, Watch) else 0,
-        }
-        if kv := self.tally.pairs(counts, sent, out):
-            log.info("tally", extra={"kv": kv})
-
-    def _sweep(self, acceptor: Acceptor) -> None:
-        acceptor.sweep()
-        self.loop.call_later(SWEEP_S, self._sweep, acceptor)
-
-    def reload(self) -> None:
-        """Read the configuration again, take its settings and move to the server source that it names.
-
-        Sessions go on as they came. What else has changed waits for a restart, and a file that can't be used
-        changes nothing.
-        """
-        try:
-            config = self.reread()
-            check_reload(config, self.config)
-        except ConfigError as error:
-            log.error("reload_failed", extra={"kv": {"error": error}})
-            return
-        self.adopt(config)
 
-    def waits(self, config: Config) -> list[str]:
-        """The fields in which a configuration differs from the one in force and that wait for a restart."""
-        fixed = dict(_SHOWN_NAME_BY_FIELD)
-        if self.config.drmaa is not None:
-            fixed["options"] = "options"  # the store's records name classes by their place
-        waits = [
-            shown for name, shown in fixed.items() if getattr(config, name) != getattr(self.config, name)
-        ]
-        if self.config.drmaa is None and config.options != self.config.options:
-            waits += unmoved(self.config.options, config.options)
-        return waits
-
-    def adopt(self, config: Config) -> str:
-        """Take the settings of a checked configuration and move to the server source that it names.
-
-        Why it can't be, or nothing; nothing has changed where it can't.
-        """
-        moved = (config.discovery, config.worker_source) != (self.config.discovery, self.config.worker_source)
-        settings = (self.config.options, self.config.settings, self.config.key_paths)
-        waits = self.waits(config)
-        resettled = self.config.drmaa is None and config.options != self.config.options
-        if resettled:
-            self._resettle(config)
-        address = ":".join(map(str, config.discovery))
-        kv = {"servers": address, "moved": moved, "waits_for_restart": ",".join(waits)}
-        log.info("reloaded", extra={"kv": kv})
-        if not moved or self.stopped:
-            return ""
-        former = self.watch
-        config = replace(self.config, discovery=config.discovery, worker_source=config.worker_source)
-        try:
-            watch = self._source(config, former if isinstance(former, Watch) else None)
-        except (ValueError, KeyError, TypeError) as error:  # guards the old source against a malformed list
-            log.error("reload_failed", extra={"kv": {"error": repr(error)}})
-            if resettled:
-                options, former_settings, keys = settings
-                self._resettle(
-                    replace(self.config, options=options, settings=former_settings, key_paths=keys)
-                )
-            return f"servers: {error!r}"
-        if former is not None:
-            former.retire()
-        self.config, self.watch = config, watch
-        if self.auditor is not None:
-            self.auditor.moved()
-        if self.watch is not None:
-            self.watch.start()
-        return ""
-
-    def _resettle(self, config: Config) -> None:
-        former = self.engine.settings
-        settings = merged(former, config.settings)
-        self.config = replace(
-            self.config, options=config.options, settings=settings, key_paths=config.key_paths
-        )
-        if self.auditor is not None:  # before: what is decided from now on is decided under them
-            self.auditor.settled(config.options)
-        self.engine.resettle(settings)
-        self.front.resettle(settings)
-        self.pools.connect_timeout_s = settings.connect_timeout_ms / 1000.0
-        names = [c.name for i, c in enumerate(settings.classes) if i not in settings.retired]
-        kv = {"classes": ",".join(names), "attempts": settings.max_attempts}
-        log.info("settings_changed", extra={"kv": kv})
-
-    def apply(self) -> None:
-        """Have readiness and the clients' connections follow the state, now and when it changes with time."""
-        now = self.engine.clock.now_ms()
-        longest_ms = max(c.deadline_ms for c in self.config.settings.classes)
-        clients, at_ms = self.life.clients(now, longest_ms)
-        stopping = self.life.stage is Stage.STOPPING
-        self.front.ready, self.front.leaving = self.life.ready, stopping
-        self.front.closing = clients is Clients.AWAY
-        led = Leading.NONE if clients is Clients.KEPT else Leading.ALL if stopping else Leading.CLIENTS
-        self.acceptor.lead(led)
-        if self.next_apply is not None:
-            self.next_apply.cancel()
-            self.next_apply = None
-        if at_ms < float("inf"):
-            self.next_apply = self.loop.call_later(max(0.001, (at_ms - now) / 1000.0), self.apply)
-        elif stopping and not self.ending:  # a call at the door comes here too: the end is awaited once
-            self.ending = True
-            self._end()
+def run(
+    config: Config, read_config: Callable[[], Config], has_hung_up: Callable[[], bool] = lambda: False
+) -> None:
+    """Run one dispatcher on uvloop; `read_config` reads its configuration again.
 
-    def stop(self) -> None:
-        """Not ready any more; what still comes is served, and the end follows when all is answered."""
-        now = self.engine.clock.now_ms()
-        if not self.life.stop(now):
-            return
-        if self.jobs is not None:
-            self.jobs.stop()
-        if self.upgrade is not None:
-            self.upgrade.stop()
-        if self.fleet is not None:
-            self.fleet.leave()
-        log.info("stopping", extra={"kv": {"open": len(self.engine.open_by_call_id)}})
-        due_ms = self.life.due_ms(max(c.deadline_ms for c in self.config.settings.classes))
-        self.loop.call_later(LATE_MS / 1000.0, self.front.end_by, due_ms)
-        if self.upgrade is not None:
-            self.loop.call_later(max(0.0, (due_ms - now) / 1000.0 - LET_GO_S), self.upgrade.let_go)
-        self.apply()
-
-    def _end(self) -> None:
-        # A client that has its last answer reads it, and a request that has begun is answered. Clients of a
-        # process that has handed over owe more: theirs are the heir's as soon as they are idle.
-        longest_ms = max(c.deadline_ms for c in self.config.settings.classes)
-        handing = self.life.retired
-        due_ms = self.life.due_ms(KILL_DEADLINE_MS if handing else longest_ms)
-        engaged = self.acceptor.engaged_now(math.inf if handing else LEAVE_S)
-        if self.engine.open_by_call_id or (engaged and self.engine.clock.now_ms() < due_ms):
-            self.loop.call_later(0.02, self._end)
-        elif not self.done.done():
-            log.info("stopped", extra={"kv": dict(self.engine.counts)})
-            self.loop.call_later(0.05, self.done.set_result, None)  # the last answers leave
-
-
-def run(config: Config, reread: Callable[[], Config], hung_up: Callable[[], bool] = lambda: False) -> None:
-    """Run one dispatcher on uvloop; `reread` reads its configuration again."""
+    Raises
+    ------
+    StartError, OSError : it can't start.
+    """
 
     async def main() -> None:
-        await Dispatcher(config, asyncio.get_running_loop(), reread).run(hung_up)
+        await Dispatcher(config, asyncio.get_running_loop(), read_config).run(has_hung_up)
 
     uvloop.run(main())
--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -6,9 +6,9 @@
 import logging
 import os
 import socket
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Coroutine, Iterator
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 from grebestack.admin.commands import Answer, Call, Verb
 from grebestack.core import checkpoint
@@ -16,6 +16,7 @@
 from grebestack.hot_restart import state_machine as api
 from grebestack.hot_restart.channel import Channel, MeetingPoint, read_file, write_note
 from grebestack.hot_restart.framing import MOST_FILE, FrameError, Message, note, read_note
+from grebestack.program import admin_operations
 from grebestack.program.admin_operations import OwnOperations
 from grebestack.protocol.platform import MARGIN_MS
 from grebestack.protocol.platform import Answer as PlatformAnswer
@@ -26,7 +27,11 @@
 
 if TYPE_CHECKING:
     from grebestack.admin.server import Reply
-    from grebestack.program.dispatcher import Dispatcher
+    from grebestack.protocol.lists import ListReader
+    from grebestack.protocol.platform import PlatformFront
+    from grebestack.protocol.runners import Runners
+    from grebestack.routing.engine import Engine
+    from grebestack.transport.server import Acceptor
 
 log = logging.getLogger(__name__)
 FOLDER = "grebestack"  # in $TMPDIR
@@ -42,10 +47,30 @@
 MOST_TOLD = 20_000  # names and ids that are told to an heir
 
 
+class RestartableDispatcher(admin_operations.Dispatcher, Protocol):
+    """A dispatcher that can be taken over, and can take over."""
+
+    loop: asyncio.AbstractEventLoop
+    reader: ListReader
+    engine: Engine
+    runners: Runners
+    front: PlatformFront
+    acceptor: Acceptor
+
+    def limit_connections(self, processes: int) -> None:
+        """Use a part of the connections that so many processes share."""
+
+    def stop_listening(self) -> None:
+        """Close this process's copy of the listener."""
+
+    def accept_and_serve(self) -> Coroutine[Any, Any, None]:
+        """Listen for clients and become ready."""
+
+
 class Upgrade:
     """This process's side of an upgrade: of the one it began with, and of the next."""
 
-    def __init__(self, dispatcher: Dispatcher, folder: str) -> None:
+    def __init__(self, dispatcher: RestartableDispatcher, folder: str) -> None:
         self.dispatcher, self.loop = dispatcher, dispatcher.loop
         self.path = os.path.join(folder, FOLDER)
         self.meeting = MeetingPoint(self.loop, self.path)
@@ -186,7 +211,7 @@
         elif isinstance(action, api.Count):
             self._count(action.what)
         elif isinstance(action, api.Share):
-            self.dispatcher.share(action.among)
+            self.dispatcher.limit_connections(action.among)
         elif isinstance(action, api.Meet):
             if action.on:
                 self.meeting.hold(self._met)
@@ -222,7 +247,7 @@
         return {
             "is": "welcome",
             "bans": sorted(d.table.cordoned),
-            "quiesced": d.life.quiesced,
+            "quiesced": d.lifecycle.quiesced,
             "names": list(d.table.names)[-MOST_TOLD:],
             "servers": servers,
             "clock": d.reader.unix_to_clock_ms,
@@ -239,7 +264,7 @@
                 d.table.cordon(name, False)
             self._ban(bans)
             if what["quiesced"]:
-                d.life.quiesce(d.clock.now_ms())
+                d.lifecycle.quiesce(d.clock.now_ms())
             if not d.table.known:  # else it comes late, and what is known is newer
                 # Before the list: what a cold server may be sent is drawn when it is listed, from how many
                 # slots its kind has and how long jobs run. After it: what is known of each server.
@@ -271,7 +296,7 @@
         d = self.dispatcher
         d.acceptor.handing = None
         d.engine.on_sent = d.engine.on_ended = lambda dispatch: None
-        d.life.retire(False, d.clock.now_ms())
+        d.lifecycle.retire(False, d.clock.now_ms())
         task = self.loop.create_task(d.accept_and_serve())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -279,8 +304,8 @@
     def _retire(self, to: int | None) -> None:
         d = self.dispatcher
         d.stop_listening()
-        d.life.retire(True, d.clock.now_ms())
-        d.apply()
+        d.lifecycle.retire(True, d.clock.now_ms())
+        d.apply_lifecycle()
         assert to is not None
         out = [self._told(dispatch) for session in d.engine.sessions.values() for dispatch in session.out()]
         opened = list(d.engine.open_by_call_id)[-MOST_TOLD:]
@@ -313,7 +338,7 @@
 
     def _hand_all(self, to: int) -> None:
         self.again = None
-        if to in self.channels and self.dispatcher.life.retired:
+        if to in self.channels and self.dispatcher.lifecycle.retired:
             self.dispatcher.acceptor.hand_over(partial(self._hand, to))
 
     def _hand(self, to: int, connection: Connection, idle: bool) -> bool:
@@ -332,7 +357,7 @@
     def _jobs(self, to: int) -> Iterator[tuple[Session, PlatformAnswer]]:
         """The open jobs whose clients' connections can go to the heir, as long as it is there."""
         for session in self.dispatcher.engine.open_sessions():
-            if to not in self.channels or not self.dispatcher.life.retired:
+            if to not in self.channels or not self.dispatcher.lifecycle.retired:
                 return
             if isinstance(session.frontend, PlatformAnswer) and session.frontend.connection.can_part():
                 yield session, session.frontend
@@ -344,7 +369,7 @@
 
     def _hand_jobs(self, to: int) -> None:
         """Hand over the jobs that no runner has been sent, now and later; see `let_go` for the others."""
-        if to not in self.channels or not self.dispatcher.life.retired:
+        if to not in self.channels or not self.dispatcher.lifecycle.retired:
             return
         self.loop.call_later(JOBS_S, self._hand_jobs, to)
         for session, answer in self._jobs(to):
@@ -453,7 +478,7 @@
     def call(self, call: Call, reply: Reply) -> None:
         """An operator's call: carried out here and by the other process before it is a SUCCESS."""
         answer = self._own(call)
-        if call.verb is Verb.RESUME and self.dispatcher.life.retired:
+        if call.verb is Verb.RESUME and self.dispatcher.lifecycle.retired:
             answer = Answer(True, "said to the process that serves")  # this one may be stopping
         if call.verb is Verb.HEALTH or not answer.done or not self.pact.peers:
             reply(answer)
--- a/grebestack/program/lifecycle.py
+++ b/grebestack/program/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a dispatcher: what it is ready for, and what becomes of its clients' connections. Pure.
+"""The lifecycle of a dispatcher: when it is ready, and how it treats its clients' connections. Pure.
 
 All times are milliseconds on one monotonic clock, given as arguments.
 """
@@ -10,52 +10,52 @@
 from enum import Enum
 
 KILL_MS = 700.0  # after SIGTERM the kill comes no sooner than this and the longest deadline
-KILL_DEADLINE_MS = 3000.0  # which counts as this much where it is longer
-KILL_MARGIN_MS = 200.0  # what came late is answered so long before the kill
-LATE_MS = 650.0  # what comes later than this after SIGTERM is late
-LINGER = 0.45  # the part of that deadline for which clients' connections are kept
-LAST_MS = 200.0  # a job may cross the close of its connection
-KEPT_MS = 350.0  # after `quiesce` the front still deals out connections for about so long
-LED_MS = 1600.0  # and after this no job is taken any more: at 4 s none may be left that came in the last 2 s
+KILL_DEADLINE_MS = 3000.0  # a longer deadline counts as this much
+KILL_MARGIN_MS = 200.0  # between the answers to late requests and the kill
+LATE_MS = 650.0  # a request is late when it arrives longer than this after SIGTERM
+STOP_KEEP_FRACTION = 0.45  # of the longest deadline, for which a stop keeps clients' connections
+STOP_DRAIN_MS = 200.0  # a request may cross the close of its connection
+QUIESCE_KEEP_MS = 350.0  # the platform's front still gives out connections for about so long
+QUIESCE_DRAIN_MS = 1600.0  # then no request is accepted: at 4 s none of the last 2 s may be open
 
 
 class Stage(Enum):
-    """Where a dispatcher is in its life."""
+    """Where a dispatcher is in its lifecycle."""
 
     STARTING = "starting"
     SERVING = "serving"
     QUIESCED = "quiesced"
-    RETIRED = "handed over"  # another process of an upgrade has taken over
+    RETIRED = "handed over"  # the successor of a hot restart serves
     STOPPING = "stopping"
 
 
-class Clients(Enum):
-    """What becomes of clients: they are kept, led out in order, or turned away as well."""
+class ClientHandling(Enum):
+    """How clients' connections are treated: they stay, are closed in order, or are turned away as well."""
 
-    KEPT = "kept"
-    LED = "led out"
-    AWAY = "turned away"
+    KEEP = "kept"
+    DRAIN = "led out"
+    REJECT = "turned away"
 
 
 @dataclass(slots=True)
-class Life:
-    """The state and since when it holds. A stop wins over all else."""
+class Lifecycle:
+    """The stage, and since when it holds. A stop takes precedence over everything else."""
 
     stage: Stage = Stage.STARTING
     since_ms: float = 0.0
-    listed: bool = False  # the start is over: the list is up to date, or was waited for long enough
-    quiesced: bool = False  # the operators' word, which holds during the start too
-    retired: bool = False  # the other process of an upgrade serves; clients are handed to it
+    start_finished: bool = False  # the endpoint list is up to date, or was waited for long enough
+    quiesced: bool = False  # by the operator; remembered during the start too
+    retired: bool = False  # by the successor of a hot restart, which receives the clients
 
     @property
-    def ready(self) -> bool:
-        """Whether new clients may come."""
+    def is_ready(self) -> bool:
+        """Whether new clients may connect."""
         return self.stage is Stage.SERVING
 
-    def _go_on(self, now_ms: float) -> None:
+    def _update_stage(self, now_ms: float) -> None:
         if self.stage is Stage.STOPPING:
             return
-        stage = Stage.SERVING if self.listed else Stage.STARTING
+        stage = Stage.SERVING if self.start_finished else Stage.STARTING
         if self.retired:
             stage = Stage.RETIRED
         elif self.quiesced:
@@ -63,52 +63,56 @@
         if stage is not self.stage:
             self.stage, self.since_ms = stage, now_ms
 
-    def started(self, now_ms: float) -> None:
+    def finish_start(self, now_ms: float) -> None:
         """The start is over."""
-        self.listed = True
-        self._go_on(now_ms)
+        self.start_finished = True
+        self._update_stage(now_ms)
 
     def quiesce(self, now_ms: float) -> None:
-        """Empty the dispatcher."""
+        """Drain the dispatcher."""
         self.quiesced = True
-        self._go_on(now_ms)
+        self._update_stage(now_ms)
 
-    def retire(self, on: bool, now_ms: float) -> None:
-        """Another process has taken over, or is lost again."""
-        self.retired = on
-        self._go_on(now_ms)
+    def retire(self, retired: bool, now_ms: float) -> None:
+        """The successor of a hot restart serves, or is lost again."""
+        self.retired = retired
+        self._update_stage(now_ms)
 
     def resume(self, now_ms: float) -> bool:
-        """End of the drain; False where a stop has begun, which nothing takes back."""
+        """End the drain; False where a stop has begun, which can't be reverted."""
         self.quiesced = False
-        self._go_on(now_ms)
+        self._update_stage(now_ms)
         return self.stage is not Stage.STOPPING
 
     def stop(self, now_ms: float) -> bool:
-        """A planned stop; False if one has begun before."""
+        """Begin a planned stop; False if one has begun before."""
         if self.stage is Stage.STOPPING:
             return False
         self.stage, self.since_ms = Stage.STOPPING, now_ms
         return True
 
-    def clients(self, now_ms: float, longest_ms: float = KILL_DEADLINE_MS) -> tuple[Clients, float]:
-        """What becomes of clients now, and when that changes next; `longest_ms` is the longest deadline."""
-        kept = self.since_ms
+    def client_handling(
+        self, now_ms: float, longest_deadline_ms: float = KILL_DEADLINE_MS
+    ) -> tuple[ClientHandling, float]:
+        """Return how clients are treated now, and the time at which that changes next (inf: never)."""
         if self.retired:
-            return Clients.KEPT, math.inf  # they are handed over
+            return ClientHandling.KEEP, math.inf  # they are handed over
         if self.stage is Stage.QUIESCED:
-            kept, away = self.since_ms + KEPT_MS, self.since_ms + LED_MS
+            keep_until, drain_until = self.since_ms + QUIESCE_KEEP_MS, self.since_ms + QUIESCE_DRAIN_MS
         elif self.stage is Stage.STOPPING:
-            # Guards a roll: clients stay as long as a job can still end here, since the other dispatchers may
-            # be just starting, and each job is answered before the kill.
-            kept += KILL_MS + LINGER * min(longest_ms, KILL_DEADLINE_MS)
-            away = kept + LAST_MS
+            # In a rolling restart the other dispatchers may be just starting, so clients stay as long as a
+            # request can still be answered before the kill.
+            keep_ms = KILL_MS + STOP_KEEP_FRACTION * min(longest_deadline_ms, KILL_DEADLINE_MS)
+            keep_until = self.since_ms + keep_ms
+            drain_until = keep_until + STOP_DRAIN_MS
         else:
-            return Clients.KEPT, math.inf
-        if now_ms < kept:
-            return Clients.KEPT, kept
-        return (Clients.LED, away) if now_ms < away else (Clients.AWAY, math.inf)
-
-    def due_ms(self, longest_ms: float) -> float:
-        """By when the answer to what comes late after a stop is due: before the kill."""
-        return self.since_ms + KILL_MS + min(longest_ms, KILL_DEADLINE_MS) - KILL_MARGIN_MS
+            return ClientHandling.KEEP, math.inf
+        if now_ms < keep_until:
+            return ClientHandling.KEEP, keep_until
+        if now_ms < drain_until:
+            return ClientHandling.DRAIN, drain_until
+        return ClientHandling.REJECT, math.inf
+
+    def late_answer_deadline_ms(self, longest_deadline_ms: float) -> float:
+        """Return by when a request that arrived late in a stop is answered: before the kill."""
+        return self.since_ms + KILL_MS + min(longest_deadline_ms, KILL_DEADLINE_MS) - KILL_MARGIN_MS
--- /dev/null
+++ b/grebestack/program/lifecycle_control.py
@@ -0,0 +1,115 @@
+"""Carries out the lifecycle of a dispatcher: readiness, its clients' connections, and the stop."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import math
+from typing import TYPE_CHECKING, Protocol
+
+from grebestack.program.config.model import Config
+from grebestack.program.lifecycle import KILL_DEADLINE_MS, LATE_MS, ClientHandling, Lifecycle, Stage
+from grebestack.protocol.platform import PlatformFront
+from grebestack.routing.engine import Engine
+from grebestack.transport.server import Acceptor, Leading
+
+if TYPE_CHECKING:
+    from grebestack.jobs.service import JobService
+    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.hot_restart import Upgrade
+
+log = logging.getLogger(__name__)
+_READ_ANSWER_S = 0.5  # a stop waits this long for a client to read its last answer, or to end a request
+_HANDOVER_BEFORE_DEADLINE_S = 0.6  # a predecessor gives up its last requests before late answers are due
+_IDLE_CHECK_INTERVAL_S = 0.02
+_FLUSH_S = 0.05  # for the last answers to leave
+_MIN_TIMER_S = 0.001
+
+
+class StoppableDispatcher(Protocol):
+    """What the lifecycle acts on."""
+
+    config: Config
+    loop: asyncio.AbstractEventLoop
+    lifecycle: Lifecycle
+    engine: Engine
+    front: PlatformFront
+    acceptor: Acceptor
+    jobs: JobService | None
+    upgrade: Upgrade | None
+    fleet: Fleet | None
+
+
+class LifecycleControl:
+    """Applies the lifecycle's state to a dispatcher. `stopped` is done when the process may end."""
+
+    def __init__(self, dispatcher: StoppableDispatcher) -> None:
+        """Act for a dispatcher; nothing is applied yet."""
+        self.dispatcher = dispatcher
+        self.stopped: asyncio.Future[None] = dispatcher.loop.create_future()
+        self._is_ending = False
+        self._next_change: asyncio.TimerHandle | None = None
+
+    def _longest_deadline_ms(self) -> float:
+        return max(c.deadline_ms for c in self.dispatcher.config.settings.classes)
+
+    def apply(self) -> None:
+        """Have readiness and the clients' connections follow the state, now and when it changes with time."""
+        dispatcher, lifecycle = self.dispatcher, self.dispatcher.lifecycle
+        now_ms = dispatcher.engine.clock.now_ms()
+        handling, change_ms = lifecycle.client_handling(now_ms, self._longest_deadline_ms())
+        is_stopping = lifecycle.stage is Stage.STOPPING
+        dispatcher.front.ready, dispatcher.front.leaving = lifecycle.is_ready, is_stopping
+        dispatcher.front.closing = handling is ClientHandling.REJECT
+        dispatcher.acceptor.lead(_connections_to_close(handling, is_stopping))
+        if self._next_change is not None:
+            self._next_change.cancel()
+            self._next_change = None
+        if change_ms < math.inf:
+            delay_s = max(_MIN_TIMER_S, (change_ms - now_ms) / 1000.0)
+            self._next_change = dispatcher.loop.call_later(delay_s, self.apply)
+        elif is_stopping and not self._is_ending:  # an admin command applies the state again
+            self._is_ending = True
+            self._end_when_idle()
+
+    def stop(self) -> None:
+        """Begin a stop: not ready any more; it is over when all requests are answered."""
+        dispatcher = self.dispatcher
+        now_ms = dispatcher.engine.clock.now_ms()
+        if not dispatcher.lifecycle.stop(now_ms):
+            return
+        if dispatcher.jobs is not None:
+            dispatcher.jobs.stop()
+        if dispatcher.upgrade is not None:
+            dispatcher.upgrade.stop()
+        if dispatcher.fleet is not None:
+            dispatcher.fleet.leave()
+        log.info("stopping", extra={"kv": {"open": len(dispatcher.engine.open_by_call_id)}})
+        deadline_ms = dispatcher.lifecycle.late_answer_deadline_ms(self._longest_deadline_ms())
+        dispatcher.loop.call_later(LATE_MS / 1000.0, dispatcher.front.end_by, deadline_ms)
+        if dispatcher.upgrade is not None:
+            handover_s = max(0.0, (deadline_ms - now_ms) / 1000.0 - _HANDOVER_BEFORE_DEADLINE_S)
+            dispatcher.loop.call_later(handover_s, dispatcher.upgrade.let_go)
+        self.apply()
+
+    def _end_when_idle(self) -> None:
+        """End once the last answers are read and requests that have begun to arrive are answered.
+
+        A process that has handed over waits longer: its clients move to the successor as they become idle.
+        """
+        dispatcher, retired = self.dispatcher, self.dispatcher.lifecycle.retired
+        longest_ms = KILL_DEADLINE_MS if retired else self._longest_deadline_ms()
+        deadline_ms = dispatcher.lifecycle.late_answer_deadline_ms(longest_ms)
+        engaged = dispatcher.acceptor.engaged_now(math.inf if retired else _READ_ANSWER_S)
+        is_due = dispatcher.engine.clock.now_ms() >= deadline_ms
+        if dispatcher.engine.open_by_call_id or (engaged and not is_due):
+            dispatcher.loop.call_later(_IDLE_CHECK_INTERVAL_S, self._end_when_idle)
+        elif not self.stopped.done():
+            log.info("stopped", extra={"kv": dict(dispatcher.engine.counts)})
+            dispatcher.loop.call_later(_FLUSH_S, self.stopped.set_result, None)
+
+
+def _connections_to_close(handling: ClientHandling, is_stopping: bool) -> Leading:
+    if handling is ClientHandling.KEEP:
+        return Leading.NONE
+    return Leading.ALL if is_stopping else Leading.CLIENTS
--- a/grebestack/program/rolling_restart.py
+++ b/grebestack/program/rolling_restart.py
@@ -29,7 +29,7 @@
 from grebestack.consensus.messages import Plan
 from grebestack.consensus.register import Value
 from grebestack.program.cluster_task import Attendance
-from grebestack.program.lifecycle import LED_MS, Life
+from grebestack.program.lifecycle import QUIESCE_DRAIN_MS, Lifecycle
 from grebestack.routing.interfaces import Clock
 
 log = logging.getLogger(__name__)
@@ -41,14 +41,14 @@
 class Host(Protocol):
     """The dispatcher that is restarted."""
 
-    life: Life
+    lifecycle: Lifecycle
 
     @property
     def clock(self) -> Clock:
         """The time."""
 
-    def apply(self) -> None:
-        """Have all follow the state of `life`."""
+    def apply_lifecycle(self) -> None:
+        """Have all follow the state of `lifecycle`."""
 
     def stop(self) -> None:
         """End once all is answered."""
@@ -69,7 +69,7 @@
         self.attendance = Attendance(node, self.clock, TASK, said, self._heard, self._look)
 
     def _look(self, now: float) -> float:
-        mine = State(self.node.member.life, self.dispatcher.life.ready)
+        mine = State(self.node.member.life, self.dispatcher.lifecycle.is_ready)
         self.known[self.node.settings.name] = Known(mine, now)
         if now >= self.tell_ms:
             self.tell_ms = now + LOOK_MS
@@ -120,9 +120,9 @@
         self.highest, self.going = go.token, True
         log.info("fleet_restart", extra={"kv": {"told_by": name, "number": go.number}})
         now = self.clock.now_ms()
-        self.dispatcher.life.quiesce(now)
-        self.dispatcher.apply()
-        self.clock.call_at(now + LED_MS + LEAVE_MS, self.dispatcher.stop)
+        self.dispatcher.lifecycle.quiesce(now)
+        self.dispatcher.apply_lifecycle()
+        self.clock.call_at(now + QUIESCE_DRAIN_MS + LEAVE_MS, self.dispatcher.stop)
 
     # The door.
 
--- /dev/null
+++ b/grebestack/program/worker_sources.py
@@ -0,0 +1,97 @@
+"""Creates the source that feeds the worker table: discovery, Consul, another member, or the file's list."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from grebestack.core.api import ListKind
+from grebestack.program.config.model import Config
+from grebestack.protocol.discovery import Watch, terms_of
+from grebestack.protocol.lists import ListReader
+from grebestack.protocol.settings import name_odd_discovery
+from grebestack.routing.engine import Engine
+from grebestack.routing.interfaces import Listing
+from grebestack.transport.client import Pools
+
+if TYPE_CHECKING:
+    from grebestack.consul.source import ConsulSource
+    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.shared_discovery import Source
+    from grebestack.protocol.membership_adapter import Roster
+
+_CONSUL_CONNECTIONS = 16
+_CONSUL_CONNECT_TIMEOUT_S = 2.0
+_CONSUL_IDLE_TIMEOUT_S = 60.0
+_CONSUL_MAX_BODY_BYTES = 64 * 1024 * 1024
+
+
+class WorkerSources:
+    """Creates worker sources from configurations."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        engine: Engine,
+        reader: ListReader,
+        roster: Roster | None,
+        fleet: Fleet | None,
+    ) -> None:
+        """Parameters: `roster` checks what sources report, `fleet` may share one member's source."""
+        self.loop, self.engine, self.reader = loop, engine, reader
+        self.roster, self.fleet = roster, fleet
+
+    def create(self, config: Config, previous: Watch | None = None) -> Source | None:
+        """Return a source that is not started; None where the file lists the workers.
+
+        Parameters
+        ----------
+        config : names the source.
+        previous : a watch of discovery whose list the new one takes over.
+
+        Raises
+        ------
+        ValueError, KeyError, TypeError : the file's list can't be used.
+        """
+        is_list = config.worker_source.kind == "list"
+        entries = config.worker_source.entries if is_list else ()
+        workers = [self.reader.server(raw, strict=True) for raw in entries]
+        listings = self._listings(config)
+        if is_list:
+            self.loop.call_soon(listings[0].update, ListKind.FULL, workers)
+            return None
+        if self.fleet is not None and self.fleet.config.share_worker_source:
+            return self.fleet.share(listings, lambda tapped: self._own_source(config, tapped, None))
+        return self._own_source(config, listings, previous)
+
+    def _listings(self, config: Config) -> Sequence[Listing]:
+        """Return what the source feeds: the worker table, or one listing of the roster for each service."""
+        if self.roster is None or config.membership is None:
+            return [self.engine.table]
+        source = config.worker_source
+        stale_s = float("inf") if source.kind == "list" else config.membership.stale_s
+        address = f" {':'.join(map(str, config.discovery))}" if source.kind == "discovery" else ""
+        names = [f"{source.kind}{address}"]
+        if source.consul is not None:
+            names = [f"consul {service}" for service in source.consul.services]
+        return [*self.roster.sources(names, stale_s * 1000.0, source.snapshot_path)]
+
+    def _own_source(
+        self, config: Config, listings: Sequence[Listing], previous: Watch | None
+    ) -> Watch | ConsulSource:
+        consul = config.worker_source.consul
+        if consul is not None:
+            from grebestack.program import appliance  # the platform's path does without it
+
+            pools = Pools(
+                self.loop,
+                _CONSUL_CONNECTIONS,
+                _CONSUL_CONNECT_TIMEOUT_S,
+                _CONSUL_IDLE_TIMEOUT_S,
+                most_body=_CONSUL_MAX_BODY_BYTES,
+            )
+            return appliance.consul(consul, pools, self.engine.clock, config.options, listings)
+        name_odd_discovery(config.options)
+        terms = terms_of(config.settings)
+        return Watch(self.loop, config.discovery, self.reader, listings[0], previous, terms)
--- a/tests/golden_control.py
+++ b/tests/golden_control.py
@@ -10,9 +10,9 @@
 from grebestack.admin.server import Door
 from grebestack.core.api import ListKind
 from grebestack.program.admin_operations import OwnOperations
-from grebestack.program.lifecycle import Life
+from grebestack.program.lifecycle import Lifecycle
 from grebestack.program.log import KeyValueFormatter
-from grebestack.program.traffic_log import Tally
+from grebestack.program.traffic_log import TrafficCounts
 from grebestack.routing.worker_table import ServerTable
 from tests.golden_samples import SERVER
 from tests.golden_settings import values_of
@@ -57,7 +57,9 @@
 
 def operated() -> dict[str, str]:
     """What a dispatcher that belongs to no fleet answers, one call after the other."""
-    dispatcher = MagicMock(fleet=None, configuring=None, auditor=None, life=Life(), table=ServerTable())
+    dispatcher = MagicMock(
+        fleet=None, configuring=None, auditor=None, lifecycle=Lifecycle(), table=ServerTable()
+    )
     dispatcher.clock.now_ms.return_value = 1000.0
     dispatcher.table.update(ListKind.FULL, [SERVER])
     operations, answers = OwnOperations(dispatcher), dict[str, str]()
@@ -66,7 +68,7 @@
         answers[name] = operations.carry_out(Call(verb, server)).line.decode()
 
     said("health at the start", Verb.HEALTH)
-    dispatcher.life.started(1001.0)
+    dispatcher.lifecycle.finish_start(1001.0)
     said("health", Verb.HEALTH)
     said("cordon", Verb.CORDON, "runner-1")
     said("cordon of a server that is not known", Verb.CORDON, "runner-9")
@@ -76,7 +78,7 @@
     said("resume", Verb.RESUME)
     for verb in (Verb.FLEET, Verb.LEASES, Verb.RESTART, Verb.HALT, Verb.DROP, Verb.CONFIGURE):
         said(f"{verb.value} without a fleet", verb, "m-3" if verb.named else "")
-    dispatcher.life.stop(1002.0)
+    dispatcher.lifecycle.stop(1002.0)
     said("resume after a stop", Verb.RESUME)
     said("health after a stop", Verb.HEALTH)
     return answers
@@ -107,7 +109,7 @@
     Door.log(Call(Verb.CORDON, "runner-1"), Answer(True, "runner-1 is left out"))
     Door.log(Call(Verb.QUIESCE), Answer(True, "quiesced"))
     Door.log(Call(Verb.HEALTH), Answer(True, "ready"))
-    tally = Tally()
+    tally = TrafficCounts()
     for counts in ({"sessions": 5, "ok": 3, "dials": 2}, {"sessions": 9, "ok": 3, "dials": 4}):
         pairs = tally.pairs(counts, {"runner-1": 4, "runner-2": 1}, {"runner-1": 2})
         logger.info("tally", extra={"kv": pairs})
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -86,7 +86,7 @@
     asked = RequestArrived(41, 2, 5000.5, 1.5, 2.5)
     session = Session("job-1", asked, Payload(b"head", b"body"), answer)
     session.dispatches.append(Dispatch(session, 3, "runner-1", 4000.25))
-    dispatcher.table, dispatcher.life.quiesced, dispatcher.life.retired = table, True, True
+    dispatcher.table, dispatcher.lifecycle.quiesced, dispatcher.lifecycle.retired = table, True, True
     dispatcher.reader.unix_to_clock_ms = -123.5
     dispatcher.runners.called_back.return_value = Said.TAKEN
     dispatcher.runners.let_go.return_value = "runner-1"
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -115,7 +115,7 @@
     """The names of what has changed in an operator's file and waits for a restart."""
     former = operators_config(golden_text("operator_voter.toml"))
     new = operators_config(golden_text("operator_follower.toml"))
-    return Dispatcher.waits(MagicMock(config=former), new)
+    return Dispatcher.fields_requiring_restart(MagicMock(config=former), new)
 
 
 def all_texts() -> dict[str, Any]:
--- a/tests/loop_dispatcher.py
+++ b/tests/loop_dispatcher.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from grebestack.core import api
-from grebestack.program.dispatcher import LoopClock
+from grebestack.program.loop_clock import LoopClock
 from grebestack.protocol.platform import PlatformFront
 from grebestack.protocol.runners import Reports, Runners
 from grebestack.routing.engine import Engine
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -17,7 +17,7 @@
 
 from grebestack.admin import commands
 from grebestack.core.api import ListKind, WorkerEntry, WorkerState
-from grebestack.program.lifecycle import KEPT_MS, LED_MS, Clients, Life, Stage
+from grebestack.program.lifecycle import QUIESCE_DRAIN_MS, QUIESCE_KEEP_MS, ClientHandling, Lifecycle, Stage
 from grebestack.routing.worker_table import Server, ServerTable
 from tests.standins import World, call, free_port, say, wait_until
 
@@ -100,24 +100,26 @@
     assert table.accepts("a") and told == [True, False]
 
 
-@given(st.lists(st.tuples(st.sampled_from(["started", "quiesce", "resume", "stop"]), st.floats(0, 3000))))
+@given(
+    st.lists(st.tuples(st.sampled_from(["finish_start", "quiesce", "resume", "stop"]), st.floats(0, 3000)))
+)
 def test_never_ready_while_quiesced_and_a_stop_wins(steps: list[tuple[str, float]]) -> None:
-    life, now, started, quiesced, stopped, since = Life(), 0.0, False, False, False, 0.0
+    life, now, started, quiesced, stopped, since = Lifecycle(), 0.0, False, False, False, 0.0
     for what, wait in steps:
         now += wait
         if what == "quiesce" and not quiesced:
             since = now
         result = getattr(life, what)(now)
-        started, stopped = started or what == "started", stopped or what == "stop"
+        started, stopped = started or what == "finish_start", stopped or what == "stop"
         quiesced = what == "quiesce" or (quiesced and what != "resume")
         assert what != "resume" or result is not stopped
-        assert life.ready is (started and not quiesced and not stopped)
+        assert life.is_ready is (started and not quiesced and not stopped)
         if quiesced and not stopped:
-            assert life.clients(since + KEPT_MS - 1)[0] is Clients.KEPT
-            assert life.clients(since + KEPT_MS)[0] is Clients.LED
-            assert life.clients(since + LED_MS)[0] is Clients.AWAY
+            assert life.client_handling(since + QUIESCE_KEEP_MS - 1)[0] is ClientHandling.KEEP
+            assert life.client_handling(since + QUIESCE_KEEP_MS)[0] is ClientHandling.DRAIN
+            assert life.client_handling(since + QUIESCE_DRAIN_MS)[0] is ClientHandling.REJECT
         elif not stopped:
-            assert life.clients(now) == (Clients.KEPT, float("inf"))
+            assert life.client_handling(now) == (ClientHandling.KEEP, float("inf"))
     assert (life.stage is Stage.STOPPING) is stopped
 
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -291,7 +291,7 @@
         "    def sync(self, fd):\n"
         "        if 1 < time.monotonic() - self.began < 2.5: raise OSError(errno.EIO, 'failed')\n"
         "        super().sync(fd)\n"
-        "auditing.FILES = Bad\n"
+        "audit_recording.FILES = Bad\n"
         "from grebestack.__main__ import main\n"
         "sys.exit(main())\n"
     )
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -442,10 +442,10 @@
     def __init__(self, config: Config, waits: tuple[str, ...] = (), why: str = "") -> None:
         self.config, self.waiting, self.why = config, waits, why
 
-    def waits(self, config: Config) -> list[str]:
+    def fields_requiring_restart(self, config: Config) -> list[str]:
         return [name for name in self.waiting if config.options.get(name) != self.config.options.get(name)]
 
-    def adopt(self, config: Config) -> str:
+    def apply_config(self, config: Config) -> str:
         if not self.why:
             self.config = config
         return self.why
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -53,10 +53,12 @@
     "Watch._dial",
     "Dispatcher.run",
     "Dispatcher._start_drmaa",
-    "Dispatcher._open_door",
-    "Dispatcher.listen",
+    "Dispatcher._start_servers",
+    "Dispatcher._start_cluster",
+    "Dispatcher._start_admin_server",
+    "ClientListener.open",
     "Dispatcher.accept_and_serve",
-    "Dispatcher._begin_upgrade",
+    "Dispatcher._begin_hot_restart",
     "Upgrade.begin",
     "Upgrade._take",
     "run.main",
@@ -82,6 +84,43 @@
         assert imported(ast.parse(path.read_text())) <= INWARD[layer], path.name
 
 
+def modules_imported(path: Path) -> set[str]:
+    """The modules of the package that a file imports anywhere, for the types alone too."""
+    names = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("grebestack"):
+            names |= {node.module or "", *(f"{node.module}.{alias.name}" for alias in node.names)}
+        if isinstance(node, ast.Import):
+            names |= {alias.name for alias in node.names}
+    return names
+
+
+def circle_of(imports: dict[str, set[str]]) -> list[str]:
+    """Modules that import each other in a circle; none: there is no such."""
+    left = {name: imported & set(imports) for name, imported in imports.items()}
+    while ends := [name for name, imported in left.items() if not imported]:
+        for name in ends:
+            del left[name]
+        left = {name: imported - set(ends) for name, imported in left.items()}
+    return sorted(left)
+
+
+def test_a_circle_is_found() -> None:
+    assert circle_of({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": set()}) == ["a", "b", "c"]
+    assert circle_of({"a": {"a"}}) == ["a"]
+    assert circle_of({"a": {"b", "c"}, "b": {"c"}, "c": set()}) == []
+
+
+def test_no_modules_of_the_program_import_each_other_in_a_circle() -> None:
+    imports = {}
+    for path in (PACKAGE / "program").rglob("*.py"):
+        parts = path.relative_to(PACKAGE.parent).with_suffix("").parts
+        name = ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+        imports[name] = modules_imported(path)
+    assert "grebestack.program.config.model" in imports["grebestack.program.dispatcher"]
+    assert not circle_of(imports)
+
+
 def test_coroutines_and_tasks_belong_to_connections_and_the_program_alone() -> None:
     found, tasks = set(), []
 
--- a/tests/test_many_dispatchers.py
+++ b/tests/test_many_dispatchers.py
@@ -16,7 +16,7 @@
 from grebestack.core import api
 from grebestack.endpoint_watch.state_machine import Begun, Ended, Event, Life, Open, Terms, Tick, Wake
 from grebestack.program.log import KeyValueFormatter
-from grebestack.program.traffic_log import Tally
+from grebestack.program.traffic_log import TrafficCounts
 from grebestack.protocol.discovery import Watch
 from grebestack.protocol.lists import ListReader
 from grebestack.protocol.settings import settings_of
@@ -249,7 +249,7 @@
 def test_the_tallies_of_two_dispatchers_add_up(capsys: pytest.CaptureFixture[str]) -> None:
     counts = Counts()
     for _ in range(2):
-        tally = Tally()
+        tally = TrafficCounts()
         for sessions, out in ((3, 2), (7, 9), (7, 0)):
             record = logging.makeLogRecord({"msg": "tally", "created": 1.8e9 + sessions})
             record.kv = tally.pairs({"sessions": sessions, "ok": sessions}, {}, {"s-1": out} if out else {})
