--- a/grebestack/program/appliance.py
+++ b/grebestack/program/appliance.py
@@ -1,4 +1,7 @@
-"""What only an appliance has: the job service and the DRMAA front. The platform's path never loads this."""
+"""Parts that only an operator's dispatcher has: roster, Consul, the job service and the DRMAA front.
+
+The platform's path never loads this module.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +14,7 @@
 from grebestack.consul.agents import AgentSettings
 from grebestack.consul.entries import Entries, Reading, networks_of
 from grebestack.consul.source import Asking, ConsulSource, ServiceWatch, Token
+from grebestack.core.api import Settings
 from grebestack.drmaa.console import Console, Fleet
 from grebestack.drmaa.front import DrmaaFront
 from grebestack.drmaa.template import Templates
@@ -27,11 +31,12 @@
 from grebestack.transport.client import Pools
 
 log = logging.getLogger(__name__)
-FORGET_MS = 3_600_000.0
+_RETENTION_INTERVAL_MS = 3_600_000.0
+_SECONDS_PER_DAY = 86_400.0
 
 
-def roster(config: WorkerMembershipConfig, engine: Engine) -> Roster:
-    """What is believed of the servers, between their sources and the server table."""
+def build_roster(config: WorkerMembershipConfig, engine: Engine) -> Roster:
+    """Return what decides which workers are members, between their sources and the worker table."""
     settings = MembershipSettings(
         flaps=config.flaps,
         flap_window_ms=config.flap_window_s * 1000.0,
@@ -44,47 +49,40 @@
     return Roster(settings, engine.clock, engine.table)
 
 
-def consul(
+def consul_source(
     config: ConsulConfig, pools: Pools, clock: Clock, options: Mapping[str, Any], listings: Sequence[Listing]
 ) -> ConsulSource:
-    """The queries of all services, each with a listing of its own."""
-    settings = AgentSettings(
-        config.agents, most_stale_ms=None if config.max_stale_s is None else config.max_stale_s * 1000.0
-    )
+    """Return a source that watches all services; each has one of `listings`."""
+    max_stale_ms = None if config.max_stale_s is None else config.max_stale_s * 1000.0
+    settings = AgentSettings(config.agents, most_stale_ms=max_stale_ms)
+    token, entries = Token(config.token_file), Entries(options, _reading(config))
+    watches = [
+        ServiceWatch(pools, clock, settings, _query(config, service), token, entries, listing)
+        for service, listing in zip(config.services, listings, strict=True)
+    ]
+    return ConsulSource(watches)
+
+
+def _reading(config: ConsulConfig) -> Reading:
     warning = cast(Literal["full", "reduced", "drain"], config.warning)
-    reading = Reading(
-        frozenset(config.checks),
-        warning,
-        config.prefer,
-        networks_of(config.networks) if config.networks else None,
-    )
-    token, entries = Token(config.token_file), Entries(options, reading)
-    return ConsulSource(
-        [
-            ServiceWatch(
-                pools,
-                clock,
-                settings,
-                Asking(
-                    service,
-                    config.wait_s,
-                    config.datacenter,
-                    config.namespace,
-                    config.partition,
-                    config.tags,
-                    config.filter,
-                    config.consistency,
-                ),
-                token,
-                entries,
-                listing,
-            )
-            for service, listing in zip(config.services, listings, strict=True)
-        ]
+    networks = networks_of(config.networks) if config.networks else None
+    return Reading(frozenset(config.checks), warning, config.prefer, networks)
+
+
+def _query(config: ConsulConfig, service: str) -> Asking:
+    return Asking(
+        service,
+        config.wait_s,
+        config.datacenter,
+        config.namespace,
+        config.partition,
+        config.tags,
+        config.filter,
+        config.consistency,
     )
 
 
-def start(
+def start_job_service(
     engine: Engine,
     runners: Runners,
     config: Config,
@@ -92,25 +90,20 @@
     roster: Roster | None,
     fleet: Fleet | None = None,
 ) -> tuple[JobService, DrmaaFront]:
-    """Open the store and take up its jobs, before any call-back can come. StartError: it can't be used."""
-    jobs, classes = drmaa.jobs, config.settings.classes
+    """Open the store and restore its jobs, which is done before a call-back of a worker can arrive.
+
+    Raises
+    ------
+    StartError : the store can't be used.
+    """
     try:
         store = JobStore(drmaa.store_path)
-        _forget(store, drmaa.retention_days, engine.clock)
+        _remove_old_jobs(store, drmaa.retention_days, engine.clock)
         if roster is not None:
-            for server in store.drains():
-                roster.feed(Drained(server, True))
-        templates = Templates(config.settings, jobs.queued_classes)
-        limits = JobLimits(
-            wanted=tuple(
-                jobs.latency_objective_s_by_class.get(c.name, jobs.latency_objective_s) for c in classes
-            ),
-            most_open=drmaa.max_open_jobs,
-            most_waiting=jobs.max_queued,
-            most_conditions=jobs.max_conditions,
-            ahead=jobs.lookahead,
-            ripe=jobs.ripe,
-        )
+            for worker in store.drains():
+                roster.feed(Drained(worker, True))
+        templates = Templates(config.settings, drmaa.jobs.queued_classes)
+        limits = _job_limits(drmaa, config.settings)
         service = JobService(engine, runners, config.settings, store, templates, limits)
         console = Console(config.name, engine, service, roster, fleet)
         front = DrmaaFront(service, templates, engine.clock, config.name, console.serve)
@@ -120,11 +113,25 @@
     return service, front
 
 
-def _forget(store: JobStore, keep_days: float, clock: Clock) -> None:
-    """Guards the operator's disk: an appliance runs for months."""
+def _job_limits(drmaa: DrmaaConfig, settings: Settings) -> JobLimits:
+    jobs = drmaa.jobs
+    objectives = jobs.latency_objective_s_by_class
+    return JobLimits(
+        wanted=tuple(objectives.get(c.name, jobs.latency_objective_s) for c in settings.classes),
+        most_open=drmaa.max_open_jobs,
+        most_waiting=jobs.max_queued,
+        most_conditions=jobs.max_conditions,
+        ahead=jobs.lookahead,
+        ripe=jobs.ripe,
+    )
+
+
+def _remove_old_jobs(store: JobStore, retention_days: float, clock: Clock) -> None:
+    """Remove ended jobs, now and every hour, so that the disk of a long-lived dispatcher is bounded."""
     try:
-        forgotten = store.forget_before(time.time() - keep_days * 86400.0)
-        log.info("jobs_forgotten", extra={"kv": {"jobs": forgotten}})
+        removed = store.forget_before(time.time() - retention_days * _SECONDS_PER_DAY)
+        log.info("jobs_forgotten", extra={"kv": {"jobs": removed}})
     except sqlite3.Error as error:
         log.error("store_failed", extra={"kv": {"error": error}})
-    clock.call_at(clock.now_ms() + FORGET_MS, lambda: _forget(store, keep_days, clock))
+    next_ms = clock.now_ms() + _RETENTION_INTERVAL_MS
+    clock.call_at(next_ms, lambda: _remove_old_jobs(store, retention_days, clock))
--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -1,6 +1,6 @@
-"""The shell of the record of acts: what the engine does is told to the recorder, a thread writes it.
+"""Feeds the audit log: the engine's decisions go to the recorder, whose batches a thread writes.
 
-Nothing waits for the disk: while a batch is written the next one grows, and what is too much is counted.
+Nothing blocks on the disk: while a batch is written the next one grows; what exceeds its bound is counted.
 """
 
 from __future__ import annotations
@@ -8,7 +8,6 @@
 import asyncio
 import logging
 import os
-import queue
 import threading
 import time
 from collections.abc import Callable
@@ -16,13 +15,12 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from grebestack.admin.commands import Call
-from grebestack.audit.reading import MAGIC
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.records import OF_OPERATORS
 from grebestack.audit.version_sets import Stamp, Stamps, digest
 from grebestack.cluster_io.log_store import Files, FolderTakenError, take
-from grebestack.consensus.log_format import frame
 from grebestack.core.api import ListKind, WorkerEntry
+from grebestack.program.audit_segments import RecordBatch, SegmentWriter, next_segment_number, segment_names
 from grebestack.program.config.errors import StartError
 from grebestack.program.config.model import AuditConfig, Config
 from grebestack.routing.requests import Session
@@ -35,70 +33,16 @@
     from grebestack.routing.worker_table import ServerTable
 
 log = logging.getLogger(__name__)
-PREFIX, SUFFIX = "acts-", ".log"
-GATHER_S = 0.05  # acts are gathered for so long before a batch goes to the disk
-AGAIN_S, AGAIN_MOST_S = 0.5, 15.0  # after a failure the next batch goes after this, doubled
-STOP_S = 0.5  # a disk that hangs holds up no stop
-MOST_CALL = 128  # letters of a job's id that are kept
-FILES: Callable[[], Files] = Files  # a seam for tests, which no operator's file can reach
-Batch = tuple[int, bool, bytes]  # segment, whether it begins there, what
-
-
-class Writer:
-    """The thread: appends and syncs. `told` is called on it with what failed, or nothing."""
-
-    def __init__(self, folder: str, keep_bytes: float, files: Files, told: Callable[[str], None]) -> None:
-        self.folder, self.keep_bytes, self.files, self.told = folder, keep_bytes, files, told
-        self.queue: queue.SimpleQueue[Batch | None] = queue.SimpleQueue()
-        self.fd, self.sequence = -1, 0
-        self.thread = threading.Thread(target=self._work, name="audit", daemon=True)
-
-    def _work(self) -> None:
-        while (batch := self.queue.get()) is not None:
-            try:
-                self._write(*batch)
-            except (OSError, ValueError) as error:
-                # What the system's cache shows of it may not be on the disk: the segment is not gone on with.
-                self._close()
-                self.told(f"the disk failed: {error}")
-            else:
-                self.told("")
-        self._close()
-
-    def _close(self) -> None:
-        if self.fd >= 0:
-            os.close(self.fd)
-            self.fd = -1
-
-    def _write(self, segment: int, fresh: bool, data: bytes) -> None:
-        if fresh:
-            self._close()
-            self._make_room()
-            self.fd = self.files.open(os.path.join(self.folder, f"{PREFIX}{segment:012d}{SUFFIX}"))
-            self.sequence = 0
-        if self.fd < 0:
-            raise OSError("no segment is open")
-        self.sequence += 1
-        self.files.append(self.fd, (MAGIC if fresh else b"") + frame(self.sequence, data))
-        self.files.sync(self.fd)
-
-    def _make_room(self) -> None:
-        sizes = [(name, os.path.getsize(os.path.join(self.folder, name))) for name in segments(self.folder)]
-        total = sum(size for _, size in sizes)
-        for name, size in sizes:
-            if total <= self.keep_bytes:
-                break
-            os.unlink(os.path.join(self.folder, name))
-            total -= size
-
-
-def segments(folder: str) -> list[str]:
-    """The names of a record's files, the oldest first. OSError: there is no such folder."""
-    return sorted(name for name in os.listdir(folder) if name.startswith(PREFIX) and name.endswith(SUFFIX))
+_FLUSH_INTERVAL_S = 0.05
+_MIN_RETRY_S, _MAX_RETRY_S = 0.5, 15.0  # after a failure of the disk, doubled each time
+_STOP_TIMEOUT_S = 0.5  # a disk that hangs must not delay a stop
+_MAX_CALL_ID_LENGTH = 128
+_BYTES_PER_MB = 1024 * 1024
+FILES: Callable[[], Files] = Files  # replaced by tests
 
 
 def program_version() -> str:
-    """Of this program."""
+    """Return the version of this program, "0" where it is not installed."""
     try:
         return version("grebestack")
     except PackageNotFoundError:
@@ -118,139 +62,149 @@
 
 
 class Auditor:
-    """Writes down what one dispatcher does, and under which versions."""
+    """Records what one dispatcher does, and under which versions."""
 
     def __init__(self, dispatcher: AuditedDispatcher, config: AuditConfig) -> None:
-        self.dispatcher, self.config = dispatcher, config
+        """Open the folder and subscribe to the dispatcher. StartError: the folder can't be used."""
+        self.dispatcher = dispatcher
         try:
             self.lock = take(config.folder)
-            names = segments(config.folder)
+            segments = segment_names(config.folder)
         except (OSError, FolderTakenError) as error:
             why = f"{config.folder} can't be used, or is another's: {error}"
             raise StartError(f"[audit] folder: {why}") from error
-        first = int(names[-1][len(PREFIX) : -len(SUFFIX)]) + 1 if names else 1
         options = dispatcher.config.options
-        self.stamps = Stamps(Stamp(program_version(), digest(options), self._source(), 1))
+        self.stamps = Stamps(Stamp(program_version(), digest(options), self._source_name(), 1))
         limits = Limits(full_rate=config.max_full_rate, off_ms=config.max_clock_error_ms)
-        self.recorder = Recorder(dispatcher.config.name, os.urandom(6).hex(), self.stamps, limits, first)
-        who = self.recorder.name.encode("ascii", "replace")
-        self.header = b"X-Act-Stamp: %s %s " % (who, self.recorder.life.encode())
-        self.recorder.turned(self._now())
-        keep = config.max_size_mb * 1024 * 1024
-        self.writer = Writer(config.folder, keep, FILES(), self._told)
+        process_incarnation = os.urandom(6).hex()
+        self.recorder = Recorder(
+            dispatcher.config.name, process_incarnation, self.stamps, limits, next_segment_number(segments)
+        )
+        ascii_name = self.recorder.name.encode("ascii", "replace")
+        self._header = b"X-Act-Stamp: %s %s " % (ascii_name, process_incarnation.encode())
+        self.recorder.turned(self._now_ms())
+        self.writer = SegmentWriter(
+            config.folder, config.max_size_mb * _BYTES_PER_MB, FILES(), self._on_written_from_thread
+        )
         self.writer.thread.start()
-        self.again_s, self.changes, self.waits = AGAIN_S, 0, False
-        self.finished = threading.Event()
-        engine, table = dispatcher.engine, dispatcher.table
-        engine.on_act, dispatcher.runners.mark = self._acted, self._mark
-        self.feed = table.on_change
-        table.on_change = self._listed
-        self._flush()
+        self._retry_s = _MIN_RETRY_S
+        self._list_changes = 0
+        self._is_waiting_for_retry = False
+        self._has_finished = threading.Event()
+        self._subscribe()
+        self._flush_periodically()
+
+    def _subscribe(self) -> None:
+        engine, table = self.dispatcher.engine, self.dispatcher.table
+        engine.on_act, self.dispatcher.runners.mark = self._on_decision, self._stamp_header
+        self._feed_engine = table.on_change
+        table.on_change = self._on_workers_listed
 
     @staticmethod
-    def _now() -> float:
+    def _now_ms() -> float:
         return time.time() * 1000.0
 
-    def _source(self) -> str:
+    def _source_name(self) -> str:
         config = self.dispatcher.config
-        source = config.worker_source.kind
-        return f"{source} {':'.join(map(str, config.discovery))}" if source == "discovery" else source
+        kind = config.worker_source.kind
+        return f"{kind} {':'.join(map(str, config.discovery))}" if kind == "discovery" else kind
 
-    def _turn(self, **changes: str | int) -> None:
-        if self.stamps.turn(**changes):
-            self.recorder.turned(self._now())
+    # Changes of the stamp: each is called before anything is decided under it.
 
-    # What changes the stamp: each is called before anything is decided under it.
+    def _change_stamp(self, **changes: str | int) -> None:
+        if self.stamps.turn(**changes):
+            self.recorder.turned(self._now_ms())
 
-    def _listed(self, kind: ListKind, entries: tuple[WorkerEntry, ...]) -> None:
-        self.changes += 1
-        revision = getattr(self.dispatcher.worker_source, "version", self.changes)
+    def _on_workers_listed(self, kind: ListKind, entries: tuple[WorkerEntry, ...]) -> None:
+        self._list_changes += 1
+        revision = getattr(self.dispatcher.worker_source, "version", self._list_changes)
         cordoned = self.dispatcher.table.cordoned
-        self._turn(revision=revision, bans=digest(sorted(cordoned)) if cordoned else "")
-        self.feed(kind, entries)
+        self._change_stamp(revision=revision, bans=digest(sorted(cordoned)) if cordoned else "")
+        self._feed_engine(kind, entries)
 
-    def settled(self, options: Any) -> None:
-        """Other settings are taken."""
-        self._turn(settings=digest(options))
+    def on_settings_changed(self, options: Any) -> None:
+        """Other settings are about to be in force."""
+        self._change_stamp(settings=digest(options))
 
-    def moved(self) -> None:
-        """Another source of servers is read."""
-        self._turn(source=self._source(), generation=self.stamps.current.generation + 1)
+    def on_source_changed(self) -> None:
+        """Another worker source is read from now on."""
+        generation = self.stamps.current.generation + 1
+        self._change_stamp(source=self._source_name(), generation=generation)
 
-    # What is done.
+    # Events that are recorded.
 
-    def _acted(self, what: str, session: Session, server: str) -> None:
+    def _on_decision(self, what: str, session: Session, worker: str) -> None:
         fleet = self.dispatcher.fleet
         if fleet is not None and fleet.node.member.roll.epoch != self.stamps.current.epoch:
-            self._turn(epoch=fleet.node.member.roll.epoch)
-        self.recorder.act(self._now(), what, session.call_id[:MOST_CALL], server)
+            self._change_stamp(epoch=fleet.node.member.roll.epoch)
+        self.recorder.act(self._now_ms(), what, session.call_id[:_MAX_CALL_ID_LENGTH], worker)
 
     def operated(self, call: Call) -> None:
-        """An operator says something at the door that changes something."""
-        self.recorder.act(self._now(), OF_OPERATORS, call.verb.value, call.server)
+        """An operator's command is about to change something."""
+        self.recorder.act(self._now_ms(), OF_OPERATORS, call.verb.value, call.server)
 
-    def _mark(self) -> bytes:
-        """For runners that know of stamps: under which one this is sent."""
-        return b"%s%d\r\n" % (self.header, self.stamps.number)
+    def _stamp_header(self) -> bytes:
+        """Return the header line that names the stamp, for requests to workers that read it."""
+        return b"%s%d\r\n" % (self._header, self.stamps.number)
 
     # The disk.
 
-    def _flush(self) -> None:
-        """Hand the writer a batch, now and again."""
-        if not self.recorder.stopped:
-            self._hand_over()
-            self.dispatcher.loop.call_later(GATHER_S, self._flush)
-
-    def _hand_over(self) -> None:
-        if not self.waits:
-            self._put()
-
-    def _put(self) -> bool:
-        """Hand the writer the next batch; False where there is none."""
-        segment = self.recorder.segment  # it goes up with a batch that ends one
-        batch = self.recorder.next(self._now())
+    def _flush_periodically(self) -> None:
+        if self.recorder.stopped:
+            return
+        if not self._is_waiting_for_retry:
+            self._write_next_batch()
+        self.dispatcher.loop.call_later(_FLUSH_INTERVAL_S, self._flush_periodically)
+
+    def _write_next_batch(self) -> bool:
+        """Queue the next batch for the writer; False where there is none."""
+        segment = self.recorder.segment  # `next` increments it where the batch ends the segment
+        batch = self.recorder.next(self._now_ms())
         if batch is not None:
-            self.writer.queue.put((segment, *batch))
+            self.writer.queue.put(RecordBatch(segment, *batch))
         return batch is not None
 
-    def _told(self, why: str) -> None:
+    def _on_written_from_thread(self, failure: str) -> None:
         if self.recorder.stopped:  # the loop may be over
-            self._ended(why)
+            self._on_written(failure)
         elif not self.dispatcher.loop.is_closed():
-            self.dispatcher.loop.call_soon_threadsafe(self._ended, why)
-
-    def _ended(self, why: str) -> None:
-        if not why:
-            self.recorder.written()
-            self.again_s = AGAIN_S
-            if self.recorder.stopped:
-                self._last()
+            self.dispatcher.loop.call_soon_threadsafe(self._on_written, failure)
+
+    def _on_written(self, failure: str) -> None:
+        if failure:
+            self._on_write_failed(failure)
             return
-        log.warning("audit_failed", extra={"kv": {"why": why, "again_s": self.again_s}})
-        self.recorder.failed(self._now(), why)
+        self.recorder.written()
+        self._retry_s = _MIN_RETRY_S
+        if self.recorder.stopped:
+            self._write_last_batch()
+
+    def _on_write_failed(self, failure: str) -> None:
+        log.warning("audit_failed", extra={"kv": {"why": failure, "again_s": self._retry_s}})
+        self.recorder.failed(self._now_ms(), failure)
         if self.recorder.stopped:
-            self.finished.set()
+            self._has_finished.set()
             return
-        self.waits = True
-        self.dispatcher.loop.call_later(self.again_s, self._go_on)
-        self.again_s = min(AGAIN_MOST_S, 2.0 * self.again_s)
+        self._is_waiting_for_retry = True
+        self.dispatcher.loop.call_later(self._retry_s, self._on_retry_due)
+        self._retry_s = min(_MAX_RETRY_S, 2.0 * self._retry_s)
 
-    def _go_on(self) -> None:
-        self.waits = False
+    def _on_retry_due(self) -> None:
+        self._is_waiting_for_retry = False
 
-    def _last(self) -> None:
-        if not self._put():
-            self.finished.set()
+    def _write_last_batch(self) -> None:
+        if not self._write_next_batch():
+            self._has_finished.set()
 
     def stop(self) -> None:
-        """Write what waits, say that this is the end, and let go of the folder."""
-        out = bool(self.recorder.out)
-        self.recorder.stop(self._now())
-        if not out:
-            self._last()
-        if not self.finished.wait(STOP_S):
+        """Write what is left and the end, and release the folder."""
+        is_writing = bool(self.recorder.out)
+        self.recorder.stop(self._now_ms())
+        if not is_writing:
+            self._write_last_batch()
+        if not self._has_finished.wait(_STOP_TIMEOUT_S):
             why = "the disk is slow: the end is not written down"
             log.warning("audit_failed", extra={"kv": {"why": why}})
         self.writer.queue.put(None)
-        self.writer.thread.join(STOP_S)
+        self.writer.thread.join(_STOP_TIMEOUT_S)
         os.close(self.lock)
--- a/grebestack/program/config_reload.py
+++ b/grebestack/program/config_reload.py
@@ -134,7 +134,7 @@
             dispatcher.worker_source.retire()
         dispatcher.config, dispatcher.worker_source = self._with_source_of(config), source
         if dispatcher.auditor is not None:
-            dispatcher.auditor.moved()
+            dispatcher.auditor.on_source_changed()
         if source is not None:
             source.start()
 
@@ -145,7 +145,7 @@
             dispatcher.config, options=config.options, settings=settings, key_paths=config.key_paths
         )
         if dispatcher.auditor is not None:  # first: decisions from now on belong to the new settings
-            dispatcher.auditor.settled(config.options)
+            dispatcher.auditor.on_settings_changed(config.options)
         dispatcher.engine.resettle(settings)
         dispatcher.front.resettle(settings)
         dispatcher.pools.connect_timeout_s = settings.connect_timeout_ms / 1000.0
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -98,7 +98,7 @@
             return None
         from grebestack.program import appliance
 
-        return appliance.roster(self.config.membership, self.engine)
+        return appliance.build_roster(self.config.membership, self.engine)
 
     def _build_cluster_member(self) -> Fleet | None:
         if self.config.cluster is None:
@@ -228,7 +228,7 @@
     async def _start_drmaa(self, config: DrmaaConfig) -> None:
         from grebestack.program import appliance
 
-        self.jobs, front = appliance.start(
+        self.jobs, front = appliance.start_job_service(
             self.engine, self.runners, self.config, config, self.roster, self.fleet
         )
         acceptor = Acceptor(front, self.acceptor.most, config.max_body_bytes)
--- a/grebestack/program/log.py
+++ b/grebestack/program/log.py
@@ -1,27 +1,34 @@
-"""Log lines: key=value pairs, one event a line, on standard error."""
+"""Log lines on standard error: one event a line, as key=value pairs."""
 
 from __future__ import annotations
 
 import logging
 import time
 
+_SPECIAL_CHARACTERS = ' "=\\'
+
 
 def quoted(value: object) -> str:
-    """A value as it stands in a line: quoted where it would not read as one word."""
+    """Return a value as it is written to a line, in quotes where it would not read as one word."""
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
-    if text and not any(c in text for c in ' "=\\') and text.isprintable():
+    if text and text.isprintable() and not any(character in text for character in _SPECIAL_CHARACTERS):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
-    return '"' + "".join(c if c.isprintable() else repr(c)[1:-1] for c in escaped) + '"'
+    return '"' + "".join(_printable(character) for character in escaped) + '"'
+
+
+def _printable(character: str) -> str:
+    return character if character.isprintable() else repr(character)[1:-1]
 
 
 class KeyValueFormatter(logging.Formatter):
-    """`ts=... level=... event=... name=value ...`; the pairs come as `extra={"kv": {...}}`."""
+    """Formats `ts=... level=... event=... name=value ...`; the pairs come as `extra={"kv": {...}}`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
+        """Return a record's line; times are UTC with milliseconds."""
+        seconds = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs = {
-            "ts": f"{stamp}.{int(record.msecs):03d}Z",
+            "ts": f"{seconds}.{int(record.msecs):03d}Z",
             "level": record.levelname.lower(),
             "event": record.getMessage(),
             **getattr(record, "kv", {}),
@@ -32,7 +39,7 @@
 
 
 def set_up(level: str = "info") -> None:
-    """Have the program log to standard error."""
+    """Have the program log to standard error from a level on."""
     handler = logging.StreamHandler()
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/grebestack/program/reload_signal.py
+++ b/grebestack/program/reload_signal.py
@@ -1,23 +1,23 @@
-"""A SIGHUP that comes before the dispatcher can act on it: it would end the process, so it is kept for later.
+"""Keeps a SIGHUP that arrives before the dispatcher handles it, which would end the process otherwise.
 
-Imported before all that takes long to import.
+Must be imported before the modules that are slow to import.
 """
 
 from __future__ import annotations
 
 import signal
 
-_came = False
+_has_come = False
 
 
 def _keep(number: int, frame: object) -> None:
-    global _came
-    _came = True
+    global _has_come
+    _has_come = True
 
 
 signal.signal(signal.SIGHUP, _keep)
 
 
-def came() -> bool:
-    """Whether one has come so far."""
-    return _came
+def has_come() -> bool:
+    """Return whether a SIGHUP has arrived so far."""
+    return _has_come
--- a/grebestack/program/worker_sources.py
+++ b/grebestack/program/worker_sources.py
@@ -91,7 +91,7 @@
                 _CONSUL_IDLE_TIMEOUT_S,
                 most_body=_CONSUL_MAX_BODY_BYTES,
             )
-            return appliance.consul(consul, pools, self.engine.clock, config.options, listings)
+            return appliance.consul_source(consul, pools, self.engine.clock, config.options, listings)
         name_odd_discovery(config.options)
         terms = terms_of(config.settings)
         return Watch(self.loop, config.discovery, self.reader, listings[0], previous, terms)
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -22,7 +22,7 @@
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
 from grebestack.jobs.store import EdgeRow, JobStore
-from grebestack.program.audit_recording import Writer
+from grebestack.program.audit_segments import RecordBatch, SegmentWriter
 from grebestack.program.cluster_member import form
 from grebestack.program.config.operator_file import from_text
 from grebestack.protocol.snapshot import save
@@ -99,7 +99,7 @@
 def _audit_files(folder: str) -> dict[str, str]:
     """Two segments of the record of acts."""
     told: queue.Queue[str] = queue.Queue()
-    writer = Writer(folder, 1e9, Files(), told.put)
+    writer = SegmentWriter(folder, 1e9, Files(), told.put)
     writer.thread.start()
     recorder = audit_recorder()
     recorder.turned(1000.5)
@@ -113,11 +113,11 @@
     return contents_of(folder)
 
 
-def _write_batch(recorder: Recorder, writer: Writer, told: queue.Queue[str]) -> None:
+def _write_batch(recorder: Recorder, writer: SegmentWriter, told: queue.Queue[str]) -> None:
     segment = recorder.segment
     batch = recorder.next(1004.5)
     assert batch is not None
-    writer.queue.put((segment, *batch))
+    writer.queue.put(RecordBatch(segment, *batch))
     assert told.get(timeout=WAIT_S) == ""
     recorder.written()
 
