--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -244,7 +244,8 @@
         time.sleep(1.0)
         yard.kill("n1")  # in the middle of whatever it did
         yard.start("n1")
-        wait_until(lambda: yard.serving("n1"))
+        # The process that was killed may have sent something within the time that `serving` looks back.
+        wait_until(lambda: logs[1].read_text().count("event=ready") == 2 and yard.serving("n1"))
         time.sleep(0.5)
         yard.over = True
         time.sleep(0.5)
