--- a/benchmarks/scaling/hollow.py
+++ b/benchmarks/scaling/hollow.py
@@ -24,7 +24,8 @@
 
 from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
 from grebestack.program import log
-from grebestack.program.config import Config, from_file
+from grebestack.program.config.model import Config
+from grebestack.program.config.operator_file import from_file
 from grebestack.program.config_updates import Laying
 from grebestack.protocol.settings import unmoved
 from scaling.marks import whole
@@ -38,11 +39,11 @@
     def __init__(self, config: Config) -> None:
         self.config = config
 
-    def waits(self, config: Config) -> Sequence[str]:
+    def fields_requiring_restart(self, config: Config) -> Sequence[str]:
         """The fields that need a restart, of those that a version may have."""
         return unmoved(self.config.options, config.options)
 
-    def adopt(self, config: Config) -> str:
+    def apply_config(self, config: Config) -> str:
         """Act under it."""
         self.config = config
         return ""
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -26,7 +26,11 @@
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.timeouts import START_MS
 from grebestack.config_distribution.versions import MOST_CONTENTS, Version
-from grebestack.program.config import Config, ConfigError, ForceConfig, StartError, check, from_text, read
+from grebestack.program.config.errors import ConfigError, StartError
+from grebestack.program.config.files import read
+from grebestack.program.config.model import Config, DistributionConfig
+from grebestack.program.config.operator_file import from_text
+from grebestack.program.config.platform import check_reload
 
 log = logging.getLogger(__name__)
 DECIDED_S = 0.7  # the door wants its answer by then; see admin.server.ANSWER_S
@@ -44,15 +48,15 @@
     def config(self) -> Config:
         """What it acts under."""
 
-    def waits(self, config: Config) -> Sequence[str]:
+    def fields_requiring_restart(self, config: Config) -> Sequence[str]:
         """The fields in which a configuration differs from the one it acts under and that need a restart."""
 
-    def adopt(self, config: Config) -> str:
+    def apply_config(self, config: Config) -> str:
         """Put a checked configuration in force, all of it or nothing; why not, or nothing."""
 
 
 def value_of(config: Config, name: str) -> object:
-    """What a configuration says of a field that `Host.waits` has named."""
+    """What a configuration says of a field that `Host.fields_requiring_restart` has named."""
     found: Any = config.options
     for part in name.split("."):
         found = found.get(part) if isinstance(found, Mapping) else None
@@ -68,7 +72,7 @@
         raise ConfigError(f"the size is {len(contents)} bytes; allowed: {MOST_CONTENTS}")
     config = from_text(path, text, contents)
     if former is not None:
-        check(config, former)
+        check_reload(config, former)
     return config
 
 
@@ -92,8 +96,8 @@
     def look(self, contents: bytes) -> Config:
         """What a version would put in force here. ConfigError: why it can't."""
         config = checked(self.path, self.text, contents, self.host.config)
-        before = self.host.waits(self.whole)
-        for name in self.host.waits(config):
+        before = self.host.fields_requiring_restart(self.whole)
+        for name in self.host.fields_requiring_restart(config):
             if name not in before:
                 if name == "options":
                     raise ConfigError("settings can't change without a restart where there is a [drmaa]")
@@ -111,7 +115,7 @@
         except ConfigError as error:
             why = str(error).removeprefix(f"{self.path}: ")
         else:
-            why = self.host.adopt(config)
+            why = self.host.apply_config(config)
         kv: dict[str, object] = {"number": version.number, "digest": version.digest}
         if why:
             return why
@@ -119,7 +123,7 @@
         # What is in force is said by what the dispatcher holds now, not by what it was given.
         now = self.host.config
         kv |= {"by": version.by, "since_ms": version.since_ms, "at_ms": round(monotonic_ms(), 1)}
-        kv |= {"settings": digest(now.options), "servers": digest([*map(dict, now.servers.entries)])}
+        kv |= {"settings": digest(now.options), "servers": digest([*map(dict, now.worker_source.entries)])}
         log.info("configuration_laid", extra={"kv": kv})
         return ""
 
@@ -128,7 +132,12 @@
     """What a dispatcher has where a configuration in force reaches it: a voter's part, or a follower's."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, host: Host, config: ForceConfig, name: str, node: Node | None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        host: Host,
+        config: DistributionConfig,
+        name: str,
+        node: Node | None,
     ) -> None:
         self.loop, self.config, self.name = loop, config, name
         self.laying = Laying(host)
@@ -161,12 +170,12 @@
             # A relay follows voters alone: no two relays ever follow each other.
             if name != self.name and (self.name not in config.relays or name in config.voters)
         }
-        return FollowerSettings(self.name, config.fleet, config.place, relays, folder)
+        return FollowerSettings(self.name, config.cluster, config.place, relays, folder)
 
     def _relay(self) -> RelayServer | None:
         if self.name not in self.config.relays:
             return None
-        fleet, address, random = self.config.fleet, self.config.relays[self.name].address, Random()
+        fleet, address, random = self.config.cluster, self.config.relays[self.name].address, Random()
         if self.voter is not None:
             pure = Relay(self.name, fleet, self.voter.voter.life, random, floor=self.voter.voter.floor)
             relay = self.voter.relay = RelayServer(self.loop, pure, address, self.voter.tallied, CLOCK)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -22,7 +22,8 @@
 from grebestack.audit.records import OF_OPERATORS, Act, Gap, decode
 from grebestack.audit.version_sets import Stamp, Stamps, digest
 from grebestack.consensus.log_format import frame
-from grebestack.program.config import ConfigError, from_file
+from grebestack.program.config.errors import ConfigError
+from grebestack.program.config.operator_file import from_file
 from tests.dispatcher_group import Yard
 from tests.standins import APPLIANCE_SETTINGS, wait_until
 
@@ -243,8 +244,8 @@
         time.sleep(1.0)
         yard.kill("n1")  # in the middle of whatever it did
         yard.start("n1")
-        restarted = tmp_path / "n1.log"  # holds the lines of both processes
-        wait_until(lambda: restarted.read_text().count("event=ready") == 2)
+        # The process that was killed may have sent something within the time that `serving` looks back.
+        wait_until(lambda: logs[1].read_text().count("event=ready") == 2 and yard.serving("n1"))
         time.sleep(0.5)
         yard.over = True
         time.sleep(0.5)
