--- a/grebestack/admin/__init__.py
+++ b/grebestack/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' door: one line in, one line out. Knows neither the engine nor HTTP."""
+"""The admin interface for operators: one line in, one line out. Knows neither the engine nor HTTP."""
--- a/grebestack/admin/commands.py
+++ b/grebestack/admin/commands.py
@@ -1,18 +1,19 @@
-"""What a caller at the door says: bytes into one call. Pure."""
+"""Admin commands and responses, and their lines on the wire. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-MOST_LINE = 256  # bytes of a line, its end not counted
-ALLOWED = (
+MAX_LINE_BYTES = 256  # without the end of the line
+MAX_EXCERPT_BYTES = 40
+ALLOWED_COMMANDS = (
     "health, cordon ID, uncordon ID, quiesce, resume, fleet, leases, restart, halt, drop ID, configure PATH"
 )
 
 
 class Verb(Enum):
-    """What can be asked for."""
+    """The first word of a command."""
 
     HEALTH = "health"
     CORDON = "cordon"
@@ -27,18 +28,18 @@
     CONFIGURE = "configure"
 
     @property
-    def named(self) -> bool:
-        """Whether it is said of one server, of one member of the fleet, or of one file."""
+    def takes_target(self) -> bool:
+        """Whether the command names a worker, a member of the cluster or a file."""
         return self in (Verb.CORDON, Verb.UNCORDON, Verb.DROP, Verb.CONFIGURE)
 
     @property
-    def acts(self) -> bool:
-        """Whether it changes anything."""
+    def changes_state(self) -> bool:
+        """Whether the command does more than to report."""
         return self not in (Verb.HEALTH, Verb.FLEET, Verb.LEASES)
 
     @property
-    def of_fleet(self) -> bool:
-        """Whether it is asked of the fleet that the dispatcher belongs to."""
+    def is_for_cluster(self) -> bool:
+        """Whether the command concerns the cluster that the dispatcher is a member of."""
         return self in (
             Verb.FLEET,
             Verb.LEASES,
@@ -50,76 +51,86 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """One call; `server` is empty where none is named."""
+class Command:
+    """One command; `target` is empty for a verb that takes none."""
 
     verb: Verb
-    server: str = ""
+    target: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a call came to: its line is SUCCESS or FAILURE and a few words."""
+class CommandResponse:
+    """The outcome of a command: SUCCESS or FAILURE, and a text for the operator."""
 
-    done: bool
+    succeeded: bool
     text: str
 
     @property
     def line(self) -> bytes:
-        """The line as it goes out, its end included."""
-        word = "SUCCESS" if self.done else "FAILURE"
+        """The line on the wire, its end included."""
+        word = "SUCCESS" if self.succeeded else "FAILURE"
         return f"{word} {self.text}".rstrip().encode("utf-8", "replace") + b"\n"
 
 
-def shown(line: bytes) -> str:
-    """Some of what a caller said, fit for a line."""
-    text = line[:40].decode("utf-8", "replace")
-    return repr("".join(c if c.isprintable() else "?" for c in text)) + ("..." if len(line) > 40 else "")
+def excerpt(line: bytes) -> str:
+    """The begin of a line, quoted and printable."""
+    text = line[:MAX_EXCERPT_BYTES].decode("utf-8", "replace")
+    printable = "".join(character if character.isprintable() else "?" for character in text)
+    return repr(printable) + ("..." if len(line) > MAX_EXCERPT_BYTES else "")
 
 
-def parse(line: bytes) -> Call | Answer:
-    """Read a line without its end; an `Answer` is the FAILURE that it is owed."""
+def parse(line: bytes) -> Command | CommandResponse:
+    """Parse a line without its end; a `CommandResponse` is the FAILURE to send."""
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
-        return Answer(False, f"the call {shown(line)} is not ASCII; allowed: {ALLOWED}")
+        return _malformed(f"the call {excerpt(line)} is not ASCII")
     if not words:
-        return Answer(False, f"the call is empty; allowed: {ALLOWED}")
+        return _malformed("the call is empty")
+    word, *targets = words
     try:
-        verb = Verb(words[0])
+        verb = Verb(word)
     except ValueError:
-        return Answer(False, f"unknown call {shown(line)}; allowed: {ALLOWED}")
-    if len(words) != 1 + verb.named:
-        takes = "takes one ID" if verb.named else "takes no ID"
-        return Answer(False, f"{verb.value} {takes}, not {len(words) - 1}; allowed: {ALLOWED}")
+        return _malformed(f"unknown call {excerpt(line)}")
+    if len(targets) != int(verb.takes_target):
+        takes = "takes one ID" if verb.takes_target else "takes no ID"
+        return _malformed(f"{verb.value} {takes}, not {len(targets)}")
     if not all(word.isprintable() for word in words):
-        return Answer(False, f"the call {shown(line)} has control characters; allowed: {ALLOWED}")
-    return Call(verb, words[1] if verb.named else "")
+        return _malformed(f"the call {excerpt(line)} has control characters")
+    return Command(verb, *targets)
+
+
+def _malformed(fault: str) -> CommandResponse:
+    return CommandResponse(False, f"{fault}; allowed: {ALLOWED_COMMANDS}")
 
 
 class LineReader:
-    """Gathers the one line of a connection, in pieces of any size. What follows it is not read."""
+    """Assembles the one line of a connection from pieces of any size. What follows the line is ignored."""
 
     def __init__(self) -> None:
+        """Expect the begin of the line."""
         self.rest = b""
-        self.result: Call | Answer | None = None
+        self.result: Command | CommandResponse | None = None
 
-    def feed(self, data: bytes) -> Call | Answer | None:
-        """Take a piece; the call, or the FAILURE owed, once the line is there and never twice."""
+    def feed(self, data: bytes) -> Command | CommandResponse | None:
+        """Take a piece; the command, or the FAILURE to send, once only."""
         if self.result is not None:
             return None
-        line, end, _ = (self.rest + data[: MOST_LINE + 2]).partition(b"\n")
-        if len(line.removesuffix(b"\r") if end else line) > MOST_LINE + (not end):
-            self.rest, self.result = b"", Answer(False, f"the line is longer than {MOST_LINE} bytes")
+        line, end, _ = (self.rest + data[: MAX_LINE_BYTES + 2]).partition(b"\n")
+        content = line.removesuffix(b"\r") if end else line
+        # Without the end of the line the last byte may still turn out to be its carriage return.
+        max_bytes = MAX_LINE_BYTES if end else MAX_LINE_BYTES + 1
+        if len(content) > max_bytes:
+            self.result = CommandResponse(False, f"the line is longer than {MAX_LINE_BYTES} bytes")
         elif end:
-            self.rest, self.result = b"", parse(line.removesuffix(b"\r"))
-        else:
-            self.rest = line
+            self.result = parse(content)
+        self.rest = b"" if self.result is not None else line
         return self.result
 
-    def ended(self) -> Answer | None:
-        """The caller has stopped sending; half a line is carried out by nobody."""
+    def feed_eof(self) -> CommandResponse | None:
+        """The client has stopped sending; the FAILURE to send if its line is incomplete."""
         if self.result is not None:
             return None
-        self.result = Answer(False, f"the line {shown(self.rest)} has no end")
-        return self.result
+        failure = CommandResponse(False, f"the line {excerpt(self.rest)} has no end")
+        self.result = failure
+        return failure
--- a/grebestack/program/admin_command.py
+++ b/grebestack/program/admin_command.py
@@ -1,38 +1,64 @@
-"""`python -m grebestack say HOST:PORT CALL [ID]`: one call at the operators' door of a running dispatcher."""
+"""`python -m grebestack say HOST:PORT CALL [ID]`: send one admin command to a running dispatcher."""
 
 from __future__ import annotations
 
 import argparse
 import socket
+from enum import IntEnum
 
-from grebestack.admin.commands import ALLOWED
+from grebestack.admin.commands import ALLOWED_COMMANDS
 from grebestack.protocol.lists import address_of
+from grebestack.transport.client import Address
 
-DONE, TURNED_DOWN, WRONG_WORDS, NOBODY = 0, 1, 2, 3  # the console's exit codes
-WAIT_S = 5.0
+TIMEOUT_S = 5.0
+
+
+class ExitCode(IntEnum):
+    """The exit codes of the command line."""
+
+    SUCCEEDED = 0
+    FAILED = 1
+    BAD_ARGUMENTS = 2
+    NO_RESPONSE = 3
 
 
 def main(arguments: list[str]) -> int:
-    """Make one call and print its answer; the exit code tells how it went."""
-    parser = argparse.ArgumentParser(
-        prog="grebestack say",
-        description=f"One call at the operators' door: {ALLOWED}. "
-        "Exit: 0 SUCCESS, 1 FAILURE, 2 the words are off, 3 no dispatcher answered.",
-    )
-    parser.add_argument("door", metavar="HOST:PORT", help="where `control` points")
-    parser.add_argument("call", nargs="+", metavar="CALL")
-    options = parser.parse_args(arguments)
+    """Send a command and print its response; the exit code tells the outcome."""
+    options = _parser().parse_args(arguments)
     try:
         address = address_of(options.door)
     except ValueError as error:
         print(f"grebestack say: {error}")
-        return WRONG_WORDS
+        return ExitCode.BAD_ARGUMENTS
     try:
-        with socket.create_connection(address, WAIT_S) as caller:
-            caller.sendall(" ".join(options.call).encode() + b"\n")
-            answer = caller.makefile(errors="replace").readline().rstrip()
+        response = _send(address, " ".join(options.call))
     except OSError as error:
         print(f"grebestack say: {options.door}: {error.strerror or error}")
-        return NOBODY
-    print(answer or f"grebestack say: {options.door}: no answer")
-    return DONE if answer.startswith("SUCCESS") else TURNED_DOWN if answer.startswith("FAILURE") else NOBODY
+        return ExitCode.NO_RESPONSE
+    print(response or f"grebestack say: {options.door}: no answer")
+    return _exit_code(response)
+
+
+def _parser() -> argparse.ArgumentParser:
+    parser = argparse.ArgumentParser(
+        prog="grebestack say",
+        description=f"One call at the operators' door: {ALLOWED_COMMANDS}. "
+        "Exit: 0 SUCCESS, 1 FAILURE, 2 the words are off, 3 no dispatcher answered.",
+    )
+    parser.add_argument("door", metavar="HOST:PORT", help="where `control` points")
+    parser.add_argument("call", nargs="+", metavar="CALL")
+    return parser
+
+
+def _send(address: Address, command: str) -> str:
+    with socket.create_connection(address, TIMEOUT_S) as sock:
+        sock.sendall(command.encode() + b"\n")
+        return sock.makefile(errors="replace").readline().rstrip()
+
+
+def _exit_code(response: str) -> ExitCode:
+    if response.startswith("SUCCESS"):
+        return ExitCode.SUCCEEDED
+    if response.startswith("FAILURE"):
+        return ExitCode.FAILED
+    return ExitCode.NO_RESPONSE
--- a/grebestack/program/admin_operations.py
+++ b/grebestack/program/admin_operations.py
@@ -1,30 +1,82 @@
-"""What the calls at the operators' door do to this dispatcher."""
+"""Runs admin commands on this dispatcher."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Protocol
 
-from grebestack.admin.commands import Answer, Call, Verb
+from grebestack.admin.commands import Command, CommandResponse, Verb
 from grebestack.program.lifecycle import Life
 
 if TYPE_CHECKING:
-    from grebestack.admin.server import Reply
-    from grebestack.program.audit_recording import Auditor
-    from grebestack.program.cluster_member import Fleet
-    from grebestack.program.config_updates import Configuring
+    from grebestack.admin.server import Respond
     from grebestack.routing.interfaces import Clock
     from grebestack.routing.worker_table import ServerTable
 
+MAX_NAME_CHARACTERS = 80  # of an unknown worker's name in a response
+
+
+class RollingRestart(Protocol):
+    """The rolling restart of the cluster."""
+
+    def begin(self, reply: Respond, /) -> None:
+        """Begin one."""
+
+    def halt(self, reply: Respond, /) -> None:
+        """Halt the one that is under way."""
+
+
+class ClusterMember(Protocol):
+    """This dispatcher as a member of a cluster."""
+
+    @property
+    def paced(self) -> RollingRestart:
+        """The rolling restart."""
+
+    def shown(self) -> str:
+        """The state of the cluster, for operators."""
+
+    def leases(self) -> str:
+        """The leases, for operators."""
+
+    def drop(self, name: str, /) -> CommandResponse:
+        """Remove a member."""
+
+
+class ConfigUpdates(Protocol):
+    """The configuration of all dispatchers."""
+
+    def shown(self) -> str:
+        """The version in force, for operators."""
+
+    def configure(self, path: str, reply: Respond, /) -> None:
+        """Propose the configuration in a file."""
+
+
+class AuditRecorder(Protocol):
+    """The record of what operators do."""
+
+    def operated(self, command: Command, /) -> None:
+        """Record a command."""
+
 
 class Dispatcher(Protocol):
-    """What calls work on."""
+    """What commands work on."""
 
     life: Life
-    fleet: Fleet | None
-    configuring: Configuring | None
-    auditor: Auditor | None
     table: ServerTable
 
+    @property
+    def fleet(self) -> ClusterMember | None:
+        """The cluster, if the dispatcher is a member of one."""
+
+    @property
+    def configuring(self) -> ConfigUpdates | None:
+        """The configuration of all dispatchers, if there is one."""
+
+    @property
+    def auditor(self) -> AuditRecorder | None:
+        """The audit, if it is kept."""
+
     @property
     def clock(self) -> Clock:
         """The time."""
@@ -33,63 +85,69 @@
         """Have all follow the state of `life`."""
 
 
-class OwnOperations:
-    """Carries calls out in this process, each at once."""
+class LocalOperations:
+    """Runs commands in this process."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
+        """Run commands on a dispatcher."""
         self.dispatcher = dispatcher
 
-    def call(self, call: Call, reply: Reply) -> None:
-        """Carry out a call and reply."""
-        if self.dispatcher.auditor is not None and call.verb.acts:
-            self.dispatcher.auditor.operated(call)
-        fleet = self.dispatcher.fleet
-        if call.verb in (Verb.RESTART, Verb.HALT) and fleet is not None:
-            (fleet.paced.begin if call.verb is Verb.RESTART else fleet.paced.halt)(reply)
-        elif call.verb is Verb.CONFIGURE and self.dispatcher.configuring is not None:
-            self.dispatcher.configuring.configure(call.server, reply)
+    def run(self, command: Command, respond: Respond) -> None:
+        """Record and run a command; those of several members may respond later."""
+        dispatcher, verb = self.dispatcher, command.verb
+        if dispatcher.auditor is not None and verb.changes_state:
+            dispatcher.auditor.operated(command)
+        if verb is Verb.RESTART and dispatcher.fleet is not None:
+            dispatcher.fleet.paced.begin(respond)
+        elif verb is Verb.HALT and dispatcher.fleet is not None:
+            dispatcher.fleet.paced.halt(respond)
+        elif verb is Verb.CONFIGURE and dispatcher.configuring is not None:
+            dispatcher.configuring.configure(command.target, respond)
         else:
-            reply(self.carry_out(call))
+            respond(self.execute(command))
 
-    def carry_out(self, call: Call) -> Answer:
-        """What a call comes to; a SUCCESS holds when this returns."""
-        if call.verb is Verb.HEALTH:
+    def execute(self, command: Command) -> CommandResponse:
+        """Run a command at once, without a record; the effect of a SUCCESS holds when this returns."""
+        if command.verb is Verb.HEALTH:
             return self._health()
-        if call.verb.of_fleet:
-            return self._of_fleet(call)
-        if call.verb.named:
-            return self._cordon(call.server, call.verb is Verb.CORDON)
-        life, now = self.dispatcher.life, self.dispatcher.clock.now_ms()
-        if call.verb is Verb.RESUME and not life.resume(now):
-            return Answer(False, "stopping: a stop can't be taken back")
-        if call.verb is Verb.QUIESCE:
-            life.quiesce(now)
-        self.dispatcher.apply()
-        return Answer(True, life.stage.value)
-
-    def _of_fleet(self, call: Call) -> Answer:
-        fleet, configuring = self.dispatcher.fleet, self.dispatcher.configuring
-        if call.verb is Verb.CONFIGURE:
-            return Answer(False, "no configuration goes through a fleet here; the file needs [fleet.relays]")
-        if call.verb is Verb.FLEET and configuring is not None:
-            members = f"{fleet.shown()}; " if fleet is not None else ""
-            return Answer(True, members + configuring.shown())
-        if fleet is None:
-            return Answer(False, "this dispatcher is a member of no fleet")
-        if call.verb is Verb.DROP:
-            return fleet.drop(call.server)
-        return Answer(True, fleet.shown() if call.verb is Verb.FLEET else fleet.leases())
-
-    def _health(self) -> Answer:
-        life = self.dispatcher.life
-        return Answer(life.ready, "ready" if life.ready else f"not ready: {life.stage.value}")
+        if command.verb.is_for_cluster:
+            return self._execute_for_cluster(command)
+        if command.verb.takes_target:
+            return self._cordon(command.target, command.verb is Verb.CORDON)
+        return self._change_lifecycle(command.verb)
 
-    def _cordon(self, server: str, on: bool) -> Answer:
-        table = self.dispatcher.table
+    def _health(self) -> CommandResponse:
+        life = self.dispatcher.life
+        return CommandResponse(life.ready, "ready" if life.ready else f"not ready: {life.stage.value}")
+
+    def _change_lifecycle(self, verb: Verb) -> CommandResponse:
+        life, now_ms = self.dispatcher.life, self.dispatcher.clock.now_ms()
+        if verb is Verb.RESUME and not life.resume(now_ms):
+            return CommandResponse(False, "stopping: a stop can't be taken back")
+        if verb is Verb.QUIESCE:
+            life.quiesce(now_ms)
+        self.dispatcher.apply()
+        return CommandResponse(True, life.stage.value)
+
+    def _execute_for_cluster(self, command: Command) -> CommandResponse:
+        cluster, updates = self.dispatcher.fleet, self.dispatcher.configuring
+        if command.verb is Verb.CONFIGURE:
+            return CommandResponse(
+                False, "no configuration goes through a fleet here; the file needs [fleet.relays]"
+            )
+        if command.verb is Verb.FLEET and updates is not None:
+            members = f"{cluster.shown()}; " if cluster is not None else ""
+            return CommandResponse(True, members + updates.shown())
+        if cluster is None:
+            return CommandResponse(False, "this dispatcher is a member of no fleet")
+        if command.verb is Verb.DROP:
+            return cluster.drop(command.target)
+        return CommandResponse(True, cluster.shown() if command.verb is Verb.FLEET else cluster.leases())
+
+    def _cordon(self, worker: str, cordoned: bool) -> CommandResponse:
         try:
-            table.cordon(server, on)
+            self.dispatcher.table.cordon(worker, cordoned)
         except KeyError:
-            return Answer(False, f"{server[:80]!r} was never listed; allowed: an ID that discovery has named")
-        if not on:
-            return Answer(True, f"{server} is used again")
-        return Answer(True, f"{server} is left out")
+            name = repr(worker[:MAX_NAME_CHARACTERS])
+            return CommandResponse(False, f"{name} was never listed; allowed: an ID that discovery has named")
+        return CommandResponse(True, f"{worker} is left out" if cordoned else f"{worker} is used again")
--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -14,7 +14,7 @@
 from importlib.metadata import PackageNotFoundError, version
 from typing import TYPE_CHECKING, Any
 
-from grebestack.admin.commands import Call
+from grebestack.admin.commands import Command
 from grebestack.audit.reading import MAGIC
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.records import OF_OPERATORS
@@ -167,9 +167,9 @@
             self._turn(epoch=fleet.node.member.roll.epoch)
         self.recorder.act(self._now(), what, session.call_id[:MOST_CALL], server)
 
-    def operated(self, call: Call) -> None:
+    def operated(self, call: Command) -> None:
         """An operator says something at the door that changes something."""
-        self.recorder.act(self._now(), OF_OPERATORS, call.verb.value, call.server)
+        self.recorder.act(self._now(), OF_OPERATORS, call.verb.value, call.target)
 
     def _mark(self) -> bytes:
         """For runners that know of stamps: under which one this is sent."""
--- a/grebestack/program/cluster_member.py
+++ b/grebestack/program/cluster_member.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from grebestack.admin.commands import Answer
+from grebestack.admin.commands import CommandResponse
 from grebestack.cluster_io import log_store
 from grebestack.cluster_io.log_store import Files, FolderTakenError
 from grebestack.cluster_io.node import Node, NodeSettings
@@ -196,16 +196,16 @@
         """End."""
         self.node.stop()
 
-    def drop(self, name: str) -> Answer:
+    def drop(self, name: str) -> CommandResponse:
         """Take a member out of the set: the others agree on a set without it, which `shown` tells."""
         member = self.node.member
         if self.node.open.get(name) is not None or name == self.node.settings.name:
-            return Answer(False, f"{name} is connected: stop it first, or it is admitted again")
+            return CommandResponse(False, f"{name} is connected: stop it first, or it is admitted again")
         why = member.drop(name)
         if not why and not member.voter.votes:
             why = f"{self.node.settings.name} itself {member.voter.standing()}"
         done = f"{name} leaves the set; `fleet` shows the epoch after {member.roll.epoch}"
-        return Answer(not why, why or done)
+        return CommandResponse(not why, why or done)
 
     def members(self) -> dict[str, Any]:
         """The set in force and all members, as this one sees them."""
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from grebestack.admin.commands import Answer
+from grebestack.admin.commands import CommandResponse
 from grebestack.audit.version_sets import digest
 from grebestack.cluster_io.configuration_node import ConfigurationNode
 from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
@@ -29,7 +29,7 @@
 from grebestack.program.config import Config, ConfigError, ForceConfig, StartError, check, from_text, read
 
 log = logging.getLogger(__name__)
-DECIDED_S = 0.7  # the door wants its answer by then; see admin.server.ANSWER_S
+DECIDED_S = 0.7  # the door wants its answer by then; see admin.server.RESPONSE_TIMEOUT_S
 SPARE_S = 0.3  # a start waits so long beyond what a version on the disk waits for a relay
 FOLDER = "configuration"  # within the fleet's folder
 # Seams for tests, which no operator's file can reach.
@@ -212,18 +212,18 @@
         """The same for one line."""
         return "; ".join(self.lines())
 
-    def configure(self, path: str, reply: Callable[[Answer], None]) -> None:
+    def configure(self, path: str, reply: Callable[[CommandResponse], None]) -> None:
         """An operator wants a file's contents in force everywhere."""
         if self.voter is None:
             voters = ", ".join(sorted(self.config.voters)) or "a member of the fleet"
-            reply(Answer(False, f"{self.name} does not vote; allowed: say it to {voters}"))
+            reply(CommandResponse(False, f"{self.name} does not vote; allowed: say it to {voters}"))
             return
         try:
             contents = read_contents(os.path.join(os.path.dirname(self.laying.path), path))
             self.laying.look(contents)
         except ConfigError as error:
             why = str(error).removeprefix(f"{self.laying.path}: ")
-            reply(Answer(False, f"{path}: {why}"))
+            reply(CommandResponse(False, f"{path}: {why}"))
             return
 
         def ended(outcome: Outcome) -> None:
@@ -233,11 +233,11 @@
                 text = f"version {version.number} is in force, digest {version.digest[:16]}, held by {held}"
             else:
                 text = outcome.why
-            reply(Answer(outcome.won, text))
+            reply(CommandResponse(outcome.won, text))
 
         def late() -> None:  # the door takes the first answer alone
             text = "no majority has decided it yet; it may still come into force: look with `fleet`"
-            reply(Answer(False, text))
+            reply(CommandResponse(False, text))
 
         self.loop.call_later(DECIDED_S, late)
         self.voter.propose(contents, ended)
--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from grebestack.admin.commands import Answer, Call, Verb
+from grebestack.admin.commands import Command, CommandResponse, Verb
 from grebestack.core import checkpoint
 from grebestack.hot_restart import messages, state_machine
 from grebestack.hot_restart.ban_file import read_ban_file, write_ban_file
 from grebestack.hot_restart.framing import FrameError
 from grebestack.hot_restart.messages import Message, MessageType
 from grebestack.hot_restart.rendezvous import RendezvousListener
-from grebestack.program.admin_operations import OwnOperations
+from grebestack.program.admin_operations import LocalOperations
 from grebestack.program.hot_restart_adoption import Adoption
 from grebestack.program.hot_restart_handover import Handover
 from grebestack.program.hot_restart_interface import RestartableDispatcher
@@ -25,7 +25,7 @@
 from grebestack.protocol.runners import Said
 
 if TYPE_CHECKING:
-    from grebestack.admin.server import Reply
+    from grebestack.admin.server import Respond
 
 log = logging.getLogger(__name__)
 FOLDER_NAME = "grebestack"  # in $TMPDIR
@@ -54,7 +54,7 @@
         self.adoption = Adoption(dispatcher)
         self.callbacks_by_query: dict[int, Callable[[bool | None], None]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.own_operations = OwnOperations(dispatcher)
+        self.local_operations = LocalOperations(dispatcher)
         self.predecessor_attempts = checkpoint.Elsewhere(dispatcher.engine.policy)
         self._executors = self._action_table()
         dispatcher.front.elsewhere = self.called_back
@@ -209,8 +209,8 @@
 
     def _run_command(self, action: state_machine.RunCommand) -> None:
         self.dispatcher.table.remember({action.worker})
-        answer = self._run_own(Call(Verb(action.verb), action.worker))
-        self.channels.send(action.peer, messages.command_result(action.number, answer.done))
+        response = self._execute_locally(Command(Verb(action.verb), action.worker))
+        self.channels.send(action.peer, messages.command_result(action.number, response.succeeded))
 
     def _deliver_callback(self, action: state_machine.DeliverCallback) -> None:
         result = self.dispatcher.runners.called_back(action.body.encode("utf-8", "surrogateescape"))
@@ -275,30 +275,30 @@
 
     # Admin commands.
 
-    def call(self, call: Call, reply: Reply) -> None:
+    def run(self, command: Command, respond: Respond) -> None:
         """Run an operator's command here and in the other process; it succeeds if it does in both."""
-        answer = self._run_own(call)
-        if call.verb is Verb.RESUME and self.dispatcher.life.retired:
-            answer = Answer(True, "said to the process that serves")  # this one may be stopping
-        if call.verb is Verb.HEALTH or not answer.done or not self.state_machine.peers:
-            reply(answer)
+        response = self._execute_locally(command)
+        if command.verb is Verb.RESUME and self.dispatcher.life.retired:
+            response = CommandResponse(True, "said to the process that serves")  # this one may be stopping
+        if command.verb is Verb.HEALTH or not response.succeeded or not self.state_machine.peers:
+            respond(response)
             return
 
         def complete(succeeded: bool | None) -> None:
             if succeeded:
-                reply(answer)
+                respond(response)
                 return
             fault = "did not answer" if succeeded is None else "is not ready for it"
-            reply(Answer(False, f"the other process of the upgrade {fault}; call again"))
+            respond(CommandResponse(False, f"the other process of the upgrade {fault}; call again"))
 
-        query = self.state_machine.query_command(call.verb.value, call.server)
+        query = self.state_machine.query_command(command.verb.value, command.target)
         self._query(query, COMMAND_TIMEOUT_S, complete)
 
-    def _run_own(self, call: Call) -> Answer:
-        answer = self.own_operations.carry_out(call)
-        if call.verb.named:
+    def _execute_locally(self, command: Command) -> CommandResponse:
+        response = self.local_operations.execute(command)
+        if command.verb.takes_target:
             self._write_ban_file()
-        return answer
+        return response
 
     # The file of cordoned workers.
 
--- a/grebestack/program/rolling_restart.py
+++ b/grebestack/program/rolling_restart.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from grebestack.admin.commands import Answer
+from grebestack.admin.commands import CommandResponse
 from grebestack.cluster_io.node import Node
 from grebestack.cluster_tasks.rolling_restart import (
     GOES_ON,
@@ -126,31 +126,31 @@
 
     # The door.
 
-    def begin(self, reply: Callable[[Answer], None]) -> None:
+    def begin(self, reply: Callable[[CommandResponse], None]) -> None:
         """An operator wants the fleet restarted."""
         names = tuple(sorted(self.node.member.roll.names()))
         if len(names) < 2:
-            reply(Answer(False, "a restart one after the other needs two members at least"))
+            reply(CommandResponse(False, "a restart one after the other needs two members at least"))
             return
 
         def ended(known: bool, value: Value) -> None:
             if not known:
-                reply(Answer(False, "no majority has answered; look with `fleet`, then call again"))
+                reply(CommandResponse(False, "no majority has answered; look with `fleet`, then call again"))
             elif isinstance(value, Plan):
                 mine = value.by == self.node.settings.name and not value.done and not value.step
-                reply(Answer(mine, shown(value)))
+                reply(CommandResponse(mine, shown(value)))
 
         self.node.change(REGISTER, beginning(self.node.settings.name, names), ended)
 
-    def halt(self, reply: Callable[[Answer], None]) -> None:
+    def halt(self, reply: Callable[[CommandResponse], None]) -> None:
         """An operator wants it to go no further; a member that has been told restarts all the same."""
 
         def ended(known: bool, value: Value) -> None:
             if not known:
-                reply(Answer(False, "no majority has answered; look with `fleet`, then call again"))
+                reply(CommandResponse(False, "no majority has answered; look with `fleet`, then call again"))
                 return
             plan = value if isinstance(value, Plan) else None
-            reply(Answer(plan is not None and plan.state != GOES_ON, shown(plan)))
+            reply(CommandResponse(plan is not None and plan.state != GOES_ON, shown(plan)))
 
         self.node.change(REGISTER, stopping(f"halted at {self.node.settings.name}"), ended)
 
--- a/tests/golden_control.py
+++ b/tests/golden_control.py
@@ -6,10 +6,10 @@
 from typing import Any
 from unittest.mock import MagicMock
 
-from grebestack.admin.commands import Answer, Call, LineReader, Verb, parse, shown
-from grebestack.admin.server import Door
+from grebestack.admin.commands import Command, CommandResponse, LineReader, Verb, excerpt, parse
+from grebestack.admin.server import AdminServer
 from grebestack.core.api import ListKind
-from grebestack.program.admin_operations import OwnOperations
+from grebestack.program.admin_operations import LocalOperations
 from grebestack.program.lifecycle import Life
 from grebestack.program.log import KeyValueFormatter
 from grebestack.program.traffic_log import Tally
@@ -25,7 +25,8 @@
     b"configure", b"quiesce now", b"cordon a\x01b", b"caf\xc3\xa9", b"\xff\xfe", b"x" * 60,
 )  # fmt: skip
 OUTCOMES = (
-    Answer(True, "ready"), Answer(False, "not ready: starting"), Answer(True, ""), Answer(False, "caf\u00e9"),
+    CommandResponse(True, "ready"), CommandResponse(False, "not ready: starting"),
+    CommandResponse(True, ""), CommandResponse(False, "caf\u00e9"),
 )  # fmt: skip
 
 
@@ -34,8 +35,8 @@
     return {line.decode("latin-1"): _outcome(parse(line)) for line in LINES}
 
 
-def _outcome(result: Call | Answer | None) -> Any:
-    if isinstance(result, Answer):
+def _outcome(result: Command | CommandResponse | None) -> Any:
+    if isinstance(result, CommandResponse):
         return result.line.decode()
     return None if result is None else values_of(result)
 
@@ -51,7 +52,7 @@
     }.items():
         reader = LineReader()
         outcomes = [_outcome(reader.feed(piece)) for piece in pieces]
-        results[name] = [*outcomes, _outcome(reader.ended())]
+        results[name] = [*outcomes, _outcome(reader.feed_eof())]
     return results
 
 
@@ -60,10 +61,10 @@
     dispatcher = MagicMock(fleet=None, configuring=None, auditor=None, life=Life(), table=ServerTable())
     dispatcher.clock.now_ms.return_value = 1000.0
     dispatcher.table.update(ListKind.FULL, [SERVER])
-    operations, answers = OwnOperations(dispatcher), dict[str, str]()
+    operations, answers = LocalOperations(dispatcher), dict[str, str]()
 
     def said(name: str, verb: Verb, server: str = "") -> None:
-        answers[name] = operations.carry_out(Call(verb, server)).line.decode()
+        answers[name] = operations.execute(Command(verb, server)).line.decode()
 
     said("health at the start", Verb.HEALTH)
     dispatcher.life.started(1001.0)
@@ -75,7 +76,7 @@
     said("health when quiesced", Verb.HEALTH)
     said("resume", Verb.RESUME)
     for verb in (Verb.FLEET, Verb.LEASES, Verb.RESTART, Verb.HALT, Verb.DROP, Verb.CONFIGURE):
-        said(f"{verb.value} without a fleet", verb, "m-3" if verb.named else "")
+        said(f"{verb.value} without a fleet", verb, "m-3" if verb.takes_target else "")
     dispatcher.life.stop(1002.0)
     said("resume after a stop", Verb.RESUME)
     said("health after a stop", Verb.HEALTH)
@@ -99,14 +100,14 @@
 def logged() -> list[str]:
     """Lines of the log: those of the door and of the tally, and values that need quotes."""
     handler, logger = Lines(), logging.getLogger("tests.golden")
-    door = logging.getLogger(Door.log.__module__)
+    door = logging.getLogger(AdminServer.log_command.__module__)
     levels = {one: one.level for one in (logger, door)}
     for one in levels:
         one.addHandler(handler)
         one.setLevel(logging.INFO)
-    Door.log(Call(Verb.CORDON, "runner-1"), Answer(True, "runner-1 is left out"))
-    Door.log(Call(Verb.QUIESCE), Answer(True, "quiesced"))
-    Door.log(Call(Verb.HEALTH), Answer(True, "ready"))
+    AdminServer.log_command(Command(Verb.CORDON, "runner-1"), CommandResponse(True, "runner-1 is left out"))
+    AdminServer.log_command(Command(Verb.QUIESCE), CommandResponse(True, "quiesced"))
+    AdminServer.log_command(Command(Verb.HEALTH), CommandResponse(True, "ready"))
     tally = Tally()
     for counts in ({"sessions": 5, "ok": 3, "dials": 2}, {"sessions": 9, "ok": 3, "dials": 4}):
         pairs = tally.pairs(counts, {"runner-1": 4, "runner-2": 1}, {"runner-1": 2})
@@ -125,7 +126,7 @@
         "parsed": parsed(),
         "pieces": read_in_pieces(),
         "answers": [answer.line.decode() for answer in OUTCOMES],
-        "shown": [shown(line) for line in LINES],
+        "shown": [excerpt(line) for line in LINES],
         "operated": operated(),
         "logged": logged(),
     }
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -51,10 +51,10 @@
         if (result := reader.feed(whole[:size])) is not None:
             got.append(result)
         whole = whole[size:]
-        assert len(reader.rest) <= commands.MOST_LINE + 1
-    assert len(got) == 1 and reader.ended() is None
-    if len(line) > commands.MOST_LINE:
-        assert got[0] == commands.Answer(False, "the line is longer than 256 bytes")
+        assert len(reader.rest) <= commands.MAX_LINE_BYTES + 1
+    assert len(got) == 1 and reader.feed_eof() is None
+    if len(line) > commands.MAX_LINE_BYTES:
+        assert got[0] == commands.CommandResponse(False, "the line is longer than 256 bytes")
     else:
         assert got[0] == commands.parse(line)
 
@@ -72,7 +72,7 @@
 )
 def test_a_failure_names_what_was_wrong_and_what_is_allowed(line: bytes, says: str) -> None:
     answer = commands.parse(line)
-    assert isinstance(answer, commands.Answer) and answer.line.startswith(b"FAILURE ")
+    assert isinstance(answer, commands.CommandResponse) and answer.line.startswith(b"FAILURE ")
     assert says in answer.text and "cordon ID" in answer.text
 
 
