--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -209,16 +209,14 @@
         log.info("drmaa_listening", extra={"kv": {"address": ":".join(map(str, config.listen))}})
 
     async def _open_door(self, address: Address) -> None:
-        from grebestack.admin.server import (
-            AdminServer,
-        )  # only here: where there is no door nothing is loaded for it
+        # Only here: where there is no door nothing is loaded for it.
+        from grebestack.admin.server import AdminServer
         from grebestack.program.admin_operations import LocalOperations
 
         operations = LocalOperations(self) if self.upgrade is None else self.upgrade
         shared = True if self.upgrade is not None else None  # two processes may have the same address then
-        await self.loop.create_server(
-            AdminServer(self.loop, operations), *address, backlog=64, reuse_port=shared
-        )
+        server = AdminServer(self.loop, operations)
+        await self.loop.create_server(server, *address, backlog=64, reuse_port=shared)
         log.info("control_listening", extra={"kv": {"address": ":".join(map(str, address))}})
 
     async def run(self, hung_up: Callable[[], bool] = lambda: False) -> None:
