--- a/grebestack/endpoint_watch/__init__.py
+++ b/grebestack/endpoint_watch/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a watch: when it is opened, given up and opened anew. Pure."""
+"""The watch of a source's endpoint list, as a state machine. Knows neither sockets nor the list's format."""
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -20,7 +20,7 @@
 from grebestack.program.config import Config, ConfigError, DrmaaConfig, StartError, check
 from grebestack.program.lifecycle import KILL_DEADLINE_MS, LATE_MS, Clients, Life, Stage
 from grebestack.program.traffic_log import Tally
-from grebestack.protocol.discovery import Watch, terms_of
+from grebestack.protocol.discovery import DiscoveryWatcher, watch_settings_of
 from grebestack.protocol.lists import ListReader
 from grebestack.protocol.platform import PlatformFront
 from grebestack.protocol.runners import Reports, Runners
@@ -165,7 +165,7 @@
         """Monotonic time and the loop's timers."""
         return self.engine.clock
 
-    def _source(self, config: Config, follows: Watch | None = None) -> Source | None:
+    def _source(self, config: Config, follows: DiscoveryWatcher | None = None) -> Source | None:
         source = config.servers.source
         entries = config.servers.entries if source == "list" else ()
         servers = [self.reader.server(raw, strict=True) for raw in entries]
@@ -185,8 +185,8 @@
         return self._reading(config, listings, follows)
 
     def _reading(
-        self, config: Config, listings: Sequence[Listing], follows: Watch | None
-    ) -> Watch | ConsulSource:
+        self, config: Config, listings: Sequence[Listing], follows: DiscoveryWatcher | None
+    ) -> DiscoveryWatcher | ConsulSource:
         if config.servers.consul is not None:
             from grebestack.program import appliance
 
@@ -194,8 +194,8 @@
             clock = self.engine.clock
             return appliance.consul(config.servers.consul, pools, clock, config.options, listings)
         name_odd_discovery(config.options)
-        terms = terms_of(config.settings)
-        return Watch(self.loop, config.discovery, self.reader, listings[0], follows, terms)
+        terms = watch_settings_of(config.settings)
+        return DiscoveryWatcher(self.loop, config.discovery, self.reader, listings[0], follows, terms)
 
     async def _start_drmaa(self, config: DrmaaConfig) -> None:
         from grebestack.program import appliance  # only here: the platform's memory has no room for it
@@ -228,8 +228,8 @@
             self.loop.call_soon(self.reload)
         if self.config.listen_fd is not None:
             await self._begin_upgrade()
-        if self.config.known and isinstance(self.watch, Watch) and not self.table.servers:
-            self.watch.known(self.config.known)
+        if self.config.known and isinstance(self.watch, DiscoveryWatcher) and not self.table.servers:
+            self.watch.load_cached_list(self.config.known)
         self.config = replace(self.config, known={})  # it may be long, and is of a start alone
         if self.watch is not None:
             self.watch.start()
@@ -273,8 +273,8 @@
         if self.life.stage is Stage.STOPPING:
             return
         if self.table.known or time.monotonic() >= until:
-            if isinstance(self.watch, Watch):
-                self.watch.use_known()
+            if isinstance(self.watch, DiscoveryWatcher):
+                self.watch.use_cached_list()
             if self.upgrade is None:
                 self._serve()
             else:
@@ -325,7 +325,7 @@
         counts = dict(self.engine.counts) | {
             "dials": self.pools.tried,
             "not_up": self.pools.not_up,
-            "list_calls": self.watch.calls if isinstance(self.watch, Watch) else 0,
+            "list_calls": self.watch.calls if isinstance(self.watch, DiscoveryWatcher) else 0,
         }
         if kv := self.tally.pairs(counts, sent, out):
             log.info("tally", extra={"kv": kv})
@@ -378,7 +378,7 @@
         former = self.watch
         config = replace(self.config, discovery=config.discovery, servers=config.servers)
         try:
-            watch = self._source(config, former if isinstance(former, Watch) else None)
+            watch = self._source(config, former if isinstance(former, DiscoveryWatcher) else None)
         except (ValueError, KeyError, TypeError) as error:  # guards the old source against a malformed list
             log.error("reload_failed", extra={"kv": {"error": repr(error)}})
             if resettled:
--- a/grebestack/protocol/discovery.py
+++ b/grebestack/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""The watch of discovery's list that keeps the server table up to date: the shell of `endpoint_watch`."""
+"""Keeps the worker table up to date from discovery: sockets and timers for `endpoint_watch`."""
 
 from __future__ import annotations
 
@@ -11,53 +11,56 @@
 
 from grebestack.core.api import ListKind, Settings
 from grebestack.endpoint_watch import state_machine
-from grebestack.endpoint_watch.state_machine import CONNECT_MS, Life, Stage, Terms
+from grebestack.endpoint_watch.state_machine import EndpointWatch, Stage
+from grebestack.endpoint_watch.timing import CONNECT_TIMEOUT_MS, WatchSettings
 from grebestack.protocol.lists import ListReader, Objects
 from grebestack.routing.interfaces import Listing
+from grebestack.routing.worker_table import Server
 from grebestack.transport.client import Address, LineStream
 
 log = logging.getLogger(__name__)
 
 
-def terms_of(settings: Settings) -> Terms:
-    """What the settings say of lists."""
-    return Terms(not settings.polls_endpoint_list, settings.drain_grace_ms, settings.dispatcher_count)
+def watch_settings_of(settings: Settings) -> WatchSettings:
+    """The settings of the watch among those of the dispatcher."""
+    return WatchSettings(not settings.polls_endpoint_list, settings.drain_grace_ms, settings.dispatcher_count)
 
 
-class Question:
-    """One watch: its connection while it comes up, and its lines."""
+class WatchConnection:
+    """One watch: its connection, also while it is being made, and its lines."""
 
-    def __init__(self, number: int, version: int, ask: bytes, watch: Watch) -> None:
-        self.number, self.version, self.watch = number, version, watch
+    def __init__(self, number: int, request: bytes, watcher: DiscoveryWatcher) -> None:
+        """Send the request as soon as `stream` is connected."""
+        self.number, self.watcher = number, watcher
         self.objects = Objects()
-        self.stream = LineStream(ask, self._line, self._ended)
+        self.stream = LineStream(request, self._on_line, self._on_ended)
         self.task: asyncio.Task[None] | None = None
         self.closed = False
 
-    def _line(self, line: bytes) -> None:
+    def _on_line(self, line: bytes) -> None:
         if not self.closed:
-            self.watch.line(self, line)
+            self.watcher.on_line(self, line)
 
-    def _ended(self) -> None:
+    def _on_ended(self) -> None:
         if not self.closed:
             self.closed = True
-            self.watch.ended(self)
+            self.watcher.on_ended(self)
 
-    def failed(self) -> None:
-        """The connection did not come up."""
+    def on_connect_failed(self) -> None:
+        """The connection was refused, or not made in time."""
         if self.stream.transport is None:
-            self._ended()
+            self._on_ended()
 
     def close(self) -> None:
-        """End it, however far it has come; nothing more is heard of it."""
+        """Close the connection, or stop making it. The watcher is not called any more."""
         self.closed = True
         self.stream.close()
         if self.task is not None and not self.task.done():
             self.task.cancel()
 
 
-class Watch:
-    """Keeps the list of one address up to date."""
+class DiscoveryWatcher:
+    """Watches the list at one address."""
 
     def __init__(
         self,
@@ -65,83 +68,128 @@
         address: Address,
         reader: ListReader,
         table: Listing,
-        follows: Watch | None = None,
-        terms: Terms | None = None,
+        replaces: DiscoveryWatcher | None = None,
+        settings: WatchSettings | None = None,
         draw: Callable[[], float] = random.random,
     ) -> None:
+        """`replaces` is the watcher of a former address, which is stopped once a list has come here."""
         self.loop, self.address, self.reader, self.table = loop, address, reader, table
-        self.follows = follows  # the watch of another address, ended once this one has told its list
-        self.life = Life(Terms() if terms is None else terms, draw)
-        self.version = 0  # an address counts its own versions: the first question asks for the whole list
-        self.held: list[Any] = []  # what the list that was held before the start names, not used so far
-        self.questions: dict[int, Question] = {}
-        self.calls: int = follows.calls if follows is not None else 0  # since the start
+        self.replaces = replaces
+        self.state_machine = EndpointWatch(WatchSettings() if settings is None else settings, draw)
+        self.version = 0  # of this address's list; 0 requests the complete list
+        self.cached_workers: list[Server] = []  # of a list from before the start, not in the table so far
+        self.connections: dict[int, WatchConnection] = {}
+        self.calls: int = replaces.calls if replaces is not None else 0  # requests since the start
         self.timer: asyncio.TimerHandle | None = None
         self.timer_ms = 0.0
 
-    def known(self, raw: Mapping[str, Any]) -> None:
-        """Hold the list that was held before the start; it may be old.
+    def load_cached_list(self, raw: Mapping[str, Any]) -> None:
+        """Take a list from before the start, which may be outdated.
 
-        Changes to it may come at once. Where lists are pushed nothing is sent by it until then, or until
-        `use_known`: what the agent has counts as told from the first moment, and may be that a server drains.
+        Changes to it may come at once. Where lists are pushed it is not used until then, or until
+        `use_cached_list`: the agent's list counts as delivered from the first moment, and a worker of the
+        cached list may be draining there.
         """
-        self.version, _, self.held = self.reader.message(raw)
-        if not self.life.terms.pushed:  # that counts as told some seconds later only
-            self.use_known()
+        self.version, _, self.cached_workers = self.reader.message(raw)
+        if not self.state_machine.settings.pushed:  # a polled list counts as delivered seconds later
+            self.use_cached_list()
 
-    def use_known(self) -> None:
-        """Nothing newer has come for as long as a start can wait."""
-        held, self.held = self.held, []
-        if held:
-            self.table.update(ListKind.CACHED, held)
+    def use_cached_list(self) -> None:
+        """Put the cached list into the table, unless a newer one has come."""
+        workers, self.cached_workers = self.cached_workers, []
+        if workers:
+            self.table.update(ListKind.CACHED, workers)
 
     def start(self) -> None:
         """Open the first watch."""
-        self._feed(state_machine.Begun())
+        self._handle(state_machine.Started())
 
     def retire(self) -> None:
-        """Hear on what is open, but open nothing more: another watch follows."""
-        self._feed(state_machine.Moved())
+        """Read open watches and open no others: the watcher of another address replaces this one."""
+        self._handle(state_machine.AddressChanged())
 
     def stop(self) -> None:
-        """Watch no longer."""
-        self._end_former()
-        self._feed(state_machine.Stopped())
+        """Close all watches."""
+        self._stop_replaced()
+        self._handle(state_machine.Stopped())
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    def _end_former(self) -> None:
-        if self.follows is not None:
-            self.follows.stop()
-            self.follows = None
+    def on_ended(self, connection: WatchConnection) -> None:
+        """A connection is closed, or was never made."""
+        self.connections.pop(connection.number, None)
+        self._handle(state_machine.WatchEnded(connection.number))
 
-    def _feed(self, event: state_machine.Event) -> None:
-        for action in self.life.handle(time.monotonic() * 1000.0, event):
+    def on_line(self, connection: WatchConnection, line: bytes) -> None:
+        """A line has come on a connection."""
+        try:
+            raw = connection.objects.line(line)
+            if raw is None:
+                if not connection.objects.parts:  # else a list goes on in the next line
+                    self._on_heartbeat(connection)
+                return
+            version, is_complete, workers = self.reader.message(raw)
+        except ValueError as error:
+            self._on_malformed(connection, error)
+            return
+        self._on_list(connection, version, is_complete, workers)
+
+    def _on_heartbeat(self, connection: WatchConnection) -> None:
+        self._handle(state_machine.EventReceived(connection.number))
+        self.use_cached_list()  # the source has nothing newer
+        self.table.heard()
+
+    def _on_malformed(self, connection: WatchConnection, error: ValueError) -> None:
+        log.warning("bad_list_line", extra={"kv": {"error": f"{error!r:.200}", "rev": self.version}})
+        self.version = 0  # later changes would be to a list that is not known
+        self._handle(state_machine.MalformedEvent(connection.number))
+
+    def _on_list(
+        self, connection: WatchConnection, version: int, is_complete: bool, workers: list[Server]
+    ) -> None:
+        if not is_complete and version < self.version:
+            self.reader.odd("rev", version, self.version)
+        self._handle(state_machine.EventReceived(connection.number))
+        self.version = version
+        if self.cached_workers and not is_complete:
+            self.use_cached_list()  # the changes are to this list
+        self.cached_workers = []
+        # Only now, so that there is no gap after a move; and before the update, so that no list of the former
+        # address can follow the new one.
+        self._stop_replaced()
+        self.table.update(ListKind.FULL if is_complete else ListKind.CHANGES, workers)
+
+    def _stop_replaced(self) -> None:
+        if self.replaces is not None:
+            self.replaces.stop()
+            self.replaces = None
+
+    def _handle(self, event: state_machine.Event) -> None:
+        for action in self.state_machine.handle(time.monotonic() * 1000.0, event):
             match action:
-                case state_machine.Open(number):
+                case state_machine.OpenWatch(number):
                     self._open(number)
-                case state_machine.Close(number):
-                    if (question := self.questions.pop(number, None)) is not None:
-                        question.close()
-                case state_machine.Wake(at_ms):
-                    self._wake(at_ms)
-                case state_machine.Now(stage):
-                    self._now(stage)
-
-    def _wake(self, at_ms: float) -> None:
+                case state_machine.CloseWatch(number):
+                    self._close(number)
+                case state_machine.SetTimer(at_ms):
+                    self._set_timer(at_ms)
+                case state_machine.StageChanged(stage):
+                    self._on_stage_changed(stage)
+
+    def _set_timer(self, at_ms: float) -> None:
         if self.timer is not None:
             if at_ms == self.timer_ms:
                 return
             self.timer.cancel()
         self.timer_ms = at_ms
-        self.timer = self.loop.call_later(max(0.0, at_ms / 1000.0 - time.monotonic()), self._tick)
+        self.timer = self.loop.call_later(max(0.0, at_ms / 1000.0 - time.monotonic()), self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
-        self._feed(state_machine.Tick())
+        self._handle(state_machine.TimerFired())
 
-    def _now(self, stage: Stage) -> None:
+    def _on_stage_changed(self, stage: Stage) -> None:
         kv = {"stage": stage.value, "rev": self.version, "calls": self.calls}
         if stage is Stage.SILENT:
             log.warning("watch_silent", extra={"kv": kv})
@@ -156,49 +204,20 @@
             f"GET /registry/instances?follow=1&since={self.version} HTTP/1.1\r\n"
             f"Host: {host}:{port}\r\nAccept: application/json\r\n\r\n"
         )
-        question = self.questions[number] = Question(number, self.version, request.encode(), self)
-        question.task = self.loop.create_task(self._dial(question))
+        connection = WatchConnection(number, request.encode(), self)
+        self.connections[number] = connection
+        connection.task = self.loop.create_task(self._connect(connection))
 
-    async def _dial(self, question: Question) -> None:
-        """Open one connection. The loop offers only a coroutine: the task is the connection's."""
+    def _close(self, number: int) -> None:
+        if (connection := self.connections.pop(number, None)) is not None:
+            connection.close()
+
+    async def _connect(self, connection: WatchConnection) -> None:
         host, port = self.address
         try:
-            async with asyncio.timeout(CONNECT_MS / 1000.0):
-                await self.loop.create_connection(lambda: question.stream, host, port)
+            async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000.0):
+                await self.loop.create_connection(lambda: connection.stream, host, port)
         except (OSError, TimeoutError):
-            question.failed()
-        if question.closed:  # while the connection came up
-            question.stream.close()
-
-    def ended(self, question: Question) -> None:
-        """A watch has ended, or never came up."""
-        self.questions.pop(question.number, None)
-        self._feed(state_machine.Ended(question.number))
-
-    def line(self, question: Question, line: bytes) -> None:
-        """A line has come."""
-        try:
-            raw = question.objects.line(line)
-            if raw is None:
-                if not question.objects.parts:
-                    self._feed(state_machine.Heard(question.number))
-                    self.use_known()  # nothing has changed since
-                    self.table.heard()
-                return
-            version, whole, servers = self.reader.message(raw)
-        except ValueError as error:
-            # Changes that can't be read are lost, and the next ones would rest on them: all is asked anew.
-            log.warning("bad_list_line", extra={"kv": {"error": f"{error!r:.200}", "rev": self.version}})
-            self.version = 0
-            self._feed(state_machine.Garbled(question.number))
-            return
-        if not whole and version < self.version:
-            self.reader.odd("rev", version, self.version)
-        self._feed(state_machine.Heard(question.number))
-        self.version = version
-        if self.held and not whole:
-            self.use_known()  # what these are changes to
-        self.held = []
-        # Guards against a gap on a move, and against an old address that speaks after the new one.
-        self._end_former()
-        self.table.update(ListKind.FULL if whole else ListKind.CHANGES, servers)
+            connection.on_connect_failed()
+        if connection.closed:  # while the connection was made
+            connection.stream.close()
--- a/tests/endpoint_watch_model.py
+++ b/tests/endpoint_watch_model.py
@@ -1,4 +1,4 @@
-"""An agent and the life of the watches on it, in simulated time with faults; a checker of what came late."""
+"""An agent and the watches on it, in simulated time with faults; a checker of what came late."""
 
 from __future__ import annotations
 
@@ -9,18 +9,17 @@
 from functools import partial
 
 from grebestack.endpoint_watch.state_machine import (
-    TOLD_MS,
-    Begun,
-    Close,
-    Ended,
+    CloseWatch,
+    EndpointWatch,
     Event,
-    Heard,
-    Life,
-    Open,
-    Terms,
-    Tick,
-    Wake,
+    EventReceived,
+    OpenWatch,
+    SetTimer,
+    Started,
+    TimerFired,
+    WatchEnded,
 )
+from grebestack.endpoint_watch.timing import DELIVERY_DEADLINE_MS, WatchSettings
 
 LATE_MS = 50.0  # the page's slack on sockets
 WIRE_MS = 2.0  # a question or a line on its way
@@ -40,7 +39,7 @@
 class Play:
     """One dispatcher and its agent. `seen` is what the server table has, and since when."""
 
-    terms: Terms
+    settings: WatchSettings
     seed: int
     faults: Sequence[Fault]
     keeps: bool = True  # whether watches that an outage finds, or that are opened in it, go on at its end
@@ -62,35 +61,35 @@
         self.count += 1
         heapq.heappush(self.queue, (ms, self.count, call))
 
-    def run(self, until_ms: float, life: Life) -> None:
-        self.life = life
+    def run(self, until_ms: float, watch: EndpointWatch) -> None:
+        self.watch = watch
         for when, what, long in self.faults:
             self.at(when, partial(self.fault, what, long))
-        self.feed(Begun())
+        self.feed(Started())
         while self.queue and self.queue[0][0] <= until_ms:
             self.now, _, call = heapq.heappop(self.queue)
             call()
 
     def feed(self, event: Event) -> None:
-        for action in self.life.handle(self.now, event):
-            if isinstance(action, Open):
+        for action in self.watch.handle(self.now, event):
+            if isinstance(action, OpenWatch):
                 self.opened.append(self.now)
                 self.at(self.now + WIRE_MS, partial(self.asked, action.number))
-            elif isinstance(action, Close):
+            elif isinstance(action, CloseWatch):
                 self.streams.pop(action.number, None)
-            elif isinstance(action, Wake):
+            elif isinstance(action, SetTimer):
                 self.woken += 1
                 self.at(action.at_ms, partial(self.wake, self.woken))
 
     def wake(self, number: int) -> None:
         if number == self.woken:
-            self.feed(Tick())
+            self.feed(TimerFired())
 
     # The agent.
 
     def asked(self, number: int) -> None:
         if self.now < self.refuses_until:
-            self.feed(Ended(number))
+            self.feed(WatchEnded(number))
             return
         stream = self.streams[number] = Stream()
         if self.now < self.silent_until:
@@ -120,7 +119,7 @@
     def hear(self, number: int, stream: Stream, version: int) -> None:
         if self.streams.get(number) is not stream:
             return
-        self.feed(Heard(number))
+        self.feed(EventReceived(number))
         if version >= 0:
             self.seen.append((self.now, version))
 
@@ -158,15 +157,17 @@
     def reset(self) -> None:
         streams, self.streams = self.streams, {}
         for number in streams:
-            self.at(self.now + WIRE_MS, partial(self.feed, Ended(number)))
+            self.at(self.now + WIRE_MS, partial(self.feed, WatchEnded(number)))
 
-    def late(self, until_ms: float, rule: Terms | None = None) -> list[str]:
+    def late(self, until_ms: float, rule: WatchSettings | None = None) -> list[str]:
         """What the server table had later than the rule allows."""
-        wrong, rule = [], rule or self.terms
+        wrong, rule = [], rule or self.settings
         for at, version in self.got:
-            time = rule.grace_ms + LATE_MS if rule.pushed else TOLD_MS
+            time = rule.drain_grace_ms + LATE_MS if rule.pushed else DELIVERY_DEADLINE_MS
             allowed = at + time
-            for since, until in sorted([*self.away, *((s, s + TOLD_MS - time) for s in self.fell_silent)]):
+            for since, until in sorted(
+                [*self.away, *((s, s + DELIVERY_DEADLINE_MS - time) for s in self.fell_silent)]
+            ):
                 if since <= allowed:  # nobody could know meanwhile
                     allowed = max(allowed, until + time)
             if allowed >= until_ms:
@@ -178,14 +179,14 @@
 
 
 def play(
-    terms: Terms,
+    settings: WatchSettings,
     seed: int,
     faults: Sequence[Fault],
     keeps: bool,
     until_ms: float = 40_000.0,
-    kind: type[Life] = Life,
+    kind: type[EndpointWatch] = EndpointWatch,
 ) -> Play:
     """One play, whole."""
-    game = Play(terms, seed, faults, keeps)
-    game.run(until_ms, kind(terms, random.Random(seed).random))
+    game = Play(settings, seed, faults, keeps)
+    game.run(until_ms, kind(settings, random.Random(seed).random))
     return game
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The life of a watch: whatever its source has for longer than the rule allows is in the server table."""
+"""A watch: whatever its source has for longer than the protocol allows is in the worker table."""
 
 from __future__ import annotations
 
@@ -9,28 +9,26 @@
 from hypothesis import strategies as st
 
 from grebestack.endpoint_watch.state_machine import (
-    SILENCE_MS,
-    SOON_MOST_MS,
     Action,
-    Begun,
-    Close,
-    Ended,
-    Garbled,
-    Heard,
-    Life,
-    Moved,
-    Now,
-    Open,
+    AddressChanged,
+    CloseWatch,
+    EndpointWatch,
+    EventReceived,
+    MalformedEvent,
+    OpenWatch,
+    SetTimer,
     Stage,
+    StageChanged,
+    Started,
     Stopped,
-    Terms,
-    Tick,
-    Wake,
+    TimerFired,
+    WatchEnded,
 )
+from grebestack.endpoint_watch.timing import HEARTBEAT_TIMEOUT_MS, MAX_PUSH_RETRY_MS, WatchSettings
 from tests.endpoint_watch_model import Fault, Play, play
 
-PUSHED = Terms(True, 250.0, 200)
-ASKED = Terms(False, 250.0, 40)
+PUSHED = WatchSettings(True, 250.0, 200)
+ASKED = WatchSettings(False, 250.0, 40)
 FAULTS = st.lists(
     st.tuples(
         st.floats(100.0, 9000.0),
@@ -41,17 +39,19 @@
 )
 
 
-class Former(Life):
+class Former(EndpointWatch):
     """The watch of before: what was silent was closed, and the next opened after a pause."""
 
-    def _pause(self, now_ms: float, since_ms: float, least_ms: float = 0.0) -> float:
-        return min(3000.0, self.terms.pause_ms * 2.0 ** min(self.failures, 2)) * (0.5 + self.draw())
+    def _retry_delay_ms(self, now_ms: float, failed_since_ms: float, min_delay_ms: float = 0.0) -> float:
+        return min(3000.0, self.settings.poll_retry_ms * 2.0 ** min(self.failures, 2)) * (0.5 + self.draw())
 
-    def _tick(self, now_ms: float) -> list[Action]:
-        one = self.speaker or (self.tries[0] if self.tries else None)
-        if one is not None and now_ms >= one.since_ms + SILENCE_MS:
-            return [Close(one.number), *self._ended(now_ms, one.number, False)]
-        return self._open(now_ms) if self.next_ms is not None and now_ms >= self.next_ms else []
+    def _on_timer(self, now_ms: float) -> list[Action]:
+        one = self.current or (self.pending[0] if self.pending else None)
+        if one is not None and now_ms >= one.active_ms + HEARTBEAT_TIMEOUT_MS:
+            return [CloseWatch(one.number), *self._on_watch_ended(now_ms, one.number)]
+        return (
+            self._open_watch(now_ms) if self.next_open_ms is not None and now_ms >= self.next_open_ms else []
+        )
 
 
 @settings(max_examples=150, deadline=None)
@@ -62,10 +62,10 @@
     grace_ms: float,
     seed: int,
 ) -> None:
-    terms = Terms(True, grace_ms, 200)
+    terms = WatchSettings(True, grace_ms, 200)
     game = play(terms, seed, faults, keeps, 22_000.0)
     assert not game.late(22_000.0)
-    assert len(game.opened) <= 22_000.0 / terms.soon_ms + 10
+    assert len(game.opened) <= 22_000.0 / terms.push_retry_ms + 10
 
 
 @pytest.mark.parametrize(
@@ -79,7 +79,7 @@
 )
 @pytest.mark.parametrize("keeps", [True, False])
 def test_the_former_pauses_left_a_list_old_for_longer(faults: list[Fault], keeps: bool) -> None:
-    former = [play(Terms(False, 250.0, 200), seed, faults, keeps, kind=Former) for seed in range(20)]
+    former = [play(WatchSettings(False, 250.0, 200), seed, faults, keeps, kind=Former) for seed in range(20)]
     assert sum(bool(game.late(40_000.0, PUSHED)) for game in former) >= 5
     for seed in range(20):
         assert not play(PUSHED, seed, faults, keeps).late(40_000.0)
@@ -94,7 +94,7 @@
     seed: int,
 ) -> None:
     """A change counts as told 6 s after the source had it and could be reached, whatever failed before."""
-    game = play(Terms(False, 250.0, dispatcher_count), seed, faults, keeps, 40_000.0)
+    game = play(WatchSettings(False, 250.0, dispatcher_count), seed, faults, keeps, 40_000.0)
     assert not game.late(40_000.0)
     assert len(game.opened) <= 60
 
@@ -103,7 +103,7 @@
     """The former pause after a question that was given up was up to 4.5 s, so that a list came 7 s late."""
     for seed in range(60):
         faults = [(2000.0, "outage", 300.0 + 100.0 * seed)]
-        assert not play(Terms(False, 250.0, 200), seed, faults, False).late(40_000.0), seed
+        assert not play(WatchSettings(False, 250.0, 200), seed, faults, False).late(40_000.0), seed
 
 
 def test_lists_that_are_asked_for_come_within_the_time_of_the_page() -> None:
@@ -126,51 +126,52 @@
 
 
 def test_a_watch_that_fell_silent_may_be_the_first_to_go_on() -> None:
-    life = Life(PUSHED, lambda: 0.5)
-    life.handle(0.0, Begun())
-    life.handle(1.0, Heard(1))
-    actions = life.handle(1.0 + SILENCE_MS, Tick())
-    assert Now(Stage.SILENT) in actions and Open(2) in actions and Close(1) not in actions
-    assert Close(2) in life.handle(2800.0, Heard(1)) and life.stage is Stage.OPEN
-    assert not life.handle(2801.0, Heard(2))[:-1]  # what it says late is passed over
+    watch = EndpointWatch(PUSHED, lambda: 0.5)
+    watch.handle(0.0, Started())
+    watch.handle(1.0, EventReceived(1))
+    actions = watch.handle(1.0 + HEARTBEAT_TIMEOUT_MS, TimerFired())
+    assert StageChanged(Stage.SILENT) in actions and OpenWatch(2) in actions and CloseWatch(1) not in actions
+    assert CloseWatch(2) in watch.handle(2800.0, EventReceived(1)) and watch.stage is Stage.OPEN
+    assert not watch.handle(2801.0, EventReceived(2))[:-1]  # what it says late is passed over
 
 
 def test_at_most_a_few_questions_are_out_and_the_oldest_has_time() -> None:
-    life, out, opened = Life(PUSHED, lambda: 0.5), set[int](), 0
-    life.handle(0.0, Begun())
+    watch, out, opened = EndpointWatch(PUSHED, lambda: 0.5), set[int](), 0
+    watch.handle(0.0, Started())
     out, now = {1}, 0.0
-    while now < 2 * SILENCE_MS - 100.0:
+    while now < 2 * HEARTBEAT_TIMEOUT_MS - 100.0:
         now += 10.0
-        for action in life.handle(now, Tick()):
-            if isinstance(action, Open):
+        for action in watch.handle(now, TimerFired()):
+            if isinstance(action, OpenWatch):
                 out.add(action.number)
                 opened += 1
-            elif isinstance(action, Close):
+            elif isinstance(action, CloseWatch):
                 out.discard(action.number)
-                assert action.number != 1 or now >= SILENCE_MS, "a slow agent would never be heard"
+                assert action.number != 1 or now >= HEARTBEAT_TIMEOUT_MS, "a slow agent would never be heard"
         assert len(out) <= 3
-    assert opened >= 2 * SILENCE_MS / SOON_MOST_MS
+    assert opened >= 2 * HEARTBEAT_TIMEOUT_MS / MAX_PUSH_RETRY_MS
 
 
 def test_a_list_that_cannot_be_read_is_asked_for_anew_less_and_less_often() -> None:
-    life, now, opened = Life(PUSHED, lambda: 0.5), 0.0, [0.0]
-    life.handle(0.0, Begun())
+    watch, now, opened = EndpointWatch(PUSHED, lambda: 0.5), 0.0, [0.0]
+    watch.handle(0.0, Started())
     while now < 20_000.0:
-        actions = life.handle(now, Garbled(life.last))
-        while not any(isinstance(action, Open) for action in actions):
-            now = max(a.at_ms for a in actions if isinstance(a, Wake))
-            actions = life.handle(now, Tick())
+        actions = watch.handle(now, MalformedEvent(watch.last_number))
+        while not any(isinstance(action, OpenWatch) for action in actions):
+            now = max(a.at_ms for a in actions if isinstance(a, SetTimer))
+            actions = watch.handle(now, TimerFired())
         opened.append(now)
         now += 1.0
     assert 8 <= len(opened) <= 16 and max(b - a for a, b in zip(opened, opened[1:], strict=False)) <= 2700.0
 
 
 def test_a_watch_of_a_former_address_is_heard_but_opens_nothing() -> None:
-    life = Life(PUSHED, lambda: 0.5)
-    life.handle(0.0, Begun())
-    life.handle(1.0, Heard(1))
-    life.handle(100.0, Moved())
-    assert not life.handle(200.0, Heard(1))[:-1] and life.stage is Stage.MOVING
-    assert not any(isinstance(a, Open) for a in life.handle(300.0, Ended(1)))
-    assert not life.handle(9000.0, Tick())
-    assert life.handle(9001.0, Stopped()) == [Now(Stage.STOPPED)] and not life.handle(9002.0, Begun())
+    watch = EndpointWatch(PUSHED, lambda: 0.5)
+    watch.handle(0.0, Started())
+    watch.handle(1.0, EventReceived(1))
+    watch.handle(100.0, AddressChanged())
+    assert not watch.handle(200.0, EventReceived(1))[:-1] and watch.stage is Stage.MOVING
+    assert not any(isinstance(a, OpenWatch) for a in watch.handle(300.0, WatchEnded(1)))
+    assert not watch.handle(9000.0, TimerFired())
+    assert watch.handle(9001.0, Stopped()) == [StageChanged(Stage.STOPPED)]
+    assert not watch.handle(9002.0, Started())
--- a/tests/test_hard_peers.py
+++ b/tests/test_hard_peers.py
@@ -91,15 +91,17 @@
         create_task=lambda task: task.close(),
     )
     table = cast(Any, SimpleNamespace(heard=lambda: None, update=lambda kind, servers: None))
-    watch = discovery.Watch(cast(asyncio.AbstractEventLoop, loop), ("h", 1), lists.ListReader({}), table)
+    watch = discovery.DiscoveryWatcher(
+        cast(asyncio.AbstractEventLoop, loop), ("h", 1), lists.ListReader({}), table
+    )
     watch.start()
-    wire = Wire(watch.questions[1].stream)
+    wire = Wire(watch.connections[1].stream)
     wire.protocol.data_received(LIST[: LIST.index(b"4\r\n")])
     for byte in b'20\r\n{"rev":1,"all":true':
         wire.protocol.data_received(bytes([byte]))
-    assert watch.life.speaker is None, "bytes that are no line count as a word"
+    assert watch.state_machine.current is None, "bytes that are no line count as a word"
     wire.protocol.data_received(b',"x":1234}\n')
-    assert watch.life.speaker is not None and watch.version == 1
+    assert watch.state_machine.current is not None and watch.version == 1
 
 
 def test_a_client_that_leaves_while_its_answer_is_written_is_forgotten() -> None:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -50,7 +50,7 @@
 # Opening a connection, which the loop offers only as a coroutine, and the program's own start.
 COROUTINES = {
     "Pools._dial",
-    "Watch._dial",
+    "DiscoveryWatcher._connect",
     "Dispatcher.run",
     "Dispatcher._start_drmaa",
     "Dispatcher._open_door",
@@ -102,8 +102,8 @@
     assert found == COROUTINES
     assert sorted(tasks) == [
         "Adoption._take_up",
+        "DiscoveryWatcher._open",
         "HotRestartRunner._accept_clients",
         "Opening.__init__",
         "Pools.dial",
-        "Watch._open",
     ]
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -34,6 +34,7 @@
     "transport.server",
     "endpoint_watch",
     "endpoint_watch.state_machine",
+    "endpoint_watch.timing",
 }
 LIBRARIES = {"httptools", "uvloop"}
 NEVER = {"sqlite3", "http.client", "tkinter", "multiprocessing", "unittest"}
--- a/tests/test_many_dispatchers.py
+++ b/tests/test_many_dispatchers.py
@@ -14,10 +14,19 @@
 from harness import Fleet, Machines, SimClock
 
 from grebestack.core import api
-from grebestack.endpoint_watch.state_machine import Begun, Ended, Event, Life, Open, Terms, Tick, Wake
+from grebestack.endpoint_watch.state_machine import (
+    EndpointWatch,
+    Event,
+    OpenWatch,
+    SetTimer,
+    Started,
+    TimerFired,
+    WatchEnded,
+)
+from grebestack.endpoint_watch.timing import WatchSettings
 from grebestack.program.log import KeyValueFormatter
 from grebestack.program.traffic_log import Tally
-from grebestack.protocol.discovery import Watch
+from grebestack.protocol.discovery import DiscoveryWatcher
 from grebestack.protocol.lists import ListReader
 from grebestack.protocol.settings import settings_of
 from grebestack.routing.requests import Dispatch
@@ -183,19 +192,19 @@
     # can answer: nobody got a list any more. Where lists are pushed each dispatcher has an agent of its own.
     clock, calls, asked_by = SimClock(0.0), list[float](), defaultdict[int, list[float]](list)
     spread = random.Random(count)
-    lives = [Life(Terms(False, 250.0, count), spread.random) for _ in range(count)]
+    watches = [EndpointWatch(WatchSettings(False, 250.0, count), spread.random) for _ in range(count)]
 
-    def feed(life: Life, event: Event) -> None:
-        for action in life.handle(clock.now, event):
-            if isinstance(action, Open):
+    def feed(one: EndpointWatch, event: Event) -> None:
+        for action in one.handle(clock.now, event):
+            if isinstance(action, OpenWatch):
                 calls.append(clock.now)
-                asked_by[lives.index(life)].append(clock.now)
-                clock.call_at(clock.now + 1000.0, partial(feed, life, Ended(action.number)))
-            elif isinstance(action, Wake):
-                clock.call_at(action.at_ms, lambda: feed(life, Tick()))
+                asked_by[watches.index(one)].append(clock.now)
+                clock.call_at(clock.now + 1000.0, partial(feed, one, WatchEnded(action.number)))
+            elif isinstance(action, SetTimer):
+                clock.call_at(action.at_ms, lambda: feed(one, TimerFired()))
 
-    for life in lives:
-        feed(life, Begun())
+    for one in watches:
+        feed(one, Started())
     clock.go_on(20_000.0)
     by_second = Counter(int(at // 1000) for at in calls)
     assert by_second[0] >= count  # what discovery would tell at once counts as told
@@ -204,20 +213,20 @@
     gaps = [later - at for at, later in zip(asked_by[0], asked_by[0][1:], strict=False)]
     assert max(gaps) <= 5500.0  # a second of it is the refusal
     asked = len(calls)
-    for life in lives:
-        feed(life, Begun())  # a second start opens nothing
+    for one in watches:
+        feed(one, Started())  # a second start opens nothing
     assert len(calls) == asked
 
 
 def test_the_calls_of_a_watch_go_on_over_a_move() -> None:
     loop, table = cast(asyncio.AbstractEventLoop, None), ServerTable()
-    watch = Watch(loop, ("127.0.0.1", 1), ListReader({}), table)
+    watch = DiscoveryWatcher(loop, ("127.0.0.1", 1), ListReader({}), table)
     watch.calls = 7  # the tally counts from the start of the program
-    assert Watch(loop, ("127.0.0.1", 2), ListReader({}), table, follows=watch).calls == 7
+    assert DiscoveryWatcher(loop, ("127.0.0.1", 2), ListReader({}), table, replaces=watch).calls == 7
     known = {"uid": "s-1", "endpoint": "127.0.0.1:9", "state": "Ready"}
-    watch.known({"rev": 1, "all": True, "targets": [known]})
+    watch.load_cached_list({"rev": 1, "all": True, "targets": [known]})
     assert not table.servers  # what its agent has counts as told: it is waited for
-    watch.use_known()
+    watch.use_cached_list()
     assert table.servers and not table.known  # jobs are taken with it until a live one comes
 
 
