--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -14,7 +14,7 @@
 from importlib.metadata import PackageNotFoundError, version
 from typing import TYPE_CHECKING, Any, Protocol
 
-from grebestack.admin.commands import Call
+from grebestack.admin.commands import Command
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.records import OF_OPERATORS
 from grebestack.audit.version_sets import Stamp, Stamps, digest
@@ -139,9 +139,9 @@
             self._change_stamp(epoch=fleet.node.member.roll.epoch)
         self.recorder.act(self._now_ms(), what, session.call_id[:_MAX_CALL_ID_LENGTH], worker)
 
-    def operated(self, call: Call) -> None:
+    def operated(self, command: Command) -> None:
         """An operator's command is about to change something."""
-        self.recorder.act(self._now_ms(), OF_OPERATORS, call.verb.value, call.server)
+        self.recorder.act(self._now_ms(), OF_OPERATORS, command.verb.value, command.target)
 
     def _stamp_header(self) -> bytes:
         """Return the header line that names the stamp, for requests to workers that read it."""
--- a/grebestack/program/config_reload.py
+++ b/grebestack/program/config_reload.py
@@ -10,7 +10,7 @@
 from grebestack.program.config.errors import ConfigError
 from grebestack.program.config.model import Config
 from grebestack.program.config.platform import check_reload
-from grebestack.protocol.discovery import Watch
+from grebestack.protocol.discovery import DiscoveryWatcher
 from grebestack.protocol.settings import merged, unmoved
 
 if TYPE_CHECKING:
@@ -122,7 +122,7 @@
         previous = self.dispatcher.worker_source
         with_source = self._with_source_of(config)
         return self.dispatcher.worker_sources.create(
-            with_source, previous if isinstance(previous, Watch) else None
+            with_source, previous if isinstance(previous, DiscoveryWatcher) else None
         )
 
     def _with_source_of(self, config: Config) -> Config:
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -31,7 +31,7 @@
 from grebestack.program.loop_clock import LoopClock
 from grebestack.program.traffic_log import TrafficLog
 from grebestack.program.worker_sources import WorkerSources
-from grebestack.protocol.discovery import Watch
+from grebestack.protocol.discovery import DiscoveryWatcher
 from grebestack.protocol.lists import ListReader
 from grebestack.protocol.platform import PlatformFront
 from grebestack.protocol.runners import Reports, Runners
@@ -47,7 +47,7 @@
     from grebestack.program.audit_recording import Auditor
     from grebestack.program.cluster_member import Fleet
     from grebestack.program.config_updates import Configuring
-    from grebestack.program.hot_restart import Upgrade
+    from grebestack.program.hot_restart import HotRestartRunner
     from grebestack.program.shared_discovery import Source
     from grebestack.protocol.membership_adapter import Roster
 
@@ -81,7 +81,7 @@
         self.listener = ClientListener(loop, config, self.acceptor)
         self.lifecycle = Lifecycle()
         self.jobs: JobService | None = None
-        self.upgrade: Upgrade | None = None
+        self.upgrade: HotRestartRunner | None = None
         self.is_stopped = False
         self.roster = self._build_roster()
         self.fleet = self._build_cluster_member()
@@ -127,7 +127,7 @@
         return audit_recording.Auditor(self, self.config.audit)
 
     def _list_calls(self) -> int:
-        return self.worker_source.calls if isinstance(self.worker_source, Watch) else 0
+        return self.worker_source.calls if isinstance(self.worker_source, DiscoveryWatcher) else 0
 
     # What the parts use.
 
@@ -191,19 +191,19 @@
             self.loop.call_soon(self.reloader.reload)
 
     async def _begin_hot_restart(self) -> None:
-        from grebestack.program.hot_restart import Upgrade
+        from grebestack.program.hot_restart import HotRestartRunner
 
         folder = os.environ.get("TMPDIR")
         if not folder:
             log.warning("no_upgrades", extra={"kv": {"why": "TMPDIR is not set"}})
             return
-        self.upgrade = Upgrade(self, folder)
+        self.upgrade = HotRestartRunner(self, folder)
         await self.upgrade.begin()
 
     def _start_worker_source(self) -> None:
         known = self.config.known_workers
-        if known and isinstance(self.worker_source, Watch) and not self.table.servers:
-            self.worker_source.known(known)
+        if known and isinstance(self.worker_source, DiscoveryWatcher) and not self.table.servers:
+            self.worker_source.load_cached_list(known)
         self.config = replace(self.config, known_workers={})  # may be large, and is for the start only
         if self.worker_source is not None:
             self.worker_source.start()
@@ -214,7 +214,7 @@
             await self.configuring.start()
         if self.config.drmaa is not None:
             await self._start_drmaa(self.config.drmaa)
-        if self.upgrade is None or self.upgrade.pact.elder is None:
+        if self.upgrade is None or self.upgrade.state_machine.predecessor is None:
             await self.listener.open()
         if self.configuring is None:
             await self._start_cluster()
@@ -237,13 +237,13 @@
         log.info("drmaa_listening", extra={"kv": {"address": ":".join(map(str, config.listen))}})
 
     async def _start_admin_server(self, address: Address) -> None:
-        from grebestack.admin.server import Door
-        from grebestack.program.admin_operations import OwnOperations
+        from grebestack.admin.server import AdminServer
+        from grebestack.program.admin_operations import LocalOperations
 
-        operations = OwnOperations(self) if self.upgrade is None else self.upgrade
+        operations = LocalOperations(self) if self.upgrade is None else self.upgrade
         reuse_port = True if self.upgrade is not None else None  # for both processes of a hot restart
         await self.loop.create_server(
-            Door(self.loop, operations), *address, backlog=_ADMIN_BACKLOG, reuse_port=reuse_port
+            AdminServer(self.loop, operations), *address, backlog=_ADMIN_BACKLOG, reuse_port=reuse_port
         )
         log.info("control_listening", extra={"kv": {"address": ":".join(map(str, address))}})
 
@@ -254,8 +254,8 @@
         if not self.table.known and time.monotonic() < until_s:
             self.loop.call_later(_LIST_CHECK_INTERVAL_S, self._wait_for_list, until_s)
             return
-        if isinstance(self.worker_source, Watch):
-            self.worker_source.use_known()
+        if isinstance(self.worker_source, DiscoveryWatcher):
+            self.worker_source.use_cached_list()
         if self.upgrade is None:
             self._serve()
         else:
--- a/grebestack/program/lifecycle_control.py
+++ b/grebestack/program/lifecycle_control.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from grebestack.jobs.service import JobService
     from grebestack.program.cluster_member import Fleet
-    from grebestack.program.hot_restart import Upgrade
+    from grebestack.program.hot_restart import HotRestartRunner
 
 log = logging.getLogger(__name__)
 _READ_ANSWER_S = 0.5  # a stop waits this long for a client to read its last answer, or to end a request
@@ -36,7 +36,7 @@
     front: PlatformFront
     acceptor: Acceptor
     jobs: JobService | None
-    upgrade: Upgrade | None
+    upgrade: HotRestartRunner | None
     fleet: Fleet | None
 
 
--- a/grebestack/program/worker_sources.py
+++ b/grebestack/program/worker_sources.py
@@ -8,7 +8,7 @@
 
 from grebestack.core.api import ListKind
 from grebestack.program.config.model import Config
-from grebestack.protocol.discovery import Watch, terms_of
+from grebestack.protocol.discovery import DiscoveryWatcher, watch_settings_of
 from grebestack.protocol.lists import ListReader
 from grebestack.protocol.settings import name_odd_discovery
 from grebestack.routing.engine import Engine
@@ -42,7 +42,7 @@
         self.loop, self.engine, self.reader = loop, engine, reader
         self.roster, self.fleet = roster, fleet
 
-    def create(self, config: Config, previous: Watch | None = None) -> Source | None:
+    def create(self, config: Config, previous: DiscoveryWatcher | None = None) -> Source | None:
         """Return a source that is not started; None where the file lists the workers.
 
         Parameters
@@ -78,8 +78,8 @@
         return [*self.roster.sources(names, stale_s * 1000.0, source.snapshot_path)]
 
     def _own_source(
-        self, config: Config, listings: Sequence[Listing], previous: Watch | None
-    ) -> Watch | ConsulSource:
+        self, config: Config, listings: Sequence[Listing], previous: DiscoveryWatcher | None
+    ) -> DiscoveryWatcher | ConsulSource:
         consul = config.worker_source.consul
         if consul is not None:
             from grebestack.program import appliance  # the platform's path does without it
@@ -93,5 +93,5 @@
             )
             return appliance.consul_source(consul, pools, self.engine.clock, config.options, listings)
         name_odd_discovery(config.options)
-        terms = terms_of(config.settings)
-        return Watch(self.loop, config.discovery, self.reader, listings[0], previous, terms)
+        settings = watch_settings_of(config.settings)
+        return DiscoveryWatcher(self.loop, config.discovery, self.reader, listings[0], previous, settings)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -50,7 +50,7 @@
 # Opening a connection, which the loop offers only as a coroutine, and the program's own start.
 COROUTINES = {
     "Pools._dial",
-    "Watch._dial",
+    "DiscoveryWatcher._connect",
     "Dispatcher.run",
     "Dispatcher._start_drmaa",
     "Dispatcher._start_servers",
@@ -59,8 +59,9 @@
     "ClientListener.open",
     "Dispatcher.accept_and_serve",
     "Dispatcher._begin_hot_restart",
-    "Upgrade.begin",
-    "Upgrade._take",
+    "HotRestartRunner.begin",
+    "HotRestartRunner._wait_for_state",
+    "Adoption._connect",
     "run.main",
     "Opening._open",
     "Fleet.start",
@@ -139,9 +140,9 @@
         walk(ast.parse(path.read_text()), "")
     assert found == COROUTINES
     assert sorted(tasks) == [
+        "Adoption._take_up",
+        "DiscoveryWatcher._open",
+        "HotRestartRunner._accept_clients",
         "Opening.__init__",
         "Pools.dial",
-        "Upgrade._accept",
-        "Upgrade._adopt",
-        "Watch._open",
     ]
