--- a/grebestack/core/selection.py
+++ b/grebestack/core/selection.py
@@ -222,16 +222,16 @@
         """Rule capacity_used: a share of the reported slots (None: all, and some jobs queued ahead)."""
         if not worker.load_known_ms:
             return self._concurrency_reached(worker, request, None)
-        context, job_slots = self.context, request.arrival.slots
-        typical = SLUGGISH_FACTOR * self.outliers.typical_slowness
-        slowness = worker.slowness / typical if worker.attempt_count else 1.0
+        context, job_slots, slowness = self.context, request.arrival.slots, 1.0
+        estimates = context.estimates
+        if worker.attempt_count:
+            slowness = max(1.0, worker.slowness / (SLUGGISH_FACTOR * self.outliers.typical_slowness))
         ahead = 0.0
         if not share:
-            run_ms = context.estimates.run_ms[request.queue_key.class_index]
+            run_ms = estimates.run_ms[request.queue_key.class_index]
             ahead = QUEUE_AHEAD_SHARE * request.job_class.latency_objective_ms / run_ms
-        slots = worker.max_free_slots * ((share or 1.0) / max(1.0, slowness) + ahead)
-        own_share = worker.slot_share(slots, job_slots, context.now_ms, context.estimates)
-        return worker.used_slots + job_slots > own_share
+        slots = worker.max_free_slots * ((share or 1.0) / slowness + ahead)
+        return worker.used_slots + job_slots > worker.slot_share(slots, job_slots, context.now_ms, estimates)
 
     def _overloaded(self, worker: TrackedWorker, request: Request, slots: float | None) -> bool:
         """Rule overload: unstarted attempts or backoff; without reports of starts, memory and slots."""
