--- a/grebestack/core/selection.py
+++ b/grebestack/core/selection.py
@@ -201,14 +201,15 @@
 
     def _is_unavailable(self, worker: TrackedWorker, request: Request) -> bool:
         """Whether a worker is warming up, reserved, ejected or backing off."""
-        # The turn comes first: it draws random numbers.
-        is_warming = worker.warm_at_ms > self.context.now_ms and not self.slow_start.has_turn(worker)
-        return (
-            is_warming
-            or self.reservation.excludes(worker, request)
-            or self.outliers.is_ejected(worker, request.queue_key.class_index)
-            or self.outliers.is_backing_off(worker, request)
-        )
+        # This runs for each worker on the way: no call is made where nothing can come of it.
+        if worker.warm_at_ms > self.context.now_ms and not self.slow_start.has_turn(worker):
+            return True
+        reservation, outliers = self.reservation, self.outliers
+        if reservation.worker is worker and reservation.excludes(worker, request):
+            return True
+        if worker.consecutive_overloads and outliers.is_backing_off(worker, request):
+            return True
+        return outliers.is_ejected(worker, request.queue_key.class_index)
 
     def _concurrency_reached(self, worker: TrackedWorker, request: Request, limit: float | None) -> bool:
         """Rule max_concurrent_invocations: slots in use here beyond a limit, or the learned one (None)."""
