--- a/grebestack/endpoint_watch/state_machine.py
+++ b/grebestack/endpoint_watch/state_machine.py
@@ -264,7 +264,7 @@
     def _open_watch(self, now_ms: float) -> list[Action]:
         surplus: list[WatchRequest] = []
         while len(self.pending) >= MAX_PENDING:
-            surplus.append(self.pending.pop(1))  # the oldest stays, so that a slow source is heard at last
+            surplus.append(self.pending.pop(1))  # the oldest stays, so that a slow source can still answer
         self.last_number += 1
         self.pending.append(WatchRequest(self.last_number, now_ms))
         # Pushed: another one follows unless this one is answered soon.
