--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -225,11 +225,11 @@
     def _count_attempt(self, action: state_machine.CountAttempt) -> None:
         message, now_ms = action.message, self.dispatcher.clock.now_ms()
         if message is None:
-            self.predecessor_attempts.over(now_ms)
+            self.predecessor_attempts.end_all(now_ms)
         elif messages.message_type(message) == MessageType.ATTEMPT_ENDED:
-            self.predecessor_attempts.ended(str(message["key"]), now_ms)
+            self.predecessor_attempts.end(str(message["key"]), now_ms)
         else:
-            self.predecessor_attempts.sent(
+            self.predecessor_attempts.add(
                 str(message["key"]),
                 str(message["worker"]),
                 float(message["slots"]),
--- a/tests/test_many_dispatchers.py
+++ b/tests/test_many_dispatchers.py
@@ -236,7 +236,7 @@
     reader, table = ListReader({"models": ["c8"]}), ServerTable()
     engine = Fleet(SimClock(), SETTINGS, 1, Machines(SimClock(), 1, 0, 8, lambda d, r: 1.0), 1, 1).engines[0]
     table.on_change = engine.table.on_change
-    engine.policy.learned.in_work(0, 8.0)
+    engine.policy.estimates.on_slots_seen(0, 8.0)
     odd = ("nan", "inf", "-inf", -4.0, None, 1e300)
     for n, (weight, boot) in enumerate((w, b) for w in (*odd, 7.5) for b in (*odd, 0)):
         raw = {"uid": f"s-{n}", "endpoint": "127.0.0.1:9", "state": "Ready", "model": "c8"}
