--- a/grebestack/cluster_io/action_runner.py
+++ b/grebestack/cluster_io/action_runner.py
@@ -1,4 +1,4 @@
-"""How a shell has what its pure part asks for carried out: in that order, with one timer for what is due."""
+"""Carries out the actions of a pure state machine, in order, with one timer for its next tick."""
 
 from __future__ import annotations
 
@@ -10,53 +10,70 @@
 A = TypeVar("A")
 
 
-class Due(Protocol):
-    """A pure part, as far as its time goes; in milliseconds of the shell's clock."""
+class Scheduled(Protocol):
+    """The time-dependent side of a pure state machine."""
 
     def due_ms(self, now_ms: float) -> float:
-        """When it is to be told at the latest that time has passed."""
+        """Return when `tick` must be called next, at the latest; milliseconds of the runner's clock."""
 
 
-class Turns(Generic[A]):
-    """Carries out actions one by one; what one of them leads to comes after those asked for before."""
+class ActionRunner(Generic[A]):
+    """Carries out actions one by one. The actions that one leads to come after those requested before.
+
+    Parameters
+    ----------
+    clock
+        Returns the time in milliseconds.
+    state_machine
+        Says when its next tick is due.
+    carry_out
+        Carries out one action; it may call `run`.
+    tick
+        Returns the state machine's actions for a tick.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], float],
-        pure: Due,
-        do: Callable[[A], None],
+        state_machine: Scheduled,
+        carry_out: Callable[[A], None],
         tick: Callable[[], Iterable[A]],
     ) -> None:
-        self.loop, self.clock, self.pure, self.do, self.tick = loop, clock, pure, do, tick
+        """Begin with nothing to do and no timer."""
+        self.loop, self.clock, self.state_machine = loop, clock, state_machine
+        self.carry_out, self.tick = carry_out, tick
         self.actions: deque[A] = deque()
         self.timer: asyncio.TimerHandle | None = None
         self.running = self.stopped = False
 
     def run(self, actions: Iterable[A]) -> None:
-        """Carry these out, and set the timer anew."""
+        """Carry out these actions, and set the timer for the next tick."""
         self.actions.extend(actions)
         if self.running:
             return
         self.running = True
         try:
             while self.actions and not self.stopped:
-                self.do(self.actions.popleft())
+                self.carry_out(self.actions.popleft())
         finally:
             self.running = False
-        if self.stopped:
-            return
+        if not self.stopped:
+            self._set_timer()
+
+    def _set_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        now = self.clock()
-        self.timer = self.loop.call_later(max(0.0, self.pure.due_ms(now) - now) / 1000.0, self._tick)
+        now_ms = self.clock()
+        delay_s = max(0.0, self.state_machine.due_ms(now_ms) - now_ms) / 1000.0
+        self.timer = self.loop.call_later(delay_s, self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
         self.run(self.tick())
 
     def stop(self) -> None:
-        """No more actions."""
+        """Carry out no more actions."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
--- a/grebestack/cluster_io/framing.py
+++ b/grebestack/cluster_io/framing.py
@@ -1,6 +1,6 @@
-"""Whole messages each way over one connection, in bounded memory: what all of a fleet's have in common.
+"""Connections of whole messages, in bounded memory: the common part of all connections in a cluster.
 
-A message is a head, whose first field is the message's length in bytes, and so many bytes.
+A frame is a header, whose first field is the length of the message in bytes, and the message.
 """
 
 from __future__ import annotations
@@ -10,17 +10,18 @@
 from collections.abc import Callable
 from typing import ClassVar, cast
 
-OPEN_S = 1.0  # a connection is up by then
+CONNECT_TIMEOUT_S = 1.0
 
 
 class Traffic:
-    """Messages and bytes each way, heads included: of one connection, or of all that share it."""
+    """Messages and bytes each way, headers included, of one connection or of several that share it."""
 
     def __init__(self) -> None:
+        """Begin at zero."""
         self.messages_in = self.messages_out = self.bytes_in = self.bytes_out = 0
 
     def counts(self) -> dict[str, int]:
-        """The counts by name; they only grow."""
+        """Return the counters by name; they only grow."""
         return {
             "messages_in": self.messages_in,
             "messages_out": self.messages_out,
@@ -29,123 +30,135 @@
         }
 
 
-class Frames(asyncio.Protocol):
-    """One connection. Both say who they are within `greet_s`, else it ends; who does not read is cut off.
+class FramedConnection(asyncio.Protocol):
+    """One connection, which ends unless the handshake completes in time, or if the other end does not read.
 
-    States: greeting, open (from `welcome` on), closed. Subclasses say what is said first (`begin`), take
-    whole messages (`whole`) and hear of the end once (`over`).
+    States: handshake, open (from `complete_handshake` on), closed. Subclasses implement `on_connected`,
+    `on_frame` and `on_closed`.
     """
 
-    head: ClassVar[struct.Struct] = struct.Struct(">I")
-    most: int  # bytes of a message, its head not counted
-    most_queued: int  # bytes that the other end has not read
-    greet_s: float = 0.7  # who it is must be said by then
+    header: ClassVar[struct.Struct] = struct.Struct(">I")
+    max_message_bytes: int  # without the header
+    max_queued_bytes: int  # written here and not read by the other end
+    handshake_timeout_s: float = 0.7
 
     def __init__(self, loop: asyncio.AbstractEventLoop, traffic: Traffic | None = None) -> None:
+        """Begin unconnected: the loop calls `connection_made`."""
         self.loop, self.traffic = loop, traffic or Traffic()
         self.transport: asyncio.Transport | None = None
-        self.rest = b""
-        self.why = ""
+        self.unparsed = b""
+        self.close_reason = ""
         self.timer: asyncio.TimerHandle | None = None
 
-    def begin(self) -> None:
-        """The connection is up."""
+    def on_connected(self) -> None:
+        """Handle a connection that is up."""
 
-    def whole(self, data: bytes, *fields: int) -> None:
-        """A message has come, with the fields of its head that follow the length."""
+    def on_frame(self, data: bytes, *fields: int) -> None:
+        """Handle a message, with the fields of its header that follow the length."""
         raise NotImplementedError
 
-    def over(self, why: str) -> None:
-        """The connection has ended; called once for each that was made."""
+    def on_closed(self, reason: str) -> None:
+        """Handle the end of the connection; called once for each that was up."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start the handshake's timeout (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.why:  # it was given up while it was being opened
+        if self.close_reason:  # it was given up while it was being opened
             self.transport.abort()
             return
-        self.timer = self.loop.call_later(self.greet_s, self.close, "it did not say who it is")
-        self.begin()
+        self.timer = self.loop.call_later(self.handshake_timeout_s, self.close, "it did not say who it is")
+        self.on_connected()
 
-    def welcome(self) -> None:
-        """The other end is who it should be."""
+    def complete_handshake(self) -> None:
+        """Note that the other end has identified itself."""
+        self._cancel_timer()
+
+    def _cancel_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def write(self, data: bytes, *fields: int) -> None:
-        """Say something; a peer that does not read is cut off."""
+        """Send a message; the connection ends if the other end does not read."""
         if self.transport is None or self.transport.is_closing():
             return
-        if len(data) > self.most:
-            self.close(f"a message of {len(data)} bytes; allowed: {self.most}")
+        if len(data) > self.max_message_bytes:
+            self.close(f"a message of {len(data)} bytes; allowed: {self.max_message_bytes}")
             return
-        if self.transport.get_write_buffer_size() + len(data) > self.most_queued:
+        if self.transport.get_write_buffer_size() + len(data) > self.max_queued_bytes:
             self.close("it does not read")
             return
         self.traffic.messages_out += 1
-        self.traffic.bytes_out += self.head.size + len(data)
-        self.transport.write(self.head.pack(len(data), *fields) + data)
+        self.traffic.bytes_out += self.header.size + len(data)
+        self.transport.write(self.header.pack(len(data), *fields) + data)
 
     def data_received(self, data: bytes) -> None:
+        """Handle all messages that are complete (asyncio)."""
         self.traffic.bytes_in += len(data)
-        if self.why:  # it is ending: nothing more is read, or kept
-            self.rest = b""
+        if self.close_reason:  # it is ending: nothing more is read, or kept
+            self.unparsed = b""
             return
-        data = self.rest + data
-        at, size = 0, self.head.size
-        while self.transport is not None and not self.why and len(data) - at >= size:
-            length, *fields = self.head.unpack_from(data, at)
-            if length > self.most:
-                self.close(f"a message of {length} bytes; allowed: {self.most}")
+        data = self.unparsed + data
+        offset, header_size = 0, self.header.size
+        while self.transport is not None and not self.close_reason and len(data) - offset >= header_size:
+            length, *fields = self.header.unpack_from(data, offset)
+            if length > self.max_message_bytes:
+                self.close(f"a message of {length} bytes; allowed: {self.max_message_bytes}")
                 return
-            begin = at + size
+            begin = offset + header_size
             if len(data) - begin < length:
                 break
-            at = begin + length
+            offset = begin + length
             self.traffic.messages_in += 1
-            self.whole(data[begin:at], *fields)
-        self.rest = data[at:]
+            self.on_frame(data[begin:offset], *fields)
+        self.unparsed = data[offset:]
 
-    def close(self, why: str) -> None:
-        """End it now; the first reason stays."""
-        self.why = self.why or why
+    def close(self, reason: str) -> None:
+        """End the connection at once; the first reason stays."""
+        self.close_reason = self.close_reason or reason
         if self.transport is not None:
             self.transport.abort()
 
-    def leave(self, why: str) -> None:
-        """End it once what was said has left, or after `greet_s` at the latest."""
-        self.why = self.why or why
+    def close_after_writing(self, reason: str) -> None:
+        """End the connection once all is sent, or after `handshake_timeout_s` at the latest."""
+        self.close_reason = self.close_reason or reason
         if self.transport is not None:
             self.transport.close()
-            self.welcome()
-            self.timer = self.loop.call_later(self.greet_s, self.close, why)
+            self._cancel_timer()
+            self.timer = self.loop.call_later(self.handshake_timeout_s, self.close, reason)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end of the connection (asyncio)."""
         self.transport = None
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        self.over(self.why or (str(exc) if exc else "it has ended"))
+        self._cancel_timer()
+        self.on_closed(self.close_reason or (str(exc) if exc else "it has ended"))
+
 
+class ConnectionAttempt:
+    """One attempt to open a connection, in a task of its own.
 
-class Opening:
-    """One try to open a connection, the only task it ever has; `failed` is told why there is none."""
+    Parameters
+    ----------
+    on_failed
+        Called with the reason if there is no connection.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        protocol: Frames,
+        protocol: FramedConnection,
         address: tuple[str, int],
-        failed: Callable[[str], None],
+        on_failed: Callable[[str], None],
     ) -> None:
-        self.loop, self.protocol, self.address, self.failed = loop, protocol, address, failed
+        """Begin at once."""
+        self.loop, self.protocol, self.address, self.on_failed = loop, protocol, address, on_failed
         self.task = loop.create_task(self._open())
 
     async def _open(self) -> None:
         try:
-            async with asyncio.timeout(OPEN_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self.loop.create_connection(lambda: self.protocol, *self.address)
         except (OSError, TimeoutError) as error:
-            # One that came up at the last moment ends by itself, and says so as connections do.
-            if self.protocol.transport is None and not self.protocol.why:
-                self.failed(str(error) or f"no connection within {OPEN_S:g} s")
+            # A connection that came up at the last moment reports its own end.
+            if self.protocol.transport is None and not self.protocol.close_reason:
+                self.on_failed(str(error) or f"no connection within {CONNECT_TIMEOUT_S:g} s")
--- a/grebestack/cluster_io/log_store.py
+++ b/grebestack/cluster_io/log_store.py
@@ -1,7 +1,7 @@
-"""A member's disk: records appended by a thread of its own, many at one sync, the file begun anew when long.
+"""The log of a member on its disk: records are appended and synced in batches by a thread.
 
-Nothing counts as written before the sync after it has returned. Once a write or a sync has failed, the file
-is put aside and never read again: what the system's cache shows of it may not be on the disk.
+A record counts as written only once a sync that began after its write has returned. Once a write or sync has
+failed, the file is quarantined and never read again: what the system's cache shows of it may not be on disk.
 """
 
 from __future__ import annotations
@@ -14,32 +14,34 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from grebestack.consensus.log_format import MAGIC, frame, read
+from grebestack.consensus.log_format import CHECKSUM, HEADER, MAGIC, encode_record, read_log
 
-LONG = 1 << 20  # bytes of a file after which it is begun anew
-PREFIX, SUFFIX, ASIDE = "registers-", ".log", "doubted-"
-CLOSE_S = 0.3  # a disk that hangs holds up no stop
-KEPT_ASIDE = 4  # files put aside that are kept for whoever looks into it
+COMPACTION_BYTES = 1 << 20  # a longer file is replaced by a compacted one
+RECORD_OVERHEAD_BYTES = HEADER.size + CHECKSUM.size
+MAX_BATCH_ITEMS = 256
+LOG_PREFIX, LOG_SUFFIX, QUARANTINE_PREFIX = "registers-", ".log", "doubted-"
+CLOSE_TIMEOUT_S = 0.3  # for the disk to finish when the process stops
+MAX_QUARANTINED_FILES = 4  # older ones are removed
 
 
 class Files:
-    """What is asked of the file system; tests put one in its place that fails and lies."""
+    """The file system calls in use; tests replace them by ones that fail."""
 
     def read(self, path: str) -> bytes:
-        """All of a file."""
+        """Return the contents of a file."""
         with open(path, "rb") as file:
             return file.read()
 
     def open(self, path: str) -> int:
-        """A descriptor to append by; the file is made where there is none."""
+        """Return a descriptor for appending; the file is created if it does not exist."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
     def write(self, fd: int, data: bytes) -> int:
-        """Append; how many bytes went."""
+        """Append data; return how many bytes were written."""
         return os.write(fd, data)
 
     def append(self, fd: int, data: bytes) -> None:
-        """Append all of it."""
+        """Append all of the data."""
         while data:
             data = data[self.write(fd, data) :]
 
@@ -48,39 +50,75 @@
         os.fsync(fd)
 
     def truncate(self, path: str, size: int) -> None:
-        """Cut the end off."""
+        """Cut a file to this size in bytes."""
         os.truncate(path, size)
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, in one step."""
+        """Rename a file atomically."""
         os.rename(old, new)
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What a folder holds: the payloads in order, the last record's number, and why it is not believed."""
+class RecoveredLog:
+    """The log that a folder holds.
+
+    Parameters
+    ----------
+    payloads
+        Those of the records, in order.
+    last_record
+        The sequence number of the last record.
+    fault
+        Why the log can't be trusted; empty if it can.
+    """
 
     payloads: tuple[bytes, ...] = ()
-    last: int = 0
-    doubt: str = ""
+    last_record: int = 0
+    fault: str = ""
 
 
 class FolderTakenError(Exception):
-    """Another process has the folder."""
+    """Another process has locked the folder."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Anew:
-    """Begin a file whose first record has this number."""
+class _Append:
+    """Append a record."""
+
+    sequence: int
+    payload: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class _Compact:
+    """Replace the file by one whose first record has this sequence number."""
 
     first: int
     payloads: tuple[bytes, ...]
-    aside: bool  # put what is there aside, rather than have it be replaced
-    done: Callable[[str], None] | None = None
 
 
-def take(folder: str) -> int:
-    """Make a folder this process's own until the descriptor is closed. OSError: there is none to be had."""
+@dataclass(frozen=True, slots=True)
+class _Replace:
+    """Quarantine all files and begin an empty one; report why that failed, or nothing."""
+
+    on_done: Callable[[str], None]
+
+
+@dataclass(frozen=True, slots=True)
+class _Stop:
+    """End the thread."""
+
+
+def lock_folder(folder: str) -> int:
+    """Lock a folder for this process, until the returned descriptor is closed.
+
+    Raises
+    ------
+    FolderTakenError
+        Another process has locked it.
+    OSError
+        The folder can't be created or opened.
+    """
     os.makedirs(folder, exist_ok=True)
     lock = os.open(os.path.join(folder, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
@@ -91,94 +129,117 @@
     return lock
 
 
-class Store:
-    """The records of one member. `synced` and `failed` are called on the loop."""
+class LogStore:
+    """The log of one member.
+
+    Parameters
+    ----------
+    on_synced
+        Called on the loop with the sequence number up to which all records are durable.
+    on_failed
+        Called on the loop with the reason when a write or sync has failed.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         folder: str,
-        synced: Callable[[int], None],
-        failed: Callable[[str], None],
+        on_synced: Callable[[int], None],
+        on_failed: Callable[[str], None],
         files: Files | None = None,
     ) -> None:
+        """Begin closed: `open` reads the log and starts the thread."""
         self.loop, self.folder, self.files = loop, folder, files or Files()
-        self.on_synced, self.on_failed = synced, failed
-        self.queue: queue.SimpleQueue[tuple[int, bytes] | _Anew | None] = queue.SimpleQueue()
-        self.last = 0
-        self.size = 0  # of the file, with all that is queued
+        self.on_synced, self.on_failed = on_synced, on_failed
+        self.queue: queue.SimpleQueue[_Append | _Compact | _Replace | _Stop] = queue.SimpleQueue()
+        self.last_record = 0
+        self.size_bytes = 0  # of the file, with all that is queued
         self.fd = self.lock = -1
-        self.broken = False  # the thread drops what it is given until the file is begun anew
+        self.has_failed = False  # the thread drops records until the file is replaced
         self.thread = threading.Thread(target=self._work, name="fleet-store", daemon=True)
 
-    def open(self) -> Found:
-        """Take the folder, read it, and be ready to append. OSError: there is no such folder to be had."""
-        self.lock = take(self.folder)
-        found = self._read()
-        self.broken = bool(found.doubt)
-        self.last = found.last
+    def open(self) -> RecoveredLog:
+        """Lock the folder, read the log, and start the thread.
+
+        Raises
+        ------
+        FolderTakenError
+            Another process has locked the folder.
+        OSError
+            The folder can't be created or opened.
+        """
+        self.lock = lock_folder(self.folder)
+        recovered = self._recover()
+        self.has_failed = bool(recovered.fault)
+        self.last_record = recovered.last_record
         self.thread.start()
-        return found
+        return recovered
 
-    def _logs(self) -> list[str]:
-        names = os.listdir(self.folder)
-        return sorted(n for n in names if n.startswith(PREFIX) and n.endswith(SUFFIX))
-
-    def _path(self, first: int) -> str:
-        return os.path.join(self.folder, f"{PREFIX}{first:016x}{SUFFIX}")
-
-    def _read(self) -> Found:
+    def _recover(self) -> RecoveredLog:
         try:
-            logs = self._logs()
+            logs = self._log_names()
             if not logs:
-                return Found(doubt="there is no record of this member")
-            path = os.path.join(self.folder, logs[-1])
-            data = self.files.read(path)
-            first = int(logs[-1][len(PREFIX) : -len(SUFFIX)], 16)
-            got = read(data, first)
-            if not got.doubt and not got.payloads:
-                return Found(doubt="the file of records is empty")
-            if not got.doubt:
-                if got.torn:
-                    self.files.truncate(path, got.good)
-                self.fd, self.size = self.files.open(path), got.good
-                self._remove(logs[:-1])
-            return Found(got.payloads, got.last, got.doubt)
+                return RecoveredLog(fault="there is no record of this member")
+            return self._recover_file(logs[-1], logs[:-1])
         except (OSError, ValueError) as error:
-            return Found(doubt=f"the records can't be read: {error}")
+            return RecoveredLog(fault=f"the records can't be read: {error}")
+
+    def _recover_file(self, name: str, older: Sequence[str]) -> RecoveredLog:
+        path = os.path.join(self.folder, name)
+        data = self.files.read(path)
+        first = int(name[len(LOG_PREFIX) : -len(LOG_SUFFIX)], 16)
+        contents = read_log(data, first)
+        if not contents.corruption and not contents.payloads:
+            return RecoveredLog(fault="the file of records is empty")
+        if not contents.corruption:
+            if contents.has_torn_end:
+                self.files.truncate(path, contents.valid_bytes)
+            self.fd, self.size_bytes = self.files.open(path), contents.valid_bytes
+            self._remove(older)
+        return RecoveredLog(contents.payloads, contents.last_sequence, contents.corruption)
+
+    def _log_names(self) -> list[str]:
+        names = os.listdir(self.folder)
+        return sorted(n for n in names if n.startswith(LOG_PREFIX) and n.endswith(LOG_SUFFIX))
 
     def append(self, payload: bytes) -> None:
-        """Write a record, the one after the last; `synced` tells when it is on the disk."""
-        self.last += 1
-        self.size += len(payload) + 20
-        self.queue.put((self.last, payload))
+        """Append a record; `on_synced` reports when it is durable."""
+        self.last_record += 1
+        self.size_bytes += len(payload) + RECORD_OVERHEAD_BYTES
+        self.queue.put(_Append(self.last_record, payload))
 
     @property
-    def long(self) -> bool:
-        """Whether the file is to be begun anew."""
-        return self.size > LONG
+    def needs_compaction(self) -> bool:
+        """Whether the file is long enough to be compacted."""
+        return self.size_bytes > COMPACTION_BYTES
+
+    def compact(self, payloads: Sequence[bytes]) -> None:
+        """Replace the file by one with these records, which continue the sequence numbers."""
+        first, self.last_record = self.last_record + 1, self.last_record + len(payloads)
+        self.size_bytes = sum(len(p) + RECORD_OVERHEAD_BYTES for p in payloads)
+        self.queue.put(_Compact(first, tuple(payloads)))
 
-    def shorten(self, payloads: Sequence[bytes]) -> None:
-        """Begin the file anew with records that say the same as all before; numbers go on."""
-        first, self.last = self.last + 1, self.last + len(payloads)
-        self.size = sum(len(p) + 20 for p in payloads)
-        self.queue.put(_Anew(first, tuple(payloads), False))
+    def replace(self, on_done: Callable[[str], None]) -> None:
+        """Quarantine all files and begin an empty log at record 1.
 
-    def anew(self, done: Callable[[str], None]) -> None:
-        """Put all that is there aside and begin at 1; `done` is told what hinders it, or nothing."""
+        Parameters
+        ----------
+        on_done
+            Called on the loop with the reason for a failure, or nothing.
+        """
 
-        def then(why: str) -> None:
-            if not why:
-                self.last = self.size = 0
-            done(why)
+        def on_replaced(reason: str) -> None:
+            if not reason:
+                self.last_record = self.size_bytes = 0
+            on_done(reason)
 
-        self.queue.put(_Anew(1, (), True, then))
+        self.queue.put(_Replace(on_replaced))
 
     def close(self) -> None:
-        """Write what is queued, then let go of the folder."""
-        self.queue.put(None)
+        """Write what is queued, as far as the disk is in time, and unlock the folder."""
+        self.queue.put(_Stop())
         if self.thread.is_alive():
-            self.thread.join(CLOSE_S)
+            self.thread.join(CLOSE_TIMEOUT_S)
         for fd in (self.fd, self.lock):
             if fd >= 0:
                 os.close(fd)
@@ -187,93 +248,116 @@
     # On the thread.
 
     def _work(self) -> None:
-        while True:
-            batch = [self.queue.get()]
-            while not self.queue.empty() and len(batch) < 256:
-                batch.append(self.queue.get())
-            records: list[tuple[int, bytes]] = []
-            for item in batch:
-                if isinstance(item, tuple):
-                    records.append(item)
-                    continue
-                self._write(records)
-                records = []
-                if item is None:
-                    return
-                self._begin(item)
-            self._write(records)
-
-    def _call(self, call: Callable[..., None], *args: object) -> None:
+        while self._carry_out(self._next_batch()):
+            pass
+
+    def _next_batch(self) -> list[_Append | _Compact | _Replace | _Stop]:
+        batch = [self.queue.get()]
+        while not self.queue.empty() and len(batch) < MAX_BATCH_ITEMS:
+            batch.append(self.queue.get())
+        return batch
+
+    def _carry_out(self, batch: list[_Append | _Compact | _Replace | _Stop]) -> bool:
+        """Carry out a batch, with one sync for records in a row; return whether the thread goes on."""
+        records: list[_Append] = []
+        for item in batch:
+            if isinstance(item, _Append):
+                records.append(item)
+                continue
+            self._append_records(records)
+            records = []
+            if isinstance(item, _Stop):
+                return False
+            if isinstance(item, _Compact):
+                self._compact(item)
+            else:
+                self._replace(item)
+        self._append_records(records)
+        return True
+
+    def _call_on_loop(self, call: Callable[..., None], *args: object) -> None:
         if not self.loop.is_closed():
             self.loop.call_soon_threadsafe(call, *args)
 
-    def _write(self, records: list[tuple[int, bytes]]) -> None:
-        if not records or self.broken:
+    def _append_records(self, records: list[_Append]) -> None:
+        if not records or self.has_failed:
             return
         try:
-            self.files.append(self.fd, b"".join(frame(number, payload) for number, payload in records))
+            frames = [encode_record(record.sequence, record.payload) for record in records]
+            self.files.append(self.fd, b"".join(frames))
             self.files.sync(self.fd)
         except (OSError, ValueError) as error:
             self._fail(str(error))
             return
-        self._call(self.on_synced, records[-1][0])
+        self._call_on_loop(self.on_synced, records[-1].sequence)
 
-    def _fail(self, why: str) -> None:
-        self.broken = True
-        self._call(self.on_failed, why)
+    def _fail(self, reason: str) -> None:
+        self.has_failed = True
+        self._call_on_loop(self.on_failed, reason)
 
-    def _begin(self, anew: _Anew) -> None:
-        if self.broken and not anew.aside:
+    def _compact(self, item: _Compact) -> None:
+        if self.has_failed:
             return
-        path = self._path(anew.first)
         try:
-            former = self._logs()
-            if anew.aside:
-                self._put_aside(former)
-                former = []
-            fd = self.files.open(path + ".new")
-            try:
-                os.ftruncate(fd, 0)
-                frames = [frame(anew.first + n, payload) for n, payload in enumerate(anew.payloads)]
-                self.files.append(fd, MAGIC + b"".join(frames))
-                self.files.sync(fd)
-            except OSError:
-                os.close(fd)
-                raise
-            old, self.fd = self.fd, fd
-            self.files.rename(path + ".new", path)
-            sync_folder(self.files, self.folder)
-            if old >= 0:
-                os.close(old)
+            former = self._log_names()
+            self._begin_file(item.first, item.payloads)
             self._remove(former)
         except OSError as error:
-            if anew.done is not None:
-                self._call(anew.done, str(error))
-            else:
-                self._fail(str(error))
+            self._fail(str(error))
+            return
+        self._call_on_loop(self.on_synced, item.first + len(item.payloads) - 1)
+
+    def _replace(self, item: _Replace) -> None:
+        try:
+            self._quarantine(self._log_names())
+            self._begin_file(1, ())
+        except OSError as error:
+            self._call_on_loop(item.on_done, str(error))
             return
-        if anew.done is not None:
-            self.broken = False
-            self._call(anew.done, "")
-        else:
-            self._call(self.on_synced, anew.first + len(anew.payloads) - 1)
-
-    def _put_aside(self, logs: list[str]) -> None:
-        names = sorted(n for n in os.listdir(self.folder) if n.startswith(ASIDE))
-        number = int(names[-1][len(ASIDE) :].split("-")[0]) + 1 if names else 1
+        self.has_failed = False
+        self._call_on_loop(item.on_done, "")
+
+    def _begin_file(self, first: int, payloads: Sequence[bytes]) -> None:
+        """Write a new file under a temporary name, sync it and rename it: a crash leaves the old one."""
+        path = os.path.join(self.folder, _log_name(first))
+        fd = self.files.open(path + ".new")
+        try:
+            os.ftruncate(fd, 0)
+            self.files.append(fd, _encode_log(first, payloads))
+            self.files.sync(fd)
+        except OSError:
+            os.close(fd)
+            raise
+        old, self.fd = self.fd, fd
+        self.files.rename(path + ".new", path)
+        sync_folder(self.files, self.folder)
+        if old >= 0:
+            os.close(old)
+
+    def _quarantine(self, logs: list[str]) -> None:
+        names = sorted(n for n in os.listdir(self.folder) if n.startswith(QUARANTINE_PREFIX))
+        number = int(names[-1][len(QUARANTINE_PREFIX) :].split("-")[0]) + 1 if names else 1
         for name in logs:
-            new = os.path.join(self.folder, f"{ASIDE}{number:06d}-{name}")
+            new = os.path.join(self.folder, f"{QUARANTINE_PREFIX}{number:06d}-{name}")
             self.files.rename(os.path.join(self.folder, name), new)
         sync_folder(self.files, self.folder)
-        self._remove(names[:-KEPT_ASIDE])
+        self._remove(names[:-MAX_QUARANTINED_FILES])
 
     def _remove(self, names: Sequence[str]) -> None:
         for name in names:
             os.unlink(os.path.join(self.folder, name))
 
 
+def _log_name(first: int) -> str:
+    return f"{LOG_PREFIX}{first:016x}{LOG_SUFFIX}"
+
+
+def _encode_log(first: int, payloads: Sequence[bytes]) -> bytes:
+    return MAGIC + b"".join(encode_record(n, payload) for n, payload in enumerate(payloads, first))
+
+
 def sync_folder(files: Files, folder: str) -> None:
-    """Have the names in a folder be on the disk."""
+    """Make the names in a folder durable."""
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         files.sync(fd)
@@ -281,14 +365,21 @@
         os.close(fd)
 
 
-def found(folder: str, payloads: Sequence[bytes]) -> None:
-    """Write the first file of a member that founds a fleet. FileExistsError: there are records already."""
+def create_log(folder: str, payloads: Sequence[bytes]) -> None:
+    """Write the first log of a founding member.
+
+    Raises
+    ------
+    FileExistsError
+        The folder holds a log already.
+    OSError
+        The folder can't be written.
+    """
     os.makedirs(folder, exist_ok=True)
-    if any(name.startswith((PREFIX, ASIDE)) for name in os.listdir(folder)):
+    if any(name.startswith((LOG_PREFIX, QUARANTINE_PREFIX)) for name in os.listdir(folder)):
         raise FileExistsError(f"{folder} holds records of a member already")
-    path = os.path.join(folder, f"{PREFIX}{1:016x}{SUFFIX}")
-    with open(path, "xb") as file:
-        file.write(MAGIC + b"".join(frame(n, payload) for n, payload in enumerate(payloads, 1)))
+    with open(os.path.join(folder, _log_name(1)), "xb") as file:
+        file.write(_encode_log(1, payloads))
         file.flush()
         os.fsync(file.fileno())
     sync_folder(Files(), folder)
--- a/grebestack/cluster_io/node.py
+++ b/grebestack/cluster_io/node.py
@@ -1,4 +1,4 @@
-"""A member of a fleet as it runs: wires the pure member to its disk, its connections and the loop's time."""
+"""One member of the cluster as it runs: its replica with disk, connections and clock."""
 
 from __future__ import annotations
 
@@ -8,40 +8,81 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from random import Random
+from typing import Any
 
 import msgspec
 
-from grebestack.cluster_io.log_store import Files, Store
-from grebestack.cluster_io.peer_connection import Dialler, Link
-from grebestack.cluster_io.runtime import monotonic_ms, tell
-from grebestack.consensus.actions import Action, Cut, Reborn, Send, Told, Turned, Write
-from grebestack.consensus.lease import Terms
-from grebestack.consensus.messages import VERSION, Hello, Message, Word, encode, record
-from grebestack.consensus.recovery import Shelf
+from grebestack.cluster_io.log_store import Files, LogStore
+from grebestack.cluster_io.peer_connection import Dialler, PeerConnection
+from grebestack.cluster_io.runtime import monotonic_ms, write_log
+from grebestack.consensus.actions import (
+    Action,
+    Disconnect,
+    LeaseChanged,
+    LogMessage,
+    ReplaceDisk,
+    Send,
+    Write,
+)
+from grebestack.consensus.lease import LeaseTerms
+from grebestack.consensus.messages import (
+    PROTOCOL_VERSION,
+    Handshake,
+    Message,
+    TaskMessage,
+    decode_record,
+    encode,
+)
+from grebestack.consensus.recovery import RecoveredState
 from grebestack.consensus.register import Change, Phase, Value
-from grebestack.consensus.replica import Member
+from grebestack.consensus.replica import Replica
 
 log = logging.getLogger(__name__)
 Address = tuple[str, int]
-DIAL_S, DIAL_MOST_S = 0.1, 0.6
-ANEW_S, ANEW_MOST_S = 1.0, 30.0  # a disk that can't be begun anew is tried again after this
+DIAL_BACKOFF_S, MAX_DIAL_BACKOFF_S = 0.1, 0.6
+REPLACE_BACKOFF_S, MAX_REPLACE_BACKOFF_S = 1.0, 30.0  # between attempts to begin an empty log
+MAX_BACKOFF_DOUBLINGS = 10
+DISK_INCARNATION_BITS = 48
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a member is told by the operators' file."""
+    """A member's part of the operators' file.
+
+    Parameters
+    ----------
+    members
+        The address of each other member.
+    folder
+        Where the log is kept.
+    tasks
+        The tasks whose leases this member wants.
+    """
 
     name: str
-    fleet: str
+    cluster: str
     listen: Address
-    members: Mapping[str, Address]  # where each other member is called
+    members: Mapping[str, Address]
     folder: str
     tasks: tuple[str, ...] = ()
-    terms: Terms = field(default_factory=Terms)
+    terms: LeaseTerms = field(default_factory=LeaseTerms)
 
 
 class Node:
-    """One member. `token` says at each act whether a task is this member's."""
+    """One member.
+
+    Parameters
+    ----------
+    clock
+        Returns a monotonic time in milliseconds.
+
+    Raises
+    ------
+    FolderTakenError
+        Another process has locked the folder.
+    OSError
+        The folder can't be created or opened.
+    """
 
     def __init__(
         self,
@@ -50,223 +91,269 @@
         files: Files | None = None,
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
+        """Read the log; `listen` starts the member."""
         self.loop, self.settings, self.clock = loop, settings, clock
         self.random = Random(int.from_bytes(os.urandom(8), "big"))
-        self.store = Store(loop, settings.folder, self._synced, self._failed, files)
-        self.words: dict[str, Callable[[str, bytes], None]] = {}  # by task: what another member's task says
-        self.turned: dict[str, Callable[[], None]] = {}  # by task: called soon after its lease came or went
-        self.open: dict[str, Link] = {}
+        self.store = LogStore(loop, settings.folder, self._on_synced, self._on_disk_failed, files)
+        # By task: called with the sender and the body of a task message.
+        self.message_handlers: dict[str, Callable[[str, bytes], None]] = {}
+        # By task: called soon after this member has gained or lost the lease.
+        self.lease_listeners: dict[str, Callable[[], None]] = {}
+        self.connections: dict[str, PeerConnection] = {}  # open ones, by member
         self.diallers: dict[str, Dialler] = {}
         self.server: asyncio.Server | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.anew_tries = 0
+        self.replace_failures = 0
         self.stopped = False
-        self.member, self.doubt_at_start = self._open()
-
-    def _open(self) -> tuple[Member, str]:
-        """The member as its disk has it, and why nothing of that is believed."""
-        found = self.store.open()
-        shelf, doubt = Shelf(self.settings.fleet), found.doubt
-        if not doubt:
-            try:
-                for payload in found.payloads:
-                    shelf.take(record(payload))
-            except msgspec.DecodeError as error:
-                doubt = f"a record is none of version {VERSION}: {error}"
-            if shelf.fleet != self.settings.fleet:
-                doubt = doubt or f"the records are of the fleet {shelf.fleet!r}"
-        if doubt:
-            shelf = Shelf(self.settings.fleet)
-        s = self.settings
-        names = set(s.members) | {s.name}
-        member = Member(s.name, names, shelf, found.last, s.tasks, s.terms, self.random, self.clock())
-        return member, doubt
+        self.action_handlers: dict[type[Action], Callable[[Any], None]] = {
+            Send: self._send,
+            Write: self._write,
+            LogMessage: write_log,
+            LeaseChanged: self._notify_lease_listener,
+            ReplaceDisk: self._replace_disk,
+        }
+        self.replica, self.disk_fault_at_start = self._recover()
+
+    def _recover(self) -> tuple[Replica, str]:
+        """Return the replica with its recovered state, and why the log can't be trusted, or nothing."""
+        recovered = self.store.open()
+        settings, fault = self.settings, recovered.fault
+        state = RecoveredState(settings.cluster)
+        if not fault:
+            fault = self._apply_records(state, recovered.payloads)
+        if fault:
+            state = RecoveredState(settings.cluster)
+        replica = Replica(
+            settings.name,
+            set(settings.members) | {settings.name},
+            state,
+            recovered.last_record,
+            settings.tasks,
+            settings.terms,
+            self.random,
+            self.clock(),
+        )
+        return replica, fault
+
+    def _apply_records(self, state: RecoveredState, payloads: tuple[bytes, ...]) -> str:
+        """Apply the log's records; return why they can't be trusted, or nothing."""
+        try:
+            for payload in payloads:
+                state.apply(decode_record(payload))
+        except msgspec.DecodeError as error:
+            return f"a record is none of version {PROTOCOL_VERSION}: {error}"
+        if state.cluster != self.settings.cluster:
+            return f"the records are of the fleet {state.cluster!r}"
+        return ""
 
     def listen(self, server: asyncio.Server) -> None:
-        """Members are accepted at `server`, which the caller has opened with `accept`."""
+        """Start, with the server that the caller has opened for `accept`."""
         self.server = server
-        if self.doubt_at_start:
-            self._run(self.member.doubted(self.clock(), self.doubt_at_start))
+        if self.disk_fault_at_start:
+            self._run(self.replica.on_disk_fault(self.clock(), self.disk_fault_at_start))
         else:
-            self._run(self.member.start(self.clock()))
+            self._run(self.replica.start(self.clock()))
         for name, address in self.settings.members.items():
-            if name > self.settings.name:  # of two members the first by name calls the other
-                self.diallers[name] = Dialler(self.loop, self, name, address, self._pause)
+            if name > self.settings.name:  # of two members the first by name dials the other
+                self.diallers[name] = Dialler(self.loop, self, name, address, self._backoff_s)
                 self.diallers[name].dial()
 
-    def accept(self) -> Link:
-        """A connection that another member has made."""
-        return Link(self.loop, self)
+    def accept(self) -> PeerConnection:
+        """Return the protocol for a connection that another member has opened."""
+        return PeerConnection(self.loop, self)
 
-    def _pause(self, tries: int, first_s: float = DIAL_S, most_s: float = DIAL_MOST_S) -> float:
-        """Seconds before another try: doubled with each, and drawn."""
-        most_s = min(most_s, first_s * 2.0 ** min(tries, 10))
-        return self.random.uniform(most_s / 2.0, most_s)
+    def _backoff_s(
+        self, failures: int, first_s: float = DIAL_BACKOFF_S, longest_s: float = MAX_DIAL_BACKOFF_S
+    ) -> float:
+        """Return the seconds before the next attempt: doubled with each failure, with jitter."""
+        longest_s = min(longest_s, first_s * 2.0 ** min(failures, MAX_BACKOFF_DOUBLINGS))
+        return self.random.uniform(longest_s / 2.0, longest_s)
 
     def stop(self) -> None:
-        """Leave: what is held is given back by `release` before."""
+        """Close everything. Leases are only given back by `release` before."""
         self.stopped = True
         if self.server is not None:
             self.server.close()
         for dialler in self.diallers.values():
             dialler.stop()
-        for link in list(self.open.values()):
-            link.close("stopping")
+        for connection in list(self.connections.values()):
+            connection.close("stopping")
         if self.timer is not None:
             self.timer.cancel()
         self.store.close()
 
-    # For tasks.
+    # For cluster tasks.
 
-    def token(self, task: str) -> int | None:
-        """The token to act with now, or None: asked for at each act."""
-        return None if self.stopped else self.member.token(task, self.clock())
+    def valid_token(self, task: str) -> int | None:
+        """Return the fencing token to act with now, or None. Check it at each act."""
+        return None if self.stopped else self.replica.valid_token(task, self.clock())
 
     def release(self, task: str, to: str = "") -> None:
-        """Give a task back, or hand it over to a member by name."""
-        self._run(self.member.release(self.clock(), task, to))
+        """Give a task's lease back, or hand it over to a member by name."""
+        self._run(self.replica.release_lease(self.clock(), task, to))
 
-    def fenced(self, task: str) -> None:
-        """What was acted upon has seen a later token: no more acts under this one."""
-        self._run(self.member.fenced(self.clock(), task))
+    def on_fenced(self, task: str) -> None:
+        """Handle a resource's rejection of this member's token for a later one."""
+        self._run(self.replica.on_fenced(self.clock(), task))
 
-    def want(self, task: str) -> None:
-        """Stand in line for a task again."""
-        self.member.want(self.clock(), task)
+    def become_candidate(self, task: str) -> None:
+        """Propose the lease of a task again, after a release."""
+        self.replica.become_candidate(self.clock(), task)
         self._run([])
 
-    def change(self, register: str, change: Change, ended: Callable[[bool, Value], None]) -> None:
-        """Change a register, or read it; `ended` tells whether the value is known to be in force now."""
-        if register in self.member.askings or not self.member.linked_enough():
-            ended(False, None)
+    def propose(self, register: str, change: Change, on_ended: Callable[[bool, Value], None]) -> None:
+        """Change or read a register.
+
+        Parameters
+        ----------
+        on_ended
+            Called with whether the value is known to be chosen, and the value.
+        """
+        if self.replica.has_open_proposal(register) or not self.replica.can_reach_quorum():
+            on_ended(False, None)
             return
 
-        def told(at_ms: float, phase: Phase, before: Value, after: Value) -> list[Action]:
-            ended(phase is Phase.CHOSEN, after)
+        def report(at_ms: float, phase: Phase, previous: Value, value: Value) -> list[Action]:
+            on_ended(phase is Phase.CHOSEN, value)
             return []
 
-        self._run(self.member.change(self.clock(), register, change, told))
+        self._run(self.replica.propose(self.clock(), register, change, report))
 
-    def say(self, to: str, task: str, body: bytes) -> None:
-        """Say something to a task of another member; what can't leave is lost."""
-        if to in self.open:
-            self.open[to].send(Word(task, body))
+    def send_task_message(self, to: str, task: str, body: bytes) -> None:
+        """Send a message to a task of another member. It is dropped if the member is not connected."""
+        if to in self.connections:
+            self.connections[to].send(TaskMessage(task, body))
 
-    # The links' owner.
+    # The owner of the connections.
 
-    def greeting(self) -> Hello:
-        """What is said first."""
-        return self.member.hello(self.settings.fleet, VERSION)
+    def handshake(self) -> Handshake:
+        """Return the first message on each connection."""
+        return self.replica.handshake(self.settings.cluster, PROTOCOL_VERSION)
 
-    def told(self) -> int:
-        """How far this member's disk has come."""
-        return self.member.voter.told
+    def reported_record(self) -> int:
+        """Return the last log record to report to other members."""
+        return self.replica.acceptor.reported_record
 
-    def greeted(self, link: Link, hello: Hello) -> str:
-        """The other end says who it is."""
-        if hello.version != VERSION or hello.fleet != self.settings.fleet:
-            return f"it is of fleet {hello.fleet!r}, version {hello.version}"
-        if hello.name not in self.settings.members or hello.name == self.settings.name:
-            return f"{hello.name!r} is no other member"
-        former = self.open.get(hello.name)
+    def on_handshake(self, connection: PeerConnection, handshake: Handshake) -> str:
+        """Handle the other end's handshake; return why it is rejected, or nothing."""
+        if handshake.version != PROTOCOL_VERSION or handshake.cluster != self.settings.cluster:
+            return f"it is of fleet {handshake.cluster!r}, version {handshake.version}"
+        name = handshake.name
+        if name not in self.settings.members or name == self.settings.name:
+            return f"{name!r} is no other member"
+        former = self.connections.get(name)
         if former is not None:
-            if self.member.links[hello.name].life > hello.life:
-                return f"a later start of {hello.name} is connected"
-            self._leave(former, "it has connected again")
-        link.open(hello.name)
-        self.open[hello.name] = link
-        if hello.name in self.diallers:
-            self.diallers[hello.name].tries = 0
-        self._run(self.member.linked(self.clock(), hello))
+            if self.replica.connections[name].process_incarnation > handshake.process_incarnation:
+                return f"a later start of {name} is connected"
+            self._disconnect(former, "it has connected again")
+        connection.accept_peer(name)
+        self.connections[name] = connection
+        if name in self.diallers:
+            self.diallers[name].failures = 0
+        self._run(self.replica.on_connected(self.clock(), handshake))
         return ""
 
-    def heard(self, link: Link, last: int, message: Message) -> None:
-        """A message has come."""
-        if self.open.get(link.peer) is not link or self.stopped:
+    def on_message(self, connection: PeerConnection, last_record: int, message: Message) -> None:
+        """Handle a message, with the last log record that the sender reports."""
+        peer = connection.peer
+        if self.connections.get(peer) is not connection or self.stopped:
             return
-        if isinstance(message, Word):
-            self.member.peers.heard(link.peer, self.clock())
-            if message.task in self.words:
-                self.words[message.task](link.peer, message.body)
+        if isinstance(message, TaskMessage):
+            self.replica.failure_detector.on_message(peer, self.clock())
+            if message.task in self.message_handlers:
+                self.message_handlers[message.task](peer, message.body)
             return
-        self._run(self.member.heard(self.clock(), link.peer, last, message))
-
-    def ended(self, link: Link, why: str) -> None:
-        """A connection has ended."""
-        if link.peer and self.open.get(link.peer) is link:
-            self._leave(link, why)
-        elif not link.peer and not self.stopped:
-            log.debug("fleet_link_refused", extra={"kv": {"peer": link.expects, "why": why}})
-        dialler = self.diallers.get(link.expects)
-        if dialler is not None and dialler.link is link:
-            dialler.ended()
-
-    def _leave(self, link: Link, why: str) -> None:
-        del self.open[link.peer]
-        self._run(self.member.unlinked(self.clock(), link.peer))
+        self._run(self.replica.on_message(self.clock(), peer, last_record, message))
+
+    def on_closed(self, connection: PeerConnection, reason: str) -> None:
+        """Handle the end of a connection."""
+        if connection.peer and self.connections.get(connection.peer) is connection:
+            self._disconnect(connection, reason)
+        elif not connection.peer and not self.stopped:
+            kv = {"peer": connection.expected_peer, "why": reason}
+            log.debug("fleet_link_refused", extra={"kv": kv})
+        dialler = self.diallers.get(connection.expected_peer)
+        if dialler is not None and dialler.connection is connection:
+            dialler.on_closed()
+
+    def _disconnect(self, connection: PeerConnection, reason: str) -> None:
+        del self.connections[connection.peer]
+        self._run(self.replica.on_disconnected(self.clock(), connection.peer))
         if not self.stopped:
-            log.info("fleet_link_ended", extra={"kv": {"peer": link.peer, "why": why}})
-        link.close(why)
+            log.info("fleet_link_ended", extra={"kv": {"peer": connection.peer, "why": reason}})
+        connection.close(reason)
 
-    # The disk and time.
+    # Events of the disk.
 
-    def _synced(self, upto: int) -> None:
+    def _on_synced(self, last_record: int) -> None:
         if not self.stopped:
-            self._run(self.member.synced(self.clock(), upto))
+            self._run(self.replica.on_synced(self.clock(), last_record))
 
-    def _failed(self, why: str) -> None:
+    def _on_disk_failed(self, reason: str) -> None:
         if not self.stopped:
-            self._run(self.member.doubted(self.clock(), why))
+            self._run(self.replica.on_disk_fault(self.clock(), reason))
 
-    def _anew(self) -> None:
+    def _begin_empty_log(self) -> None:
         if not self.stopped:
-            self.store.anew(self._begun)
+            self.store.replace(self._on_log_replaced)
 
-    def _begun(self, why: str) -> None:
+    def _on_log_replaced(self, failure: str) -> None:
         if self.stopped:
             return
-        if why:
-            self.anew_tries += 1
-            pause = self._pause(self.anew_tries, ANEW_S, ANEW_MOST_S)
-            log.warning("fleet_disk_unusable", extra={"kv": {"why": why, "again_s": pause}})
-            self.loop.call_later(pause, self._anew)
+        if failure:
+            self.replace_failures += 1
+            pause_s = self._backoff_s(self.replace_failures, REPLACE_BACKOFF_S, MAX_REPLACE_BACKOFF_S)
+            log.warning("fleet_disk_unusable", extra={"kv": {"why": failure, "again_s": pause_s}})
+            self.loop.call_later(pause_s, self._begin_empty_log)
             return
-        self.anew_tries = 0
-        incarnation = f"{self.random.getrandbits(48):012x}"
-        log.warning("fleet_reborn", extra={"kv": {"incarnation": incarnation}})
-        self._run(self.member.reborn(self.clock(), incarnation))
-        for link in list(self.open.values()):  # they were made under the former incarnation
-            self._leave(link, "a new incarnation")
-
-    def _tick(self) -> None:
-        self.timer = None
-        self._run(self.member.tick(self.clock()))
+        self.replace_failures = 0
+        disk_incarnation = f"{self.random.getrandbits(DISK_INCARNATION_BITS):012x}"
+        log.warning("fleet_reborn", extra={"kv": {"incarnation": disk_incarnation}})
+        self._run(self.replica.on_disk_replaced(self.clock(), disk_incarnation))
+        # Their handshakes named the former disk incarnation.
+        for connection in list(self.connections.values()):
+            self._disconnect(connection, "a new incarnation")
+
+    # The replica's actions and its timer.
 
     def _run(self, actions: list[Action]) -> None:
-        cut: list[Cut] = []
+        """Carry out the replica's actions, and set the timer for its next tick."""
+        disconnects: list[Disconnect] = []
         for action in actions:
-            if isinstance(action, Send):
-                if action.to in self.open:
-                    self.open[action.to].send(action.message)
-            elif isinstance(action, Write):
-                self.store.append(encode(action.record))
-            elif isinstance(action, Told):
-                tell(action)
-            elif isinstance(action, Turned):
-                if (turned := self.turned.get(action.task)) is not None:
-                    self.loop.call_soon(turned)
-            elif isinstance(action, Reborn):
-                self._anew()
+            if isinstance(action, Disconnect):
+                # Carried out last: it makes the replica return further actions.
+                disconnects.append(action)
             else:
-                cut.append(action)
-        for one in cut:
-            if one.peer in self.open:
-                self._leave(self.open[one.peer], one.why)
-        if self.store.long and not self.member.voter.doubt:
-            self.store.shorten([encode(item) for item in self.member.voter.shorten()])
-        if self.stopped:
-            return
+                self.action_handlers[type(action)](action)
+        for disconnect in disconnects:
+            if disconnect.peer in self.connections:
+                self._disconnect(self.connections[disconnect.peer], disconnect.reason)
+        if self.store.needs_compaction and not self.replica.acceptor.disk_fault:
+            self.store.compact([encode(record) for record in self.replica.acceptor.compact()])
+        if not self.stopped:
+            self._set_timer()
+
+    def _send(self, action: Send) -> None:
+        if action.to in self.connections:
+            self.connections[action.to].send(action.message)
+
+    def _write(self, action: Write) -> None:
+        self.store.append(encode(action.record))
+
+    def _notify_lease_listener(self, action: LeaseChanged) -> None:
+        if (listener := self.lease_listeners.get(action.task)) is not None:
+            self.loop.call_soon(listener)
+
+    def _replace_disk(self, action: ReplaceDisk) -> None:
+        self._begin_empty_log()
+
+    def _set_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        now = self.clock()
-        self.timer = self.loop.call_later(max(0.0, self.member.due_ms(now) - now) / 1000.0, self._tick)
+        now_ms = self.clock()
+        delay_s = max(0.0, self.replica.due_ms(now_ms) - now_ms) / 1000.0
+        self.timer = self.loop.call_later(delay_s, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self.timer = None
+        self._run(self.replica.tick(self.clock()))
--- a/grebestack/cluster_io/peer_connection.py
+++ b/grebestack/cluster_io/peer_connection.py
@@ -1,4 +1,4 @@
-"""One connection between two members: whole messages each way, in bounded memory."""
+"""Connections between two members: messages each way, and the dialler that keeps one open."""
 
 from __future__ import annotations
 
@@ -9,113 +9,140 @@
 
 import msgspec
 
-from grebestack.cluster_io.framing import Frames, Opening
-from grebestack.consensus.messages import MOST, VERSION, Hello, Message, encode, message
+from grebestack.cluster_io.framing import ConnectionAttempt, FramedConnection
+from grebestack.consensus.messages import (
+    MAX_MESSAGE_BYTES,
+    PROTOCOL_VERSION,
+    Handshake,
+    Message,
+    decode_message,
+    encode,
+)
 
-HEAD = struct.Struct(">IQ")  # length of the message, and how far the sender's disk has come
-MOST_QUEUED = 4 * MOST  # bytes that the other end has not read
-GREET_S = 0.7  # who it is must be said by then
+HEADER = struct.Struct(">IQ")  # length of the message in bytes, and the last log record the sender reports
+MAX_QUEUED_BYTES = 4 * MAX_MESSAGE_BYTES
+HANDSHAKE_TIMEOUT_S = 0.7
 
 
-class Owner(Protocol):
-    """Who the connections belong to."""
+class PeerConnectionOwner(Protocol):
+    """The owner of connections to members."""
 
-    def greeting(self) -> Hello:
-        """What is said first."""
+    def handshake(self) -> Handshake:
+        """Return the first message to send."""
 
-    def told(self) -> int:
-        """How far this member's disk has come."""
+    def reported_record(self) -> int:
+        """Return the last log record to report with a message."""
 
-    def greeted(self, link: Link, hello: Hello) -> str:
-        """The other end says who it is; why it is not wanted, or nothing."""
+    def on_handshake(self, connection: PeerConnection, handshake: Handshake) -> str:
+        """Handle the other end's handshake; return why it is rejected, or nothing."""
 
-    def heard(self, link: Link, last: int, message: Message) -> None:
-        """A message has come."""
+    def on_message(self, connection: PeerConnection, last_record: int, message: Message) -> None:
+        """Handle a message, with the last log record that the other end reports."""
 
-    def ended(self, link: Link, why: str) -> None:
-        """The connection has ended; called once for each that was made."""
+    def on_closed(self, connection: PeerConnection, reason: str) -> None:
+        """Handle the end of the connection; called once for each that was up."""
 
 
-class Link(Frames):
-    """States: greeting (both say who they are), open, closed."""
+class PeerConnection(FramedConnection):
+    """One connection to a member.
 
-    head = HEAD
-    most, most_queued, greet_s = MOST, MOST_QUEUED, GREET_S
+    Parameters
+    ----------
+    expected_peer
+        The member that was dialled; empty for a connection that was accepted.
+    """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, owner: Owner, expects: str = "") -> None:
+    header = HEADER
+    max_message_bytes, max_queued_bytes = MAX_MESSAGE_BYTES, MAX_QUEUED_BYTES
+    handshake_timeout_s = HANDSHAKE_TIMEOUT_S
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, owner: PeerConnectionOwner, expected_peer: str = ""
+    ) -> None:
+        """Begin unconnected, with the handshake to come."""
         super().__init__(loop)
-        self.owner, self.expects = owner, expects
-        self.peer = ""  # who is at the other end, once it has said so
+        self.owner, self.expected_peer = owner, expected_peer
+        self.peer = ""  # the member at the other end, once its handshake is accepted
 
-    def begin(self) -> None:
-        """Say who this member is."""
-        self.send(self.owner.greeting())
+    def on_connected(self) -> None:
+        """Send the handshake."""
+        self.send(self.owner.handshake())
 
-    def send(self, item: Message) -> None:
-        """Say something; a peer that does not read is cut off."""
-        self.write(encode(item), self.owner.told())
+    def send(self, message: Message) -> None:
+        """Send a message; the connection ends if the other end does not read."""
+        self.write(encode(message), self.owner.reported_record())
 
-    def whole(self, data: bytes, *fields: int) -> None:
-        """A message has come."""
+    def on_frame(self, data: bytes, *fields: int) -> None:
+        """Handle a message; the first must be a handshake."""
         try:
-            item = message(data)
+            message = decode_message(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.close(f"no message of version {VERSION}: {error}")
+            self.close(f"no message of version {PROTOCOL_VERSION}: {error}")
             return
         if self.peer:
-            self.owner.heard(self, fields[0], item)
-        elif not isinstance(item, Hello):
+            self.owner.on_message(self, fields[0], message)
+        elif not isinstance(message, Handshake):
             self.close("it did not say who it is first")
-        elif self.expects and item.name != self.expects:
-            self.close(f"{item.name} answers where {self.expects} should")
-        elif why := self.owner.greeted(self, item):
-            self.close(why)
+        elif self.expected_peer and message.name != self.expected_peer:
+            self.close(f"{message.name} answers where {self.expected_peer} should")
+        elif reason := self.owner.on_handshake(self, message):
+            self.close(reason)
 
-    def open(self, peer: str) -> None:
-        """The other end is who it should be."""
+    def accept_peer(self, peer: str) -> None:
+        """Accept the other end as this member."""
         self.peer = peer
-        self.welcome()
+        self.complete_handshake()
 
-    def over(self, why: str) -> None:
-        """The connection has ended."""
-        self.owner.ended(self, why)
+    def on_closed(self, reason: str) -> None:
+        """Report the end to the owner."""
+        self.owner.on_closed(self, reason)
 
 
 class Dialler:
-    """Keeps one connection to a member that this one calls; pauses between tries are drawn and bounded."""
+    """Keeps one connection to a member open.
+
+    Parameters
+    ----------
+    backoff_s
+        Returns the seconds before the next attempt, from the number of failed ones.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        owner: Owner,
+        owner: PeerConnectionOwner,
         name: str,
         address: tuple[str, int],
-        pause: Callable[[int], float],
+        backoff_s: Callable[[int], float],
     ) -> None:
-        self.loop, self.owner, self.name, self.address, self.pause = loop, owner, name, address, pause
-        self.tries = 0
-        self.link: Link | None = None
+        """Begin unconnected: `dial` opens the first connection."""
+        self.loop, self.owner, self.name, self.address = loop, owner, name, address
+        self.backoff_s = backoff_s
+        self.failures = 0
+        self.connection: PeerConnection | None = None
+        self.attempt: ConnectionAttempt | None = None
         self.stopped = False
-        self.opening: Opening | None = None
 
     def dial(self) -> None:
-        """Call it."""
-        if not self.stopped and self.link is None:
-            self.link = link = Link(self.loop, self.owner, self.name)
-            self.opening = Opening(self.loop, link, self.address, lambda why: self._failed(link))
-
-    def _failed(self, link: Link) -> None:
-        if self.link is link:
-            self.ended()
-
-    def ended(self) -> None:
-        """There is no connection now; another try follows."""
-        self.link = None
-        self.tries += 1
-        self.loop.call_later(self.pause(self.tries), self.dial)
+        """Open a connection if there is none."""
+        if not self.stopped and self.connection is None:
+            self.connection = connection = PeerConnection(self.loop, self.owner, self.name)
+            self.attempt = ConnectionAttempt(
+                self.loop, connection, self.address, lambda reason: self._on_failed(connection)
+            )
+
+    def _on_failed(self, connection: PeerConnection) -> None:
+        if self.connection is connection:
+            self.on_closed()
+
+    def on_closed(self) -> None:
+        """Handle the end of the connection: dial again after a pause."""
+        self.connection = None
+        self.failures += 1
+        self.loop.call_later(self.backoff_s(self.failures), self.dial)
 
     def stop(self) -> None:
-        """No more calls."""
+        """Close the connection and dial no more."""
         self.stopped = True
-        if self.link is not None:
-            self.link.close("stopping")
+        if self.connection is not None:
+            self.connection.close("stopping")
--- a/grebestack/cluster_io/runtime.py
+++ b/grebestack/cluster_io/runtime.py
@@ -1,21 +1,25 @@
-"""The clock and the log lines of all shells here."""
+"""The clock and the log lines of this package."""
 
 from __future__ import annotations
 
 import logging
 import time
 
-from grebestack.consensus.actions import Told
+from grebestack.consensus.actions import LogMessage
 
 log = logging.getLogger(__name__)
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def monotonic_ms() -> float:
-    """The time in milliseconds, while the machine sleeps too: a holder that wakes finds its term over."""
+    """Return a monotonic time in milliseconds.
+
+    It goes on while the machine is suspended, so that a lease has run out when its holder wakes up.
+    """
     return time.clock_gettime(_CLOCK) * 1000.0
 
 
-def tell(told: Told) -> None:
-    """Write a line to the log."""
-    log.log(logging.DEBUG if told.detail else logging.INFO, told.event, extra={"kv": told.kv})
+def write_log(message: LogMessage) -> None:
+    """Write a line to the process's log."""
+    level = logging.DEBUG if message.detail else logging.INFO
+    log.log(level, message.event, extra={"kv": message.kv})
--- a/grebestack/consensus/acceptor.py
+++ b/grebestack/consensus/acceptor.py
@@ -1,211 +1,269 @@
-"""One member's vote: what it promises, accepts and seals, and when it may. Pure.
+"""The acceptor of one member: what it promises and accepts, and when it may vote. Pure.
 
-An answer leaves only when all that was written before it is on the disk. A member votes only while it can
-vouch for its disk:
+A response leaves only when all that was written before it is durable: another member may rely on it at once,
+and this one must not forget it in a crash. An acceptor votes only while its disk can be trusted:
 
-- born without a set (a new or a lost disk), it is out until a set counts it under its new incarnation;
-- started with a disk, it first hears from as many others as make a majority with it how far each has heard
-  it: one that has heard more than the disk says shows that the disk has lost something or is an old copy;
-- once a write or sync has failed, nothing of that disk is believed again.
+- with a new disk it does not vote until a membership counts it under its new disk incarnation;
+- after a start it first learns from enough others to make a quorum with it which of its log records each has
+  seen reported: one that knows of a later record than the disk holds shows that the disk has lost some or is
+  an old copy;
+- once a write or sync has failed, nothing on that disk is trusted again.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Callable
+from typing import Any
 
-from grebestack.consensus.actions import Action, Peer, Reborn, Send, Told, Write
+from grebestack.consensus.actions import Action, LogMessage, Peer, ReplaceDisk, Send, Write
 from grebestack.consensus.messages import (
     Accept,
-    Began,
-    Behind,
-    Born,
-    Ended,
-    Enter,
-    Entered,
-    Hello,
-    Kept,
+    Accepted,
+    EnterEpoch,
+    EpochEnded,
+    EpochEntered,
+    EpochRequest,
+    Handshake,
+    IncarnationStarted,
+    LogRecord,
+    MembershipConfig,
     Message,
     Prepare,
+    ProcessStarted,
     Promise,
-    Record,
-    Refuse,
-    Roll,
-    Seal,
-    Sealed,
-    Taken,
+    RegisterWritten,
+    Rejected,
+    StopVoting,
+    VotingStopped,
+)
+from grebestack.consensus.recovery import RecoveredState
+from grebestack.consensus.register import (
+    AcceptGranted,
+    AcceptorResponse,
+    AcceptorState,
+    Ballot,
+    PromiseGranted,
+    accept,
+    prepare,
 )
-from grebestack.consensus.recovery import Shelf
-from grebestack.consensus.register import Accepted, Answer, Promised, Slot, accept, prepare
 
-GRACE_MS = 1000.0  # after a start so long is waited for those that are more than a majority needs
+CONFIRMATION_GRACE_MS = 1000.0  # after a start: for how long to wait for more peers than a quorum needs
 
 
-class Voter:
-    """The votes of one member. What it returns is carried out in order."""
+class Acceptor:
+    """The acceptor of one member. Its actions must be carried out in order."""
 
-    def __init__(self, name: str, shelf: Shelf, last: int, now_ms: float) -> None:
-        self.name, self.shelf = name, shelf
-        self.last = self.synced_to = self.found = last  # records written, on the disk for good, and read
-        self.waiting: deque[tuple[int, str, Message]] = deque()  # answers, each for a record
-        self.began_ms = now_ms
-        self.vouched = False  # whether others have confirmed the disk since the start
-        self.heard_from: set[str] = set()
-        self.doubt = ""  # why nothing of the disk is believed
+    def __init__(self, name: str, state: RecoveredState, last_record: int, now_ms: float) -> None:
+        """Begin with the state of a log, whose last record is `last_record`."""
+        self.name, self.state = name, state
+        self.last_record = last_record  # written
+        self.synced_record = last_record  # durable
+        self.recovered_record = last_record  # read at the start
+        self.pending: deque[tuple[int, str, Message]] = deque()  # responses, each after a record
+        self.started_ms = now_ms
+        self.is_confirmed = False  # whether other members have confirmed the disk since the start
+        self.confirming_peers: set[str] = set()
+        self.disk_fault = ""  # why nothing on the disk is trusted
+        self.handlers: dict[type[Message], Callable[[Peer, Any], list[Action]]] = {
+            Prepare: self._on_prepare,
+            Accept: self._on_accept,
+            StopVoting: self._on_stop_voting,
+            EnterEpoch: self._on_enter_epoch,
+            EpochRequest: self._on_epoch_request,
+        }
 
     @property
-    def counted(self) -> bool:
-        """Whether the set in force counts this member under this incarnation."""
-        return self.shelf.roll.counts(self.name, self.shelf.incarnation)
+    def is_voter(self) -> bool:
+        """Whether the membership counts this member under its disk incarnation."""
+        return self.state.config.is_voter(self.name, self.state.disk_incarnation)
 
     @property
-    def votes(self) -> bool:
-        """Whether it answers to `Prepare` and `Accept`."""
-        return self.vouched and not self.doubt and self.counted and self.shelf.following is None
+    def may_vote(self) -> bool:
+        """Whether it responds to `Prepare` and `Accept`."""
+        return self.is_confirmed and not self.disk_fault and self.is_voter and self.state.next_config is None
 
     @property
-    def told(self) -> int:
-        """How far others may have heard this member: what was read, until others have confirmed it."""
-        return self.synced_to if self.vouched else self.found
-
-    def standing(self) -> str:
-        """In a word or more, for people."""
-        if self.doubt:
-            return f"out: {self.doubt}"
-        if not self.counted:
+    def reported_record(self) -> int:
+        """The log record to report to others: the recovered one until others have confirmed the disk."""
+        return self.synced_record if self.is_confirmed else self.recovered_record
+
+    def describe(self) -> str:
+        """Return the state as a text for operators."""
+        if self.disk_fault:
+            return f"out: {self.disk_fault}"
+        if not self.is_voter:
             return "out: asks to be admitted"
-        if not self.vouched:
+        if not self.is_confirmed:
             return "waits to hear how far others have heard it"
-        return "changes the set" if self.shelf.following is not None else "votes"
+        return "changes the set" if self.state.next_config is not None else "votes"
 
-    def begin(self) -> list[Action]:
-        """Started: one more life of this incarnation."""
-        return self._write(Began(self.shelf.starts + 1))
+    def start(self) -> list[Action]:
+        """Record the start of a process."""
+        return self._write(ProcessStarted(self.state.start_count + 1))
 
-    def _write(self, record: Record) -> list[Action]:
-        self.shelf.take(record)
-        self.last += 1
+    def _write(self, record: LogRecord) -> list[Action]:
+        self.state.apply(record)
+        self.last_record += 1
         return [Write(record)]
 
-    def _after(self, to: str, message: Message) -> list[Action]:
-        """An answer, as soon as what it rests on is on the disk."""
-        if self.synced_to >= self.last:
+    def _send_when_durable(self, to: str, message: Message) -> list[Action]:
+        """Send a response once all records that it may depend on are durable."""
+        if self.synced_record >= self.last_record:
             return [Send(to, message)]
-        self.waiting.append((self.last, to, message))
+        self.pending.append((self.last_record, to, message))
         return []
 
-    def synced(self, upto: int) -> list[Action]:
-        """So many records are on the disk for good."""
-        self.synced_to = max(self.synced_to, upto)
+    # Events of the disk.
+
+    def on_synced(self, last_record: int) -> list[Action]:
+        """Handle the sync of all records up to this one."""
+        self.synced_record = max(self.synced_record, last_record)
         actions: list[Action] = []
-        while self.waiting and self.waiting[0][0] <= self.synced_to:
-            _, to, message = self.waiting.popleft()
+        while self.pending and self.pending[0][0] <= self.synced_record:
+            _, to, message = self.pending.popleft()
             actions.append(Send(to, message))
         return actions
 
-    def doubted(self, why: str) -> list[Action]:
-        """The disk has failed or is not what it was."""
-        if self.doubt:
+    def on_disk_fault(self, reason: str) -> list[Action]:
+        """Handle a disk that has failed or has lost records."""
+        if self.disk_fault:
             return []
-        self.doubt, self.vouched = why, False
-        self.waiting.clear()
-        return [Told("fleet_disk_doubted", {"why": why}), Reborn(why)]
-
-    def shorten(self) -> list[Record]:
-        """Records that say the same as all so far; a file is begun anew with them, and numbers go on."""
-        records = self.shelf.short()
-        self.last += len(records)
+        self.disk_fault, self.is_confirmed = reason, False
+        self.pending.clear()
+        return [LogMessage("fleet_disk_doubted", {"why": reason}), ReplaceDisk(reason)]
+
+    def compact(self) -> list[LogRecord]:
+        """Return the records that replace the log so far; they continue its sequence numbers."""
+        records = self.state.compacted_records()
+        self.last_record += len(records)
         return records
 
-    def reborn(self, fleet: str, incarnation: str, roll: Roll, now_ms: float) -> list[Action]:
-        """A new disk is there, with nothing on it. What is known of the set is kept; votes are not."""
-        self.shelf = Shelf()
-        self.last = self.synced_to = self.found = 0
-        self.waiting.clear()
-        self.doubt, self.vouched, self.began_ms = "", True, now_ms  # this incarnation has never voted
-        return [*self._write(Born(fleet, incarnation, roll)), *self._write(Began(1))]
-
-    def greeted(self, now_ms: float, hello: Hello) -> list[Action]:
-        """A member says how far it has heard this one."""
-        mark = hello.marks.get(self.name)
-        known = self.last if self.vouched else self.found
-        if mark is not None and mark[0] == self.shelf.incarnation and mark[1] > known:
-            return self.doubted(f"{hello.name} has heard of record {mark[1]}, the disk ends at {known}")
-        self.heard_from.add(hello.name)
-        return self.passed(now_ms)
-
-    def passed(self, now_ms: float) -> list[Action]:
-        """Time has passed, or somebody was heard."""
-        others = self.shelf.roll.names() - {self.name}
-        if self.vouched or self.doubt or not self.shelf.roll.epoch:
+    def on_disk_replaced(
+        self, cluster: str, disk_incarnation: str, config: MembershipConfig, now_ms: float
+    ) -> list[Action]:
+        """Handle an empty log under a new disk incarnation. The membership is kept; votes are not."""
+        self.state = RecoveredState()
+        self.last_record = self.synced_record = self.recovered_record = 0
+        self.pending.clear()
+        self.disk_fault, self.started_ms = "", now_ms
+        self.is_confirmed = True  # this incarnation has never voted, so it has lost no vote
+        return [
+            *self._write(IncarnationStarted(cluster, disk_incarnation, config)),
+            *self._write(ProcessStarted(1)),
+        ]
+
+    # Confirmation of the disk.
+
+    def on_handshake(self, now_ms: float, handshake: Handshake) -> list[Action]:
+        """Compare the disk with the log record that a member has seen reported."""
+        position = handshake.log_positions.get(self.name)
+        known = self.last_record if self.is_confirmed else self.recovered_record
+        if position is not None and position[0] == self.state.disk_incarnation and position[1] > known:
+            return self.on_disk_fault(
+                f"{handshake.name} has heard of record {position[1]}, the disk ends at {known}"
+            )
+        self.confirming_peers.add(handshake.name)
+        return self.check_confirmation(now_ms)
+
+    def check_confirmation(self, now_ms: float) -> list[Action]:
+        """Trust the disk once enough others have confirmed it."""
+        config = self.state.config
+        others = config.names() - {self.name}
+        if self.is_confirmed or self.disk_fault or not config.epoch:
             return []
-        heard = len(self.heard_from & others)
-        enough = heard >= self.shelf.roll.majority - 1 and now_ms >= self.began_ms + GRACE_MS
-        if heard < len(others) and not enough:
+        confirmed = len(self.confirming_peers & others)
+        is_grace_over = now_ms >= self.started_ms + CONFIRMATION_GRACE_MS
+        is_enough = confirmed >= config.quorum_size - 1 and is_grace_over
+        if confirmed < len(others) and not is_enough:
             return []
-        self.vouched = True
-        return [Told("fleet_disk_vouched", {"by": heard, "record": self.last})]
-
-    def heard(self, peer: Peer, message: Message) -> list[Action]:
-        """A question to this member."""
-        if isinstance(message, Prepare | Accept):
-            return self._asked(peer, message)
-        if isinstance(message, Seal):
-            return self._seal(peer, message)
-        if isinstance(message, Behind):
-            return self.bring_up(peer) if message.epoch < self.shelf.roll.epoch else []
-        if isinstance(message, Enter):
-            return self._enter(message)
-        return []
+        self.is_confirmed = True
+        return [LogMessage("fleet_disk_vouched", {"by": confirmed, "record": self.last_record})]
 
-    def _asked(self, peer: Peer, message: Prepare | Accept) -> list[Action]:
-        epoch = self.shelf.roll.epoch
-        if message.epoch < epoch:
-            return self.bring_up(peer)
-        if message.epoch > epoch:
-            return [Send(peer.name, Behind(epoch))]
-        if not self.votes:
-            return []
-        register, ballot = message.register, message.ballot
-        slot = self.shelf.slots.get(register, Slot())
-        answer: Answer
-        if isinstance(message, Prepare):
-            after, answer = prepare(slot, ballot)
-        else:
-            after, answer = accept(slot, ballot, message.value)
+    # Requests of proposers and of changes of the membership.
+
+    def on_message(self, peer: Peer, message: Message) -> list[Action]:
+        """Handle a request to this acceptor; other messages are ignored."""
+        handler = self.handlers.get(type(message))
+        return handler(peer, message) if handler is not None else []
+
+    def _on_prepare(self, peer: Peer, message: Prepare) -> list[Action]:
+        if not self.may_vote or message.epoch != self.state.config.epoch:
+            return self._on_other_epoch(peer, message.epoch)
+        state = self.state.registers.get(message.register, AcceptorState())
+        after, response = prepare(state, message.ballot)
+        return self._respond(peer, message.register, message.ballot, state, after, response)
+
+    def _on_accept(self, peer: Peer, message: Accept) -> list[Action]:
+        if not self.may_vote or message.epoch != self.state.config.epoch:
+            return self._on_other_epoch(peer, message.epoch)
+        state = self.state.registers.get(message.register, AcceptorState())
+        after, response = accept(state, message.ballot, message.value)
+        return self._respond(peer, message.register, message.ballot, state, after, response)
+
+    def _on_other_epoch(self, peer: Peer, epoch: int) -> list[Action]:
+        """Bring the proposer up to this epoch, or request a later one from it."""
+        own_epoch = self.state.config.epoch
+        if epoch < own_epoch:
+            return self.send_epoch(peer)
+        return [Send(peer.name, EpochRequest(own_epoch))] if epoch > own_epoch else []
+
+    def _respond(
+        self,
+        peer: Peer,
+        register: str,
+        ballot: Ballot,
+        before: AcceptorState,
+        after: AcceptorState,
+        response: AcceptorResponse,
+    ) -> list[Action]:
+        """Write a changed state before the response: a vote that a crash undoes could be given twice."""
+        epoch = self.state.config.epoch
         actions: list[Action] = []
-        if after != slot:
-            actions = self._write(Kept((register, after.promised, after.accepted, after.value)))
-        said: Message
-        if isinstance(answer, Promised):
-            said = Promise(epoch, register, ballot, answer.accepted, answer.value)
-        elif isinstance(answer, Accepted):
-            said = Taken(epoch, register, ballot)
+        if after != before:
+            entry = register, after.promised, after.accepted, after.value
+            actions = self._write(RegisterWritten(entry))
+        message: Message
+        if isinstance(response, PromiseGranted):
+            message = Promise(epoch, register, ballot, response.accepted, response.value)
+        elif isinstance(response, AcceptGranted):
+            message = Accepted(epoch, register, ballot)
         else:
-            said = Refuse(epoch, register, ballot, answer.promised)
-        return actions + self._after(peer.name, said)
+            message = Rejected(epoch, register, ballot, response.promised)
+        return actions + self._send_when_durable(peer.name, message)
 
-    def _seal(self, peer: Peer, message: Seal) -> list[Action]:
-        if message.epoch < self.shelf.roll.epoch:
-            return self.bring_up(peer)
-        if message.epoch > self.shelf.roll.epoch or not (self.vouched and self.counted) or self.doubt:
+    def _on_stop_voting(self, peer: Peer, message: StopVoting) -> list[Action]:
+        epoch = self.state.config.epoch
+        if message.epoch < epoch:
+            return self.send_epoch(peer)
+        if message.epoch > epoch or not (self.is_confirmed and self.is_voter) or self.disk_fault:
             return []
         actions: list[Action] = []
-        if self.shelf.following is None:
-            actions = self._write(Ended(message.following))
-        return actions + self._after(peer.name, Sealed(message.epoch, self.shelf.held()))
+        if self.state.next_config is None:
+            actions = self._write(EpochEnded(message.next_config))
+        stopped = VotingStopped(message.epoch, self.state.register_entries())
+        return actions + self._send_when_durable(peer.name, stopped)
 
-    def _enter(self, message: Enter) -> list[Action]:
-        # That it counts says nothing of the disk: one that is an old copy may have voted there already.
-        if message.roll.epoch <= self.shelf.roll.epoch or self.doubt:
+    def _on_enter_epoch(self, peer: Peer, message: EnterEpoch) -> list[Action]:
+        # Being a member of the epoch does not confirm the disk: an old copy may have voted there already.
+        if message.config.epoch <= self.state.config.epoch or self.disk_fault:
             return []
-        actions = self._write(Entered(message.roll, message.slots))
-        return [*actions, Told("fleet_epoch", {"epoch": message.roll.epoch, "standing": self.standing()})]
+        actions = self._write(EpochEntered(message.config, message.registers))
+        kv = {"epoch": message.config.epoch, "standing": self.describe()}
+        return [*actions, LogMessage("fleet_epoch", kv)]
+
+    def _on_epoch_request(self, peer: Peer, message: EpochRequest) -> list[Action]:
+        return self.send_epoch(peer) if message.epoch < self.state.config.epoch else []
 
-    def bring_up(self, peer: Peer) -> list[Action]:
-        """Tell a member that is behind of this epoch, once what it rests on is on the disk.
+    def send_epoch(self, peer: Peer) -> list[Action]:
+        """Send this epoch to a member that is in an earlier one, once what it depends on is durable.
 
-        It has not voted here yet: to begin with what this member holds by now is as if it had been asked.
+        The receiver has not voted in this epoch yet. To begin with the registers that this acceptor holds now
+        is as if it had received the same requests.
         """
-        if self.doubt or self.shelf.following is not None or not (self.vouched and self.counted):
+        is_in_epoch = self.is_confirmed and self.is_voter and self.state.next_config is None
+        if self.disk_fault or not is_in_epoch:
             return []
-        return self._after(peer.name, Enter(self.shelf.roll, self.shelf.held()))
+        return self._send_when_durable(
+            peer.name, EnterEpoch(self.state.config, self.state.register_entries())
+        )
--- a/grebestack/consensus/actions.py
+++ b/grebestack/consensus/actions.py
@@ -1,24 +1,24 @@
-"""What a replica asks of whoever runs it."""
+"""Actions that a replica returns for its owner to carry out, in order."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from grebestack.consensus.messages import Message, Record
+from grebestack.consensus.messages import LogRecord, Message
 
 
 class Peer(NamedTuple):
-    """Who is at the other end of a connection, by its `Hello`."""
+    """The member at the other end of a connection, as its `Handshake` names it."""
 
     name: str
-    incarnation: str
-    life: int
+    disk_incarnation: str
+    process_incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Say something to a member, if it is connected; what can't leave is lost."""
+    """Send a message to a member. It is dropped if the member is not connected."""
 
     to: str
     message: Message
@@ -26,29 +26,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Append a record, the one after the last; `Member.synced` once it is on the disk for good."""
+    """Append a record to the log; `Replica.on_synced` must be called once it is durable."""
 
-    record: Record
+    record: LogRecord
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class Disconnect:
     """Close the connection to a member."""
 
     peer: str
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Reborn:
-    """This disk can't be vouched for: put it aside and begin a new one, then call `Member.reborn`."""
+class ReplaceDisk:
+    """Put this disk's log aside and begin an empty one, then call `Replica.on_disk_replaced`."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A line for the log; `detail` lines are for whoever looks closely."""
+class LogMessage:
+    """A line for the process's log.
+
+    Parameters
+    ----------
+    event
+        Name of the event; operators' tools read it.
+    kv
+        Values of the line by key; operators' tools read them too.
+    detail
+        Whether the line is of debug level.
+    """
 
     event: str
     kv: dict[str, Any] = field(default_factory=dict)
@@ -56,10 +66,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
-    """The lease of a task has come or gone."""
+class LeaseChanged:
+    """This member has gained or lost the lease of a task."""
 
     task: str
 
 
-Action = Send | Write | Cut | Reborn | Told | Turned
+Action = Send | Write | Disconnect | ReplaceDisk | LogMessage | LeaseChanged
--- a/grebestack/consensus/failure_detector.py
+++ b/grebestack/consensus/failure_detector.py
@@ -1,9 +1,9 @@
-"""Which members can be heard, as far as can be told. Pure.
+"""A failure detector for the other members of the cluster. Pure.
 
-Signs of life go both ways over each connection. A member that is not heard is asked after at two others (as
-SWIM does, Das et al. 2002, without its gossip: members are few and all are connected), so that a cut link is
-told from a death. A process that was itself stopped, or is late with its own ticks, accuses nobody: what it
-has not heard it could not hear.
+Each side of a connection sends heartbeats. When a member falls silent, two others are asked about it (as SWIM
+does, Das et al. 2002, without its gossip: members are few and all are connected), so that a broken link is
+distinguished from a failed member. A process that was stopped itself, or runs its own ticks late, suspects
+nobody: it could not have received what it missed.
 """
 
 from __future__ import annotations
@@ -12,126 +12,147 @@
 from enum import Enum
 from random import Random
 
-from grebestack.consensus.actions import Action, Cut, Send, Told
-from grebestack.consensus.messages import Ping, Pong
+from grebestack.consensus.actions import Action, Disconnect, LogMessage, Send
+from grebestack.consensus.messages import Heartbeat, HeartbeatResponse
 
-ASKED = 2  # others that are asked after one that is silent
-SLACK_MOST = 8.0
+INDIRECT_PROBES = 2  # members that are asked about a silent one
+MAX_TOLERANCE = 8.0  # times the timeout
+TOLERANCE_GROWTH = 2.0  # after a late tick
+TOLERANCE_DECAY = 0.9  # after each tick in time
+HEARTBEAT_JITTER = (0.8, 1.2)  # shares of the interval
 
 
-class Seen(Enum):
-    """What is known of a member."""
+class PeerState(Enum):
+    """What is known of a member. The values are texts for operators."""
 
     UP = "up"
-    CUT = "others hear it, this member does not"
+    LINK_DOWN = "others hear it, this member does not"
     STALLED = "connected and silent"
-    GONE = "not heard by any that were asked"
+    UNREACHABLE = "not heard by any that were asked"
     UNKNOWN = "not known"
 
 
 @dataclass(frozen=True, slots=True)
-class PeerTimes:
-    """How often signs of life go, and how long silence is borne; milliseconds."""
+class HeartbeatTimes:
+    """The interval of heartbeats, and the silence after which a member is suspected."""
 
-    ping_ms: float = 500.0
-    silent_ms: float = 1500.0
+    interval_ms: float = 500.0
+    timeout_ms: float = 1500.0
 
 
 @dataclass(slots=True)
-class _Other:
-    linked: bool = False
-    heard_ms: float | None = None  # here
-    elsewhere_ms: float | None = None  # when another said that it hears it
-    asked_ms: float | None = None  # since when others are asked after it
-    said: Seen = Seen.UNKNOWN
+class _PeerRecord:
+    is_connected: bool = False
+    last_heard_ms: float | None = None
+    last_heard_by_others_ms: float | None = None
+    probed_since_ms: float | None = None  # others have been asked about it since then
+    logged_state: PeerState = PeerState.UNKNOWN
+
+    def is_heard(self, now_ms: float, timeout_ms: float) -> bool:
+        """Tell whether something has come over its connection in time."""
+        return (
+            self.is_connected and self.last_heard_ms is not None and now_ms - self.last_heard_ms <= timeout_ms
+        )
 
 
-class Peers:
-    """All other members, as seen from this one."""
+class FailureDetector:
+    """The state of all other members, as this member sees them."""
 
-    def __init__(self, others: frozenset[str], times: PeerTimes, random: Random, now_ms: float) -> None:
+    def __init__(self, others: frozenset[str], times: HeartbeatTimes, random: Random, now_ms: float) -> None:
+        """Begin with all other members unknown."""
         self.times, self.random = times, random
-        self.others = {name: _Other() for name in sorted(others)}
-        self.next_ms = now_ms
-        self.slack = 1.0
-
-    def linked(self, name: str, now_ms: float) -> None:
-        """A connection is up: its `Hello` has come."""
-        other = self.others.setdefault(name, _Other())
-        other.linked, other.heard_ms, other.asked_ms = True, now_ms, None
-
-    def lost(self, name: str) -> None:
-        """The connection has ended."""
-        if name in self.others:
-            self.others[name].linked = False
-
-    def heard(self, name: str, now_ms: float) -> None:
-        """Something came from a member."""
-        other = self.others[name]
-        other.heard_ms, other.asked_ms = now_ms, None
-
-    def message(self, name: str, message: Ping | Pong, now_ms: float) -> list[Action]:
-        """A sign of life, perhaps with a question or an answer about a third member."""
-        if isinstance(message, Ping):
-            about = message.about if self.seen(message.about, now_ms) is Seen.UP else ""
-            return [Send(name, Pong(about))]
-        if message.about in self.others:
-            self.others[message.about].elsewhere_ms = now_ms
-        return []
-
-    def seen(self, name: str, now_ms: float) -> Seen:
-        """What is known of a member at this moment."""
-        other = self.others.get(name)
-        if other is None:
-            return Seen.UNKNOWN
-        silent_ms = self.times.silent_ms * self.slack
-        if other.linked and other.heard_ms is not None and now_ms - other.heard_ms <= silent_ms:
-            return Seen.UP
-        if other.elsewhere_ms is not None and now_ms - other.elsewhere_ms <= silent_ms:
-            return Seen.CUT
-        # Where nobody is heard it may be this member that is cut off: nothing is said of the others.
-        up = any(
-            o.linked and o.heard_ms is not None and now_ms - o.heard_ms <= silent_ms
-            for o in self.others.values()
-        )
-        if len(self.others) > 1 and not up:
-            return Seen.UNKNOWN
-        if other.asked_ms is None or now_ms - other.asked_ms < silent_ms:
-            return Seen.UNKNOWN
-        return Seen.STALLED if other.linked else Seen.GONE
+        self.peers = {name: _PeerRecord() for name in sorted(others)}
+        self.next_tick_ms = now_ms
+        self.tolerance = 1.0  # multiplies the timeout
+
+    def on_connected(self, name: str, now_ms: float) -> None:
+        """Handle a connection that has completed its handshake."""
+        peer = self.peers.setdefault(name, _PeerRecord())
+        peer.is_connected, peer.last_heard_ms, peer.probed_since_ms = True, now_ms, None
+
+    def on_disconnected(self, name: str) -> None:
+        """Handle the end of a connection."""
+        if name in self.peers:
+            self.peers[name].is_connected = False
+
+    def on_message(self, name: str, now_ms: float) -> None:
+        """Note that any message has come from a member."""
+        peer = self.peers[name]
+        peer.last_heard_ms, peer.probed_since_ms = now_ms, None
+
+    def on_heartbeat(self, name: str, message: Heartbeat, now_ms: float) -> list[Action]:
+        """Respond to a heartbeat, and to its question about a third member."""
+        about = message.about if self.state_of(message.about, now_ms) is PeerState.UP else ""
+        return [Send(name, HeartbeatResponse(about))]
+
+    def on_heartbeat_response(self, message: HeartbeatResponse, now_ms: float) -> None:
+        """Note that another member hears from the third member that the response names, if any."""
+        if message.about in self.peers:
+            self.peers[message.about].last_heard_by_others_ms = now_ms
+
+    def state_of(self, name: str, now_ms: float) -> PeerState:
+        """Return what is known of a member now."""
+        peer = self.peers.get(name)
+        if peer is None:
+            return PeerState.UNKNOWN
+        timeout_ms = self._timeout_ms
+        if peer.is_heard(now_ms, timeout_ms):
+            return PeerState.UP
+        by_others_ms = peer.last_heard_by_others_ms
+        if by_others_ms is not None and now_ms - by_others_ms <= timeout_ms:
+            return PeerState.LINK_DOWN
+        # While nobody is heard it may be this member that is cut off, so no other is suspected.
+        if len(self.peers) > 1 and not any(p.is_heard(now_ms, timeout_ms) for p in self.peers.values()):
+            return PeerState.UNKNOWN
+        if peer.probed_since_ms is None or now_ms - peer.probed_since_ms < timeout_ms:
+            return PeerState.UNKNOWN
+        return PeerState.STALLED if peer.is_connected else PeerState.UNREACHABLE
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Signs of life that are due, questions after silent members, and links that have stalled."""
-        if now_ms < self.next_ms:
+        """Send the heartbeats and probes that are due, and end connections that have stalled."""
+        if now_ms < self.next_tick_ms:
             return []
-        late_ms = now_ms - self.next_ms
-        if late_ms > self.times.ping_ms:
-            # This process stood still: the others' silence meanwhile is its own deafness.
-            self.slack = min(SLACK_MOST, self.slack * 2.0)
-            for other in self.others.values():
-                if other.heard_ms is not None:
-                    other.heard_ms += late_ms
-                other.asked_ms = None
-        else:
-            self.slack = max(1.0, self.slack * 0.9)
-        self.next_ms = now_ms + self.times.ping_ms * self.random.uniform(0.8, 1.2)
+        self._adapt_tolerance(now_ms)
+        self.next_tick_ms = now_ms + self.times.interval_ms * self.random.uniform(*HEARTBEAT_JITTER)
+        actions: list[Action] = []
+        for name, peer in self.peers.items():
+            actions += self._check(name, peer, now_ms)
+        return actions
+
+    @property
+    def _timeout_ms(self) -> float:
+        return self.times.timeout_ms * self.tolerance
+
+    def _adapt_tolerance(self, now_ms: float) -> None:
+        late_ms = now_ms - self.next_tick_ms
+        if late_ms <= self.times.interval_ms:
+            self.tolerance = max(1.0, self.tolerance * TOLERANCE_DECAY)
+            return
+        # This process was stopped: the time does not count as the others' silence.
+        self.tolerance = min(MAX_TOLERANCE, self.tolerance * TOLERANCE_GROWTH)
+        for peer in self.peers.values():
+            if peer.last_heard_ms is not None:
+                peer.last_heard_ms += late_ms
+            peer.probed_since_ms = None
+
+    def _check(self, name: str, peer: _PeerRecord, now_ms: float) -> list[Action]:
         actions: list[Action] = []
-        for name, other in self.others.items():
-            if other.linked and other.heard_ms is not None:
-                if now_ms - other.heard_ms > self.times.silent_ms * self.slack:
-                    actions.append(Cut(name, "silent"))
-                else:
-                    actions.append(Send(name, Ping()))
-            if self.seen(name, now_ms) is not Seen.UP:
-                actions += self._ask_others(name, other, now_ms)
-            if (seen := self.seen(name, now_ms)) is not other.said:
-                other.said = seen
-                actions.append(Told("fleet_peer", {"peer": name, "seen": seen.value}))
+        if peer.is_connected and peer.last_heard_ms is not None:
+            if now_ms - peer.last_heard_ms > self._timeout_ms:
+                actions.append(Disconnect(name, "silent"))
+            else:
+                actions.append(Send(name, Heartbeat()))
+        if self.state_of(name, now_ms) is not PeerState.UP:
+            actions += self._probe(name, peer, now_ms)
+        if (state := self.state_of(name, now_ms)) is not peer.logged_state:
+            peer.logged_state = state
+            actions.append(LogMessage("fleet_peer", {"peer": name, "seen": state.value}))
         return actions
 
-    def _ask_others(self, name: str, other: _Other, now_ms: float) -> list[Action]:
-        able = [n for n in self.others if n != name and self.seen(n, now_ms) is Seen.UP]
-        chosen = self.random.sample(able, min(ASKED, len(able)))
-        if other.asked_ms is None and chosen:
-            other.asked_ms = now_ms
-        return [Send(asked, Ping(name)) for asked in chosen]
+    def _probe(self, name: str, peer: _PeerRecord, now_ms: float) -> list[Action]:
+        """Ask some members that are up about a silent one."""
+        able = [n for n in self.peers if n != name and self.state_of(n, now_ms) is PeerState.UP]
+        chosen = self.random.sample(able, min(INDIRECT_PROBES, len(able)))
+        if peer.probed_since_ms is None and chosen:
+            peer.probed_since_ms = now_ms
+        return [Send(asked, Heartbeat(name)) for asked in chosen]
--- a/grebestack/consensus/lease.py
+++ b/grebestack/consensus/lease.py
@@ -1,15 +1,16 @@
-"""Leases on registers: for each task at most one member acts, by the holder's own clock; tokens only grow.
+"""Leases on registers: at most one member acts for a task, by its own clock, under a growing fencing token.
 
-The register holds who has the task, under which token, and of which asking. Nobody compares clocks:
+The register of a task holds the lease: the holder, its fencing token, and the proposal that it came of. No
+two members compare clocks:
 
-- a holder may act until its term has passed, counted from *before* it asked for what is now in force;
-- a rival may take the task once it has seen the very same value for a whole term and more, counted from
+- a holder may act until its term has passed, counted from *before* it proposed the lease that was chosen;
+- a rival may acquire the lease once it has seen the very same value for a whole term and more, counted from
   *after* it first saw it, and only where the register still holds that value.
 
-What was seen had been asked for earlier, so that the holder's term ends before the rival's wait, as long as
-two clocks don't run apart by more than `Terms.drift` and no act begins more than `Terms.guard_ms` after
-`Tenure.token` allowed it. Where that bound is broken, the token is the fence: what is acted upon refuses an
-older one (`Fence`).
+The value that a rival sees was proposed earlier. The holder's term therefore ends before the rival's wait, as
+long as two clocks don't run apart by more than `LeaseTerms.max_clock_drift` and no act begins more than
+`LeaseTerms.guard_ms` after `LeaseHolder.valid_token` allowed it. Where that bound is broken the token still
+protects: the resource rejects an older one (`Fence`).
 
 Times are milliseconds of this member's monotonic clock. Pure; states are not changed in place.
 """
@@ -23,196 +24,227 @@
 
 from grebestack.consensus.register import Change, Value
 
-NEVER = float("-inf")
+NEVER_MS = float("-inf")  # the expiry of a lease that is not held
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
-    """What the register of a task holds.
+    """The value of a task's register.
 
-    No two askings make the same value (`mark`): an asking that was thought lost may come into force later,
-    and a rival that saw it must not take it for the next one.
+    No two proposals make the same value (`proposal_number`): a proposal that was given up may still be chosen
+    later, and a rival that saw its value must not take the next one for it.
     """
 
-    holder: str = ""  # empty: nobody
-    life: int = 0  # which start of the holder: what ran before a restart has lost it
-    token: int = 0  # grows with every change of the holder, never falls
-    mark: int = 0  # which asking of the holder's life this came of
+    holder: str = ""  # empty: not held
+    process_incarnation: int = 0  # the holder's; a restarted process does not hold its former lease
+    token: int = 0  # the fencing token: grows with every change of the holder, never falls
+    proposal_number: int = 0  # counted in each process incarnation
 
 
 FREE = Lease()
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """How a task is leased. `drift` bounds how much faster one clock runs than another, as a share."""
+class LeaseTerms:
+    """The times of a lease.
+
+    Parameters
+    ----------
+    term_ms
+        For how long a lease is granted.
+    max_clock_drift
+        By how much one clock may run faster than another, as a share.
+    guard_ms
+        Time between the check of the token and the act that it allows, at most.
+    renew_at
+        The share of the term after which the holder renews the lease.
+    stagger_ms
+        How much longer a rival waits for each rank.
+
+    Raises
+    ------
+    ValueError
+        A value is out of range.
+    """
 
     term_ms: float = 4000.0
-    drift: float = 0.01
+    max_clock_drift: float = 0.01
     guard_ms: float = 50.0
-    renew_at: float = 0.45  # of the term: the next renewal is asked for
-    stagger_ms: float = 100.0  # a rival further back in the line waits so much longer for each place
+    renew_at: float = 0.45
+    stagger_ms: float = 100.0
 
     def __post_init__(self) -> None:
-        fits = self.term_ms > 0 and 0 <= self.drift < 0.5 and 0 < self.renew_at < 1
+        """Check the ranges."""
+        fits = self.term_ms > 0 and 0 <= self.max_clock_drift < 0.5 and 0 < self.renew_at < 1
         if not fits or self.stagger_ms < 0:
             raise ValueError(f"{self} is out of range")
-        if not 0 <= self.guard_ms < self.term_ms * (1 - self.drift) / 2:
+        if not 0 <= self.guard_ms < self.term_ms * (1 - self.max_clock_drift) / 2:
             raise ValueError(f"guard_ms must be under half a term, not {self.guard_ms!r}")
 
     @property
     def usable_ms(self) -> float:
-        """For so long after it asked a holder may act."""
-        return self.term_ms * (1.0 - self.drift) - self.guard_ms
+        """For how long after its proposal a holder may act."""
+        return self.term_ms * (1.0 - self.max_clock_drift) - self.guard_ms
 
     @property
-    def wait_ms(self) -> float:
-        """For so long a rival sees the same value before it takes the task."""
-        return self.term_ms * (1.0 + self.drift)
+    def takeover_ms(self) -> float:
+        """For how long a rival sees the same value before it may acquire the lease."""
+        return self.term_ms * (1.0 + self.max_clock_drift)
 
 
 def lease_of(value: Value) -> Lease:
-    """What a register says; one that was never changed says that nobody holds the task."""
+    """Return the lease in a register; one that was never changed holds a free lease."""
     return value if isinstance(value, Lease) else FREE
 
 
-def unchanged(value: Value) -> Value:
-    """A read."""
+def read_only(value: Value) -> Value:
+    """Change nothing: a read of the register."""
     return value
 
 
-def taking(mine: Lease, seen: Lease) -> Callable[[Value], Value]:
-    """Take a task that nobody has, or whose holder's term is over: only from the very value that was seen."""
+def acquire(mine: Lease, observed: Lease) -> Callable[[Value], Value]:
+    """Acquire a lease that is free, or whose register still holds the very value that was observed."""
 
     def change(value: Value) -> Value:
-        now = lease_of(value)
-        return value if now.holder and now != seen else msgspec.structs.replace(mine, token=now.token + 1)
+        current = lease_of(value)
+        if current.holder and current != observed:
+            return value
+        return msgspec.structs.replace(mine, token=current.token + 1)
 
     return change
 
 
-def renewing(mine: Lease) -> Callable[[Value], Value]:
-    """Go on holding; nothing changes where another has taken it."""
+def renew(mine: Lease) -> Callable[[Value], Value]:
+    """Renew a lease; nothing changes where another member has acquired it."""
 
     def change(value: Value) -> Value:
-        return mine if same_tenure(lease_of(value), mine) else value
+        return mine if is_same_grant(lease_of(value), mine) else value
 
     return change
 
 
-def releasing(mine: Lease, to: str = "") -> Callable[[Value], Value]:
-    """Give a task back, or hand it over to a member by name. The holder has stopped acting before it asks.
+def release(mine: Lease, to: str = "") -> Callable[[Value], Value]:
+    """Free a lease, or hand it over to a member by name. The holder must have stopped acting before.
 
-    Who it is handed to holds nothing until it has taken it: its term is counted from before its own asking.
+    The member named holds nothing until it has acquired the lease: its term counts from its own proposal.
     """
 
     def change(value: Value) -> Value:
-        return Lease(to, 0, mine.token, mine.mark) if same_tenure(lease_of(value), mine) else value
+        if not is_same_grant(lease_of(value), mine):
+            return value
+        return Lease(to, 0, mine.token, mine.proposal_number)
 
     return change
 
 
-def same_tenure(one: Lease, other: Lease) -> bool:
-    """Whether two values are of one holder under one token."""
-    return (one.holder, one.life, one.token) == (other.holder, other.life, other.token)
+def is_same_grant(one: Lease, other: Lease) -> bool:
+    """Tell whether two values are of one holder under one token."""
+    return (one.holder, one.process_incarnation, one.token) == (
+        other.holder,
+        other.process_incarnation,
+        other.token,
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Tenure:
-    """One member's side of one task's lease."""
-
-    me: str
-    life: int
-    terms: Terms
-    place: int = 0  # in the line of rivals
-    seen: Lease = FREE  # the value of the register that was seen last
-    seen_ms: float = 0.0  # since when
-    known: bool = False  # whether it was ever seen
-    until_ms: float = NEVER  # this member may act until then
-    asked_ms: float | None = None  # an asking is under way since then
-    asked: int = 0  # askings in this life
-    again_ms: float = 0.0  # no asking before this
-    wanted: bool = True  # whether this member stands in line
-
-    def token(self, now_ms: float) -> int | None:
-        """The token to act with at this moment, or None: checked at each act, never remembered."""
-        return self.seen.token if self.held and now_ms < self.until_ms else None
+class LeaseHolder:
+    """One member's view of one task's lease, as its holder or a rival."""
+
+    name: str
+    process_incarnation: int
+    terms: LeaseTerms
+    rank: int = 0  # among the rivals: the lowest proposes first
+    observed: Lease = FREE  # the last value seen
+    observed_ms: float = 0.0  # when it was first seen
+    has_observed: bool = False  # whether any value was ever seen
+    valid_until_ms: float = NEVER_MS  # this member may act until then
+    proposed_ms: float | None = None  # when the open proposal began
+    proposal_count: int = 0  # in this process incarnation
+    next_proposal_ms: float = 0.0  # no proposal before this
+    is_candidate: bool = True  # whether this member wants the lease
+
+    def valid_token(self, now_ms: float) -> int | None:
+        """Return the fencing token to act with now, or None. Check it at each act, never keep it."""
+        return self.observed.token if self.is_held and now_ms < self.valid_until_ms else None
 
     @property
-    def held(self) -> bool:
-        """Whether the task is this member's as far as it knows; its term may have passed."""
-        return self._mine(self.seen) and self.until_ms > NEVER
-
-    def _mine(self, lease: Lease) -> bool:
-        return lease.holder == self.me and lease.life == self.life
-
-    def saw(self, now_ms: float, value: Value) -> Tenure:
-        """A value was met on a disk of this or another member: it may be in force, may come, or may never."""
-        lease = lease_of(value)
-        older = (lease.token, lease.mark) <= (self.seen.token, self.seen.mark)
-        known = lease.token < self.seen.token or (older and lease.holder == self.seen.holder)
-        if self.held or (self.known and known):
+    def is_held(self) -> bool:
+        """Whether the lease is this member's as far as it knows; its term may have passed."""
+        return self._is_own(self.observed) and self.valid_until_ms > NEVER_MS
+
+    def _is_own(self, lease: Lease) -> bool:
+        return lease.holder == self.name and lease.process_incarnation == self.process_incarnation
+
+    def observe(self, now_ms: float, value: Value) -> LeaseHolder:
+        """Note a value that an acceptor has accepted, here or elsewhere; it need never be chosen."""
+        lease, observed = lease_of(value), self.observed
+        is_not_newer = (lease.token, lease.proposal_number) <= (observed.token, observed.proposal_number)
+        is_old = lease.token < observed.token or (is_not_newer and lease.holder == observed.holder)
+        if self.is_held or (self.has_observed and is_old):
             return self
-        return replace(self, seen=lease, seen_ms=now_ms, known=True)
+        return replace(self, observed=lease, observed_ms=now_ms, has_observed=True)
 
     def due_ms(self) -> float:
-        """When there is something to ask for; infinity: not before something else happens."""
-        if self.asked_ms is not None or not self.wanted:
+        """Return when the next proposal is due; infinity: not before another event."""
+        if self.proposed_ms is not None or not self.is_candidate:
             return float("inf")
-        if self.held:
-            asked_ms = self.until_ms - self.terms.usable_ms
-            return max(self.again_ms, asked_ms + self.terms.term_ms * self.terms.renew_at)
-        handed = self.seen.holder == self.me and self.seen.life in (0, self.life)
-        if not self.known or handed:
-            return self.again_ms
-        if not self.seen.holder:  # the first in the line takes it, rather than all at once
-            return max(self.again_ms, self.seen_ms + self.place * self.terms.stagger_ms)
-        wait = self.terms.wait_ms + self.place * self.terms.stagger_ms
-        return max(self.again_ms, self.seen_ms + wait)
-
-    def ask(self, now_ms: float) -> tuple[Tenure, Change | None]:
-        """What is to be asked for now, if anything is due; None also where it is not."""
+        if self.is_held:
+            proposed_ms = self.valid_until_ms - self.terms.usable_ms
+            return max(self.next_proposal_ms, proposed_ms + self.terms.term_ms * self.terms.renew_at)
+        is_handed_over = self.observed.holder == self.name and self.observed.process_incarnation in (
+            0,
+            self.process_incarnation,
+        )
+        if not self.has_observed or is_handed_over:
+            return self.next_proposal_ms
+        if not self.observed.holder:  # staggered, so that the rivals don't propose all at once
+            return max(self.next_proposal_ms, self.observed_ms + self.rank * self.terms.stagger_ms)
+        wait_ms = self.terms.takeover_ms + self.rank * self.terms.stagger_ms
+        return max(self.next_proposal_ms, self.observed_ms + wait_ms)
+
+    def propose(self, now_ms: float) -> tuple[LeaseHolder, Change | None]:
+        """Return the change to propose now, or None if no proposal is due."""
         if now_ms < self.due_ms():
             return self, None
-        mine = Lease(self.me, self.life, self.seen.token, self.asked + 1)
-        change: Change = renewing(mine) if self.held else taking(mine, self.seen)
-        if not self.known:
-            change = unchanged
-        return replace(self, asked_ms=now_ms, asked=self.asked + 1), change
+        mine = Lease(self.name, self.process_incarnation, self.observed.token, self.proposal_count + 1)
+        change: Change = renew(mine) if self.is_held else acquire(mine, self.observed)
+        if not self.has_observed:
+            change = read_only
+        return replace(self, proposed_ms=now_ms, proposal_count=self.proposal_count + 1), change
 
-    def chosen(self, now_ms: float, before: Value, value: Value) -> Tenure:
-        """What was asked for has ended: this was in force before, and this is now.
+    def on_chosen(self, now_ms: float, previous: Value, value: Value) -> LeaseHolder:
+        """Handle the end of a proposal: the register held `previous`, and holds `value` now.
 
-        The term is counted from the asking only where it made the value: one that was in force already had
-        been asked for before, and a rival may have seen it for as long.
+        The term counts from the proposal only if this proposal made the value: a value that was there already
+        had been proposed before, and a rival may have seen it since then.
         """
-        asked_ms, lease = self.asked_ms, lease_of(value)
-        if asked_ms is None:
+        proposed_ms, lease = self.proposed_ms, lease_of(value)
+        if proposed_ms is None:
             return self
-        after = replace(self, asked_ms=None, known=True)
-        if lease != self.seen or not self.known:
-            after = replace(after, seen=lease, seen_ms=now_ms)
-        if self._mine(lease) and lease != lease_of(before):
-            return replace(after, until_ms=asked_ms + self.terms.usable_ms)
-        kept = self.held and same_tenure(lease, self.seen)
-        return after if kept else replace(after, until_ms=NEVER)
+        after = replace(self, proposed_ms=None, has_observed=True)
+        if lease != self.observed or not self.has_observed:
+            after = replace(after, observed=lease, observed_ms=now_ms)
+        if self._is_own(lease) and lease != lease_of(previous):
+            return replace(after, valid_until_ms=proposed_ms + self.terms.usable_ms)
+        is_still_held = self.is_held and is_same_grant(lease, self.observed)
+        return after if is_still_held else replace(after, valid_until_ms=NEVER_MS)
 
-    def failed(self, again_ms: float) -> Tenure:
-        """What was asked for has come to nothing that is known: a higher ballot, or no majority in time."""
-        return replace(self, asked_ms=None, again_ms=again_ms)
+    def on_failed(self, next_proposal_ms: float) -> LeaseHolder:
+        """Handle a proposal whose outcome is not known: a higher ballot came, or no quorum in time."""
+        return replace(self, proposed_ms=None, next_proposal_ms=next_proposal_ms)
 
-    def gave_up(self) -> Tenure:
-        """The task is given back or handed over: no act from here on, whatever becomes of the asking."""
-        return replace(self, until_ms=NEVER, wanted=False, asked_ms=None)
+    def resign(self) -> LeaseHolder:
+        """Stop acting and proposing, whatever becomes of the open proposal."""
+        return replace(self, valid_until_ms=NEVER_MS, is_candidate=False, proposed_ms=None)
 
 
 @dataclass(slots=True)
 class Fence:
-    """Kept by whatever is acted upon: an act under an older token than was seen is refused."""
+    """The check of fencing tokens at the resource that a task acts upon."""
 
-    highest: int = 0
+    highest: int = 0  # the highest token seen
 
     def admits(self, token: int) -> bool:
-        """Whether an act may be carried out."""
+        """Tell whether an act under this token is allowed: no later token has been seen."""
         if token < self.highest:
             return False
         self.highest = token
--- a/grebestack/consensus/messages.py
+++ b/grebestack/consensus/messages.py
@@ -1,7 +1,10 @@
-"""What members say to each other, and what they write down: one internal form, versioned, by msgspec.
+"""Messages between members, and the records of a member's log, in msgspec's MessagePack form.
 
-Every message between members but the first names no sender: the connection that it comes on is known to be
-the one of a member, an incarnation and a life (`Hello`).
+Both are arrays that begin with the tag of their type. Tags and the order of fields are the wire and disk
+format of `PROTOCOL_VERSION`.
+
+Only `Handshake` names its sender: a connection belongs to one member, disk incarnation and process
+incarnation from then on.
 """
 
 from __future__ import annotations
@@ -12,73 +15,74 @@
 from grebestack.consensus.lease import Lease
 from grebestack.consensus.register import Ballot
 
-VERSION = 2
-MOST = 1 << 20  # bytes of a message, its length not counted
+PROTOCOL_VERSION = 2
+MAX_MESSAGE_BYTES = 1 << 20  # without the frame's header
 
 
-class Roll(Struct, frozen=True, array_like=True, tag="roll"):
-    """The set of members of one epoch: names, each with the incarnation whose votes count."""
+class MembershipConfig(Struct, frozen=True, array_like=True, tag="roll"):
+    """The members of one membership epoch, each with the disk incarnation whose votes count."""
 
-    epoch: int = 0  # 0: no set is known
+    epoch: int = 0  # 0: the membership is not known
     members: tuple[tuple[str, str], ...] = ()
 
     @property
-    def majority(self) -> int:
-        """So many of them decide."""
+    def quorum_size(self) -> int:
+        """How many members make a majority."""
         return len(self.members) // 2 + 1
 
     def names(self) -> frozenset[str]:
-        """Who belongs to it."""
+        """Return the names of the members."""
         return frozenset(name for name, _ in self.members)
 
-    def counts(self, name: str, incarnation: str) -> bool:
-        """Whether a member's vote counts under this incarnation."""
-        return (name, incarnation) in self.members
+    def is_voter(self, name: str, disk_incarnation: str) -> bool:
+        """Tell whether a member's vote counts under this disk incarnation."""
+        return (name, disk_incarnation) in self.members
 
 
 class Plan(Struct, frozen=True, array_like=True, tag="plan"):
-    """A restart of the fleet, one member after the other; see `pacing`."""
+    """A rolling restart of the cluster; see `cluster_tasks.rolling_restart`."""
 
     number: int
-    by: str  # on whose door it was asked for
+    by: str  # the member whose operator requested it
     members: tuple[str, ...]
-    done: tuple[str, ...] = ()  # they are back
-    step: str = ""  # whose turn it is
-    life: int = 0  # in which life that one was told
+    done: tuple[str, ...] = ()  # members that have restarted
+    step: str = ""  # the member that restarts now
+    life: int = 0  # the process incarnation that it is to end
     state: str = ""
     why: str = ""
 
 
-Held = Lease | Roll | Plan | Version | None  # what a register may hold
-SlotOf = tuple[str, Ballot, Ballot, Held]  # register, promised, accepted, value
+RegisterValue = Lease | MembershipConfig | Plan | Version | None
+RegisterEntry = tuple[str, Ballot, Ballot, RegisterValue]  # register, promised, accepted, value
 
 
-class Hello(Struct, array_like=True, tag="hello"):
-    """The first message each way on a connection."""
+class Handshake(Struct, array_like=True, tag="hello"):
+    """The first message in each direction of a connection."""
 
     version: int
-    fleet: str
+    cluster: str
     name: str
-    incarnation: str
-    life: int
+    disk_incarnation: str
+    process_incarnation: int
     epoch: int
-    marks: dict[str, tuple[str, int]]  # of each member: its incarnation and the last record that it told of
+    # By member: its disk incarnation and the last log record that it has reported to the sender.
+    log_positions: dict[str, tuple[str, int]]
 
 
-class Ping(Struct, array_like=True, tag="ping"):
-    """A sign of life that asks for one; `about` names a third member: is it heard there?"""
+class Heartbeat(Struct, array_like=True, tag="ping"):
+    """A heartbeat that requests a response; `about` names a third member to report on, if any."""
 
     about: str = ""
 
 
-class Pong(Struct, array_like=True, tag="pong"):
-    """The answer to a ping; `about` names a third member that is heard here."""
+class HeartbeatResponse(Struct, array_like=True, tag="pong"):
+    """The response to a heartbeat; `about` names a third member if the sender hears from it."""
 
     about: str = ""
 
 
 class Prepare(Struct, array_like=True, tag="prepare"):
-    """Asked to promise."""
+    """Requests a promise: the first phase of a proposal."""
 
     epoch: int
     register: str
@@ -86,34 +90,34 @@
 
 
 class Accept(Struct, array_like=True, tag="accept"):
-    """Asked to accept."""
+    """Requests that a value be accepted: the second phase of a proposal."""
 
     epoch: int
     register: str
     ballot: Ballot
-    value: Held
+    value: RegisterValue
 
 
 class Promise(Struct, array_like=True, tag="promise"):
-    """A promise is on the disk."""
+    """The response to `Prepare`: the promise is durable."""
 
     epoch: int
     register: str
     ballot: Ballot
     accepted: Ballot
-    value: Held
+    value: RegisterValue
 
 
-class Taken(Struct, array_like=True, tag="taken"):
-    """A value is on the disk."""
+class Accepted(Struct, array_like=True, tag="taken"):
+    """The response to `Accept`: the value is durable."""
 
     epoch: int
     register: str
     ballot: Ballot
 
 
-class Refuse(Struct, array_like=True, tag="refuse"):
-    """A higher ballot has been promised."""
+class Rejected(Struct, array_like=True, tag="refuse"):
+    """The response to either phase where a higher ballot has been promised."""
 
     epoch: int
     register: str
@@ -121,115 +125,127 @@
     promised: Ballot
 
 
-class Admit(Struct, array_like=True, tag="admit"):
-    """Asked to be a member under a new incarnation; repeated until the set says so."""
+class JoinRequest(Struct, array_like=True, tag="admit"):
+    """The sender requests membership under a new disk incarnation; sent again until it is a member."""
 
     name: str
-    incarnation: str
+    disk_incarnation: str
 
 
-class Seal(Struct, array_like=True, tag="seal"):
-    """This set follows: vote in the present one no more, and tell what you hold."""
+class StopVoting(Struct, array_like=True, tag="seal"):
+    """Requests that an epoch's acceptor stop voting, since the next membership has been chosen."""
 
     epoch: int  # the one that ends
-    following: Roll
+    next_config: MembershipConfig
 
 
-class Sealed(Struct, array_like=True, tag="sealed"):
-    """A member votes in this epoch no more, which is on its disk; what it holds."""
+class VotingStopped(Struct, array_like=True, tag="sealed"):
+    """The response to `StopVoting`, which is durable, with the acceptor's registers."""
 
     epoch: int
-    slots: tuple[SlotOf, ...]
+    registers: tuple[RegisterEntry, ...]
 
 
-class Enter(Struct, array_like=True, tag="enter"):
-    """Be in this epoch, with what it began with or holds by now."""
+class EnterEpoch(Struct, array_like=True, tag="enter"):
+    """A membership epoch begins, or has begun, with these registers."""
 
-    roll: Roll
-    slots: tuple[SlotOf, ...]
+    config: MembershipConfig
+    registers: tuple[RegisterEntry, ...]
 
 
-class Behind(Struct, array_like=True, tag="behind"):
-    """Asked for `Enter` by a member that has heard of a later epoch than its own."""
+class EpochRequest(Struct, array_like=True, tag="behind"):
+    """Requests `EnterEpoch` where the receiver is in a later epoch than this one, the sender's."""
 
     epoch: int
 
 
-class Word(Struct, array_like=True, tag="word"):
-    """What a task of one member says to that task of another."""
+class TaskMessage(Struct, array_like=True, tag="word"):
+    """A message from a cluster task of one member to the same task of another."""
 
     task: str
     body: bytes
 
 
 Message = (
-    Hello
-    | Ping
-    | Pong
+    Handshake
+    | Heartbeat
+    | HeartbeatResponse
     | Prepare
     | Accept
     | Promise
-    | Taken
-    | Refuse
-    | Admit
-    | Seal
-    | Sealed
-    | Enter
-    | Behind
-    | Word
+    | Accepted
+    | Rejected
+    | JoinRequest
+    | StopVoting
+    | VotingStopped
+    | EnterEpoch
+    | EpochRequest
+    | TaskMessage
 )
 
 
-class Born(Struct, array_like=True, tag="born"):
-    """The first record of a disk: of which fleet and incarnation it is, and the set, if it founds one."""
+class IncarnationStarted(Struct, array_like=True, tag="born"):
+    """The first record of a disk. `config` is the known membership; a founding member knows the first."""
 
-    fleet: str
-    incarnation: str
-    roll: Roll
+    cluster: str
+    disk_incarnation: str
+    config: MembershipConfig
 
 
-class Began(Struct, array_like=True, tag="began"):
-    """A start."""
+class ProcessStarted(Struct, array_like=True, tag="began"):
+    """A process has started on this disk."""
 
-    life: int
+    start_count: int
 
 
-class Kept(Struct, array_like=True, tag="kept"):
-    """What must not be forgotten of one register."""
+class RegisterWritten(Struct, array_like=True, tag="kept"):
+    """The acceptor's new state of one register."""
 
-    slot: SlotOf
+    entry: RegisterEntry
 
 
-class Ended(Struct, array_like=True, tag="ended"):
-    """No more votes in the present epoch; which set follows."""
+class EpochEnded(Struct, array_like=True, tag="ended"):
+    """The acceptor votes no more in the present epoch; the next membership follows."""
 
-    following: Roll
+    next_config: MembershipConfig
 
 
-class Entered(Struct, array_like=True, tag="entered"):
-    """In an epoch, with what it holds."""
+class EpochEntered(Struct, array_like=True, tag="entered"):
+    """The acceptor has entered an epoch, with these registers."""
 
-    roll: Roll
-    slots: tuple[SlotOf, ...]
+    config: MembershipConfig
+    registers: tuple[RegisterEntry, ...]
 
 
-Record = Born | Began | Kept | Ended | Entered
+LogRecord = IncarnationStarted | ProcessStarted | RegisterWritten | EpochEnded | EpochEntered
 
 _encoder = msgpack.Encoder()
-_messages = msgpack.Decoder(Message)
-_records = msgpack.Decoder(Record)
+_message_decoder = msgpack.Decoder(Message)
+_record_decoder = msgpack.Decoder(LogRecord)
 
 
-def encode(item: Message | Record) -> bytes:
-    """A message or a record as bytes."""
+def encode(item: Message | LogRecord) -> bytes:
+    """Encode a message or a log record."""
     return _encoder.encode(item)
 
 
-def message(data: bytes) -> Message:
-    """Read a message; msgspec.DecodeError or ValidationError where it is none."""
-    return _messages.decode(data)
+def decode_message(data: bytes) -> Message:
+    """Decode a message.
+
+    Raises
+    ------
+    msgspec.DecodeError
+        The data is no message of this version.
+    """
+    return _message_decoder.decode(data)
+
 
+def decode_record(data: bytes) -> LogRecord:
+    """Decode a log record.
 
-def record(data: bytes) -> Record:
-    """Read a record; msgspec.DecodeError or ValidationError where it is none."""
-    return _records.decode(data)
+    Raises
+    ------
+    msgspec.DecodeError
+        The data is no log record of this version.
+    """
+    return _record_decoder.decode(data)
--- a/grebestack/consensus/recovery.py
+++ b/grebestack/consensus/recovery.py
@@ -1,65 +1,92 @@
-"""What a member's disk says: its records, one after the other. Pure."""
+"""The state that a member recovers from the records of its log, and its merge over a quorum. Pure."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import Any
 
-from grebestack.consensus.messages import Began, Born, Ended, Entered, Kept, Record, Roll, SlotOf
-from grebestack.consensus.register import Slot
+from grebestack.consensus.messages import (
+    EpochEnded,
+    EpochEntered,
+    IncarnationStarted,
+    LogRecord,
+    MembershipConfig,
+    ProcessStarted,
+    RegisterEntry,
+    RegisterWritten,
+)
+from grebestack.consensus.register import AcceptorState
 
 
 @dataclass(slots=True)
-class Shelf:
-    """What follows from the records of one disk."""
-
-    fleet: str = ""
-    incarnation: str = ""  # empty: not born
-    roll: Roll = field(default_factory=Roll)
-    following: Roll | None = None  # the set that ends this epoch: no more votes in it
-    starts: int = 0
-    slots: dict[str, Slot] = field(default_factory=dict)
-
-    def take(self, record: Record) -> None:
-        """One more record."""
-        if isinstance(record, Kept):
-            register, promised, accepted, value = record.slot
-            self.slots[register] = Slot(promised, accepted, value)
-        elif isinstance(record, Entered):
-            self.roll, self.following = record.roll, None
-            self.slots = {register: Slot(p, a, value) for register, p, a, value in record.slots}
-        elif isinstance(record, Ended):
-            self.following = record.following
-        elif isinstance(record, Began):
-            self.starts += 1
-        else:
-            assert isinstance(record, Born)
-            self.fleet, self.incarnation, self.roll = record.fleet, record.incarnation, record.roll
-
-    def held(self) -> tuple[SlotOf, ...]:
-        """All registers, as they are told to others."""
-        return tuple((name, s.promised, s.accepted, s.value) for name, s in sorted(self.slots.items()))
-
-    def short(self) -> list[Record]:
-        """As few records as say the same, for a file that is begun anew."""
-        records: list[Record] = [Born(self.fleet, self.incarnation, self.roll)]
-        records += [Began(0)] * min(self.starts, 1)
-        records.append(Entered(self.roll, self.held()))
-        if self.following is not None:
-            records.append(Ended(self.following))
+class RecoveredState:
+    """The durable state of one disk incarnation."""
+
+    cluster: str = ""
+    disk_incarnation: str = ""  # empty: the log has no first record
+    config: MembershipConfig = field(default_factory=MembershipConfig)
+    next_config: MembershipConfig | None = None  # set: voting in the present epoch has stopped
+    start_count: int = 0
+    registers: dict[str, AcceptorState] = field(default_factory=dict)
+
+    def apply(self, record: LogRecord) -> None:
+        """Apply the next record of the log."""
+        _APPLY[type(record)](self, record)
+
+    def _on_register_written(self, record: RegisterWritten) -> None:
+        register, promised, accepted, value = record.entry
+        self.registers[register] = AcceptorState(promised, accepted, value)
+
+    def _on_epoch_entered(self, record: EpochEntered) -> None:
+        self.config, self.next_config = record.config, None
+        self.registers = {name: AcceptorState(p, a, value) for name, p, a, value in record.registers}
+
+    def _on_epoch_ended(self, record: EpochEnded) -> None:
+        self.next_config = record.next_config
+
+    def _on_process_started(self, record: ProcessStarted) -> None:
+        self.start_count += 1
+
+    def _on_incarnation_started(self, record: IncarnationStarted) -> None:
+        self.cluster, self.disk_incarnation = record.cluster, record.disk_incarnation
+        self.config = record.config
+
+    def register_entries(self) -> tuple[RegisterEntry, ...]:
+        """Return all registers in the form in which they are sent, sorted by name."""
+        return tuple((name, s.promised, s.accepted, s.value) for name, s in sorted(self.registers.items()))
+
+    def compacted_records(self) -> list[LogRecord]:
+        """Return the shortest list of records from which the same state is recovered."""
+        records: list[LogRecord] = [IncarnationStarted(self.cluster, self.disk_incarnation, self.config)]
+        records += [ProcessStarted(0)] * min(self.start_count, 1)
+        records.append(EpochEntered(self.config, self.register_entries()))
+        if self.next_config is not None:
+            records.append(EpochEnded(self.next_config))
         return records
 
 
-def merged(many: list[tuple[SlotOf, ...]]) -> tuple[SlotOf, ...]:
-    """What an epoch begins with: of what a majority of the former one held, the value accepted last.
+_APPLY: dict[type[LogRecord], Callable[[RecoveredState, Any], None]] = {
+    RegisterWritten: RecoveredState._on_register_written,
+    EpochEntered: RecoveredState._on_epoch_entered,
+    EpochEnded: RecoveredState._on_epoch_ended,
+    ProcessStarted: RecoveredState._on_process_started,
+    IncarnationStarted: RecoveredState._on_incarnation_started,
+}
+
+
+def merge_registers(replicas: list[tuple[RegisterEntry, ...]]) -> tuple[RegisterEntry, ...]:
+    """Merge the registers of a quorum of an ended epoch into those that the next epoch begins with.
 
-    Whatever was in force there lies on one of them under the highest ballot, or has been changed since.
+    Every quorum that chose a value shares a member with this one. The last chosen value is therefore among
+    the entries, under the highest accepted ballot unless a later proposal has replaced it.
     """
-    slots: dict[str, SlotOf] = {}
-    for register, promised, accepted, value in (slot for held in many for slot in held):
-        other = slots.get(register)
+    merged: dict[str, RegisterEntry] = {}
+    for register, promised, accepted, value in (entry for entries in replicas for entry in entries):
+        other = merged.get(register)
         if other is None:
-            slots[register] = register, promised, accepted, value
+            merged[register] = register, promised, accepted, value
         else:
             best = (accepted, value) if accepted > other[2] else (other[2], other[3])
-            slots[register] = register, max(promised, other[1]), *best
-    return tuple(slots[register] for register in sorted(slots))
+            merged[register] = register, max(promised, other[1]), *best
+    return tuple(merged[register] for register in sorted(merged))
--- a/grebestack/consensus/register.py
+++ b/grebestack/consensus/register.py
@@ -1,13 +1,13 @@
-"""A named value that a majority keeps and that is changed by compare-and-set.
+"""A named value that a quorum keeps and that is changed by compare-and-set.
 
 Single-register consensus in two phases (Paxos, used as in "CASPaxos: Replicated State Machines without logs",
-Rystsov 2018): a change first has a majority promise its ballot, takes the value accepted under the highest
-ballot among them, and has a majority accept what it makes of it. A read is a change that leaves the value as
-it is.
+Rystsov 2018). A proposer first has a quorum promise its ballot, takes the value accepted under the highest
+ballot among them, and has a quorum accept the value that its change makes of it. A read is a change that
+returns the value as it is.
 
-All functions here take a state and return a new one; nothing is changed in place. Who calls them keeps two
-promises: what `prepare` and `accept` return is on the disk before the answer leaves, and a member never uses
-a ballot twice.
+All functions here take a state and return a new one; nothing is changed in place. The caller ensures two
+things: the state that `prepare` or `accept` returns is durable before the response leaves, and a proposer
+never uses a ballot twice.
 """
 
 from __future__ import annotations
@@ -18,36 +18,36 @@
 from typing import Any, NamedTuple
 
 Value = Any  # what a register holds: hashable; None before the first change
-Change = Callable[[Value], Value]  # from the value in force to the new one; the same value leaves it
+Change = Callable[[Value], Value]  # from the current value to the next; the same value leaves it as it is
 
 
 class Ballot(NamedTuple):
-    """The order of attempts to change a register. No two are alike."""
+    """The order of proposals for a register. No two proposals share one."""
 
     number: int = 0
     member: str = ""
-    life: int = 0  # which start of that member, counted on its disk
+    process_incarnation: int = 0  # from a start count on the member's disk
 
-    def above(self, other: Ballot) -> Ballot:
-        """This member's next ballot beyond another one."""
-        return Ballot(max(self.number, other.number) + 1, self.member, self.life)
+    def next_above(self, other: Ballot) -> Ballot:
+        """Return this member's next ballot that is higher than another one."""
+        return Ballot(max(self.number, other.number) + 1, self.member, self.process_incarnation)
 
 
-NONE = Ballot()
+NO_BALLOT = Ballot()
 
 
 @dataclass(frozen=True, slots=True)
-class Slot:
-    """What a member must not forget of one register."""
+class AcceptorState:
+    """What an acceptor must not forget of one register."""
 
-    promised: Ballot = NONE
-    accepted: Ballot = NONE
+    promised: Ballot = NO_BALLOT
+    accepted: Ballot = NO_BALLOT
     value: Value = None
 
 
 @dataclass(frozen=True, slots=True)
-class Promised:
-    """No lower ballot will be answered; the value accepted last, and under which ballot."""
+class PromiseGranted:
+    """The acceptor rejects lower ballots from now on; the value it accepted last, and under which ballot."""
 
     ballot: Ballot
     accepted: Ballot
@@ -55,44 +55,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
-    """The value is on this member's disk."""
+class AcceptGranted:
+    """The acceptor has accepted the value."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """A higher ballot has been promised."""
+class BallotRejected:
+    """The acceptor has promised a higher ballot."""
 
     ballot: Ballot
     promised: Ballot
 
 
-Answer = Promised | Accepted | Refused
+AcceptorResponse = PromiseGranted | AcceptGranted | BallotRejected
 
 
-def prepare(slot: Slot, ballot: Ballot) -> tuple[Slot, Answer]:
-    """Asked to promise; a repeat is answered again."""
-    if ballot < slot.promised:
-        return slot, Refused(ballot, slot.promised)
-    return replace(slot, promised=ballot), Promised(ballot, slot.accepted, slot.value)
+def prepare(state: AcceptorState, ballot: Ballot) -> tuple[AcceptorState, AcceptorResponse]:
+    """Handle the first phase at an acceptor; a repeated request gets the same response."""
+    if ballot < state.promised:
+        return state, BallotRejected(ballot, state.promised)
+    return replace(state, promised=ballot), PromiseGranted(ballot, state.accepted, state.value)
 
 
-def accept(slot: Slot, ballot: Ballot, value: Value) -> tuple[Slot, Answer]:
-    """Asked to accept; a repeat is answered again."""
-    if ballot < slot.promised:
-        return slot, Refused(ballot, slot.promised)
-    return Slot(ballot, ballot, value), Accepted(ballot)
+def accept(state: AcceptorState, ballot: Ballot, value: Value) -> tuple[AcceptorState, AcceptorResponse]:
+    """Handle the second phase at an acceptor; a repeated request gets the same response."""
+    if ballot < state.promised:
+        return state, BallotRejected(ballot, state.promised)
+    return AcceptorState(ballot, ballot, value), AcceptGranted(ballot)
 
 
 class Phase(Enum):
-    """How far a round has come."""
+    """The progress of a round."""
 
-    PREPARING = "asks for promises"
-    ACCEPTING = "asks to accept"  # from here on the change may come into force, whatever is heard
-    CHOSEN = "in force"
-    BEATEN = "a higher ballot came first"
+    PREPARING = "waits for promises"
+    ACCEPTING = "waits for acceptances"  # from here on the value may be chosen, whatever responses arrive
+    CHOSEN = "chosen"
+    PREEMPTED = "a higher ballot came first"
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,30 +100,35 @@
     """One attempt to change a register, as its proposer sees it."""
 
     ballot: Ballot
-    majority: int
+    quorum_size: int
     phase: Phase = Phase.PREPARING
-    heard: frozenset[Hashable] = frozenset()  # members that answered well in this phase
-    best: Ballot = NONE  # the highest ballot under which one of them has accepted a value
-    before: Value = None  # that value
-    value: Value = None  # what is proposed
-    beaten_by: Ballot = NONE
-
-    def answered(self, member: Hashable, answer: Answer, change: Change) -> Round:
-        """A member's answer, in any order and any number of times; other ballots' are passed over."""
-        if answer.ballot != self.ballot or self.phase in (Phase.CHOSEN, Phase.BEATEN):
+    responders: frozenset[Hashable] = frozenset()  # acceptors that granted this phase
+    highest_accepted: Ballot = NO_BALLOT  # among the promises
+    previous_value: Value = None  # the value accepted under that ballot
+    proposed_value: Value = None
+    preempting_ballot: Ballot = NO_BALLOT
+
+    def on_response(self, member: Hashable, response: AcceptorResponse, change: Change) -> Round:
+        """Handle a response, in any order and any number of times; those to other ballots are ignored."""
+        if response.ballot != self.ballot or self.phase in (Phase.CHOSEN, Phase.PREEMPTED):
             return self
-        if isinstance(answer, Refused):
-            return replace(self, phase=Phase.BEATEN, beaten_by=answer.promised)
-        if isinstance(answer, Promised) and self.phase is Phase.PREPARING:
-            best, before = max((self.best, self.before), (answer.accepted, answer.value), key=lambda x: x[0])
-            heard = self.heard | {member}
-            if len(heard) < self.majority:
-                return replace(self, heard=heard, best=best, before=before)
-            return replace(
-                self, phase=Phase.ACCEPTING, heard=frozenset(), best=best, before=before, value=change(before)
-            )
-        if isinstance(answer, Accepted) and self.phase is Phase.ACCEPTING:
-            heard = self.heard | {member}
-            phase = Phase.CHOSEN if len(heard) >= self.majority else Phase.ACCEPTING
-            return replace(self, heard=heard, phase=phase)
+        if isinstance(response, BallotRejected):
+            return replace(self, phase=Phase.PREEMPTED, preempting_ballot=response.promised)
+        if isinstance(response, PromiseGranted) and self.phase is Phase.PREPARING:
+            return self._on_promise(member, response, change)
+        if isinstance(response, AcceptGranted) and self.phase is Phase.ACCEPTING:
+            responders = self.responders | {member}
+            phase = Phase.CHOSEN if len(responders) >= self.quorum_size else Phase.ACCEPTING
+            return replace(self, responders=responders, phase=phase)
         return self
+
+    def _on_promise(self, member: Hashable, response: PromiseGranted, change: Change) -> Round:
+        highest, previous = self.highest_accepted, self.previous_value
+        if response.accepted > highest:
+            highest, previous = response.accepted, response.value
+        responders = self.responders | {member}
+        promised = replace(self, responders=responders, highest_accepted=highest, previous_value=previous)
+        if len(responders) < self.quorum_size:
+            return promised
+        proposed = change(previous)
+        return replace(promised, phase=Phase.ACCEPTING, responders=frozenset(), proposed_value=proposed)
--- a/tests/consensus_model.py
+++ b/tests/consensus_model.py
@@ -22,16 +22,16 @@
 
 import msgspec
 
-from grebestack.consensus.lease import NEVER, Lease, Tenure, Terms, lease_of
+from grebestack.consensus.lease import NEVER_MS, Lease, LeaseHolder, LeaseTerms, lease_of
 from grebestack.consensus.register import (
-    NONE,
-    Accepted,
-    Answer,
+    NO_BALLOT,
+    AcceptGranted,
+    AcceptorResponse,
+    AcceptorState,
     Ballot,
+    BallotRejected,
     Phase,
-    Refused,
     Round,
-    Slot,
     accept,
     prepare,
 )
@@ -39,7 +39,7 @@
 from tests.state_exploration import Found, put
 
 DISKS = 3
-TERMS = Terms(term_ms=2.0, drift=0.0, guard_ms=0.0, renew_at=0.5, stagger_ms=0.0)
+TERMS = LeaseTerms(term_ms=2.0, max_clock_drift=0.0, guard_ms=0.0, renew_at=0.5, stagger_ms=0.0)
 STARTS = ("fresh", "held", "released")
 VARIANTS = ("no sync", "counted from the answer", "votes without its disk", "token from memory", "same marks")
 Request = tuple[Ballot, bool, Any]  # its ballot, whether it asks to accept, and what
@@ -48,20 +48,24 @@
 class Asker(NamedTuple):
     """One that wants the task, and its asking."""
 
-    tenure: Tenure
-    before: Tenure  # as it was when it asked: what it asks for follows from it
+    holder: LeaseHolder
+    before: LeaseHolder  # as it was when it asked: what it asks for follows from it
     last: Ballot
     round: Round | None = None
     rounds: int = 0
-    late: frozenset[tuple[int, Answer]] = frozenset()  # answers on their way that would end its phase
+    late: frozenset[tuple[int, AcceptorResponse]] = (
+        frozenset()
+    )  # answers on their way that would end its phase
 
 
 class World(NamedTuple):
     """One state."""
 
     now: int
-    disks: tuple[Slot, ...]
-    unsynced: tuple[Slot, ...]  # what the members believe; another than the disk only where nothing is synced
+    disks: tuple[AcceptorState, ...]
+    unsynced: tuple[
+        AcceptorState, ...
+    ]  # what the members believe; another than the disk only where nothing is synced
     askers: tuple[Asker, ...]
     sent: frozenset[Request] = frozenset()
     acted: frozenset[tuple[int, str, int]] = frozenset()  # tokens that could be acted under, and by whom
@@ -83,19 +87,19 @@
 
     def start(self) -> World:
         """Both have read that nobody has it. Since then a, or one that gave it back, took it by two disks."""
-        a, b = (Tenure(name, 1, TERMS, known=True) for name in ("a", "b"))
-        slot, acted = Slot(), frozenset[tuple[int, str, int]]()
+        a, b = (LeaseHolder(name, 1, TERMS, has_observed=True) for name in ("a", "b"))
+        slot, acted = AcceptorState(), frozenset[tuple[int, str, int]]()
         if self.begins == "held":
             lease = Lease("a", 1, 1, 0 if self.variant == "same marks" else 1)
-            a = replace(a, seen=lease, asked=1, until_ms=TERMS.usable_ms)
-            slot, acted = Slot(Ballot(1, "a", 1), Ballot(1, "a", 1), lease), frozenset({(1, "a", 1)})
+            a = replace(a, observed=lease, proposal_count=1, valid_until_ms=TERMS.usable_ms)
+            slot, acted = AcceptorState(Ballot(1, "a", 1), Ballot(1, "a", 1), lease), frozenset({(1, "a", 1)})
         elif self.begins == "released":
             lease = Lease("", 0, 1, 2)
-            slot, acted = Slot(Ballot(1, "", 1), Ballot(1, "", 1), lease), frozenset({(1, "", 1)})
+            slot, acted = AcceptorState(Ballot(1, "", 1), Ballot(1, "", 1), lease), frozenset({(1, "", 1)})
         number = int(self.begins == "held")
         askers = (Asker(a, a, Ballot(number, "a", 1)), Asker(b, b, Ballot(0, "b", 1)))
-        believed = (slot, slot, Slot())
-        disks = (Slot(),) * DISKS if self.variant == "no sync" else believed
+        believed = (slot, slot, AcceptorState())
+        disks = (AcceptorState(),) * DISKS if self.variant == "no sync" else believed
         return World(0, disks, believed, askers, acted=acted)
 
     def clock(self, world: World) -> float:
@@ -104,7 +108,7 @@
 
     def wrong(self, world: World) -> str:
         """Which rule a state breaks, if any."""
-        acting = [a.tenure for a in world.askers if a.tenure.token(self.clock(world)) is not None]
+        acting = [a.holder for a in world.askers if a.holder.valid_token(self.clock(world)) is not None]
         if len(acting) > 1:
             return "two holders may act"
         if len({token for token, *_ in world.acted}) < len(world.acted):
@@ -121,21 +125,21 @@
             for request in world.sent:
                 yield from self._ask_disk(world, disk, request)
             if world.crashes < self.crashes and self.variant in ("no sync", "votes without its disk"):
-                lost = world.disks[disk] if self.variant == "no sync" else Slot()
+                lost = world.disks[disk] if self.variant == "no sync" else AcceptorState()
                 yield (
                     f"member {disk} starts anew",
                     world._replace(unsynced=put(world.unsynced, disk, lost), crashes=world.crashes + 1),
                 )
 
     def _asker(self, world: World, i: int, asker: Asker) -> Iterator[tuple[str, World]]:
-        now, name = self.clock(world), asker.tenure.me
-        tenure, change = asker.tenure.ask(now)
+        now, name = self.clock(world), asker.holder.name
+        holder, change = asker.holder.propose(now)
         left = asker.rounds < self.rounds[i]
         if change is not None and left:
-            ballot = asker.last.above(NONE)
+            ballot = asker.last.next_above(NO_BALLOT)
             after = asker._replace(
-                tenure=tenure,
-                before=asker.tenure,
+                holder=holder,
+                before=asker.holder,
                 last=ballot,
                 rounds=asker.rounds + 1,
                 round=Round(ballot, DISKS // 2 + 1),
@@ -146,7 +150,7 @@
                 world._replace(askers=put(world.askers, i, after), sent=world.sent | {(ballot, False, None)}),
             )
         if asker.round is not None:
-            given_up = asker._replace(tenure=asker.tenure.failed(now), round=None, late=frozenset())
+            given_up = asker._replace(holder=asker.holder.on_failed(now), round=None, late=frozenset())
             highest = max(ballot.number for ballot, *_ in world.sent)
             for number in {asker.last.number, highest} if left else ():
                 after = given_up._replace(last=asker.last._replace(number=number))
@@ -155,14 +159,19 @@
                 what = f"{name} hears late from member {disk}"
                 yield what, self._answered(world, i, disk, answer)
         if world.crashes < self.crashes and left:
-            tenure = Tenure(name, asker.tenure.life + 1, TERMS)
-            anew = Asker(tenure, tenure, Ballot(asker.last.number, name, tenure.life), rounds=asker.rounds)
+            holder = LeaseHolder(name, asker.holder.process_incarnation + 1, TERMS)
+            anew = Asker(
+                holder,
+                holder,
+                Ballot(asker.last.number, name, holder.process_incarnation),
+                rounds=asker.rounds,
+            )
             yield (
                 f"{name} starts anew",
                 world._replace(askers=put(world.askers, i, anew), crashes=world.crashes + 1),
             )
         for value in {slot.value for slot in world.disks} if left else ():
-            looked = asker._replace(tenure=asker.tenure.saw(now, value))
+            looked = asker._replace(holder=asker.holder.observe(now, value))
             if looked != asker:
                 yield f"{name} sees {value}", world._replace(askers=put(world.askers, i, looked))
 
@@ -179,10 +188,14 @@
         after = world._replace(unsynced=unsynced, disks=disks)
         verb = "accept" if accepts else "promise"
         what = f"member {disk} is asked to {verb} {ballot.number}{ballot.member}"
-        if after != world and accepts and isinstance(answer, Accepted):
+        if after != world and accepts and isinstance(answer, AcceptGranted):
             yield f"{what}, its answer is lost", after
         for i, asker in enumerate(world.askers):
-            if asker.round is not None and asker.round.ballot == ballot and not isinstance(answer, Refused):
+            if (
+                asker.round is not None
+                and asker.round.ballot == ballot
+                and not isinstance(answer, BallotRejected)
+            ):
                 heard = self._answered(after, i, disk, answer)
                 if heard != after:
                     yield what, heard
@@ -191,45 +204,47 @@
                     late = asker._replace(late=asker.late | {(disk, answer)})
                     yield f"{what}, its answer is late", after._replace(askers=put(after.askers, i, late))
 
-    def _answered(self, world: World, i: int, disk: int, answer: Answer) -> World:
+    def _answered(self, world: World, i: int, disk: int, answer: AcceptorResponse) -> World:
         asker, now = world.askers[i], self.clock(world)
-        assert asker.round is not None and asker.tenure.asked_ms is not None
-        change = asker.before.ask(asker.tenure.asked_ms)[1]
+        assert asker.round is not None and asker.holder.proposed_ms is not None
+        change = asker.before.propose(asker.holder.proposed_ms)[1]
         assert change is not None
-        round_ = asker.round.answered(disk, answer, change)
+        round_ = asker.round.on_response(disk, answer, change)
         if round_ == asker.round:
             return world
-        if self.variant == "token from memory" and round_.value != round_.before:
-            mine = lease_of(round_.value)
-            if mine.holder == asker.tenure.me and not asker.before.held:
-                mine = msgspec.structs.replace(mine, token=asker.before.seen.token + 1)
-                round_ = replace(round_, value=mine)
-        if self.variant == "same marks" and isinstance(round_.value, Lease):
-            round_ = replace(round_, value=msgspec.structs.replace(round_.value, mark=0))
+        if self.variant == "token from memory" and round_.proposed_value != round_.previous_value:
+            mine = lease_of(round_.proposed_value)
+            if mine.holder == asker.holder.name and not asker.before.is_held:
+                mine = msgspec.structs.replace(mine, token=asker.before.observed.token + 1)
+                round_ = replace(round_, proposed_value=mine)
+        if self.variant == "same marks" and isinstance(round_.proposed_value, Lease):
+            round_ = replace(
+                round_, proposed_value=msgspec.structs.replace(round_.proposed_value, proposal_number=0)
+            )
         after, sent = asker._replace(round=round_), world.sent
         if round_.phase is Phase.ACCEPTING and asker.round.phase is Phase.PREPARING:
-            sent = sent | {(round_.ballot, True, round_.value)}
+            sent = sent | {(round_.ballot, True, round_.proposed_value)}
             after = after._replace(late=frozenset())
         elif round_.phase is Phase.CHOSEN:
-            tenure = asker.tenure.chosen(now, round_.before, round_.value)
-            if self.variant == "counted from the answer" and tenure.until_ms > NEVER:
-                tenure = replace(tenure, until_ms=now + TERMS.usable_ms)
-            after = after._replace(tenure=tenure, round=None, late=frozenset())
+            holder = asker.holder.on_chosen(now, round_.previous_value, round_.proposed_value)
+            if self.variant == "counted from the answer" and holder.valid_until_ms > NEVER_MS:
+                holder = replace(holder, valid_until_ms=now + TERMS.usable_ms)
+            after = after._replace(holder=holder, round=None, late=frozenset())
         return self._noted(world._replace(askers=put(world.askers, i, after), sent=sent))
 
     def _noted(self, world: World) -> World:
         now = self.clock(world)
         acted = {
-            (token, a.tenure.me, a.tenure.life)
+            (token, a.holder.name, a.holder.process_incarnation)
             for a in world.askers
-            if (token := a.tenure.token(now)) is not None
+            if (token := a.holder.valid_token(now)) is not None
         }
         return world._replace(acted=world.acted | acted)
 
 
 def one_of_alike(world: World) -> World:
     """Members' disks are alike: of states that differ by their order alone one stands for all."""
-    heard = [a.round.heard if a.round is not None else frozenset() for a in world.askers]
+    heard = [a.round.responders if a.round is not None else frozenset() for a in world.askers]
 
     def look(disk: int) -> int:
         late = (frozenset(answer for at, answer in a.late if at == disk) for a in world.askers)
@@ -243,7 +258,7 @@
     askers = tuple(
         a._replace(
             late=frozenset((place[disk], answer) for disk, answer in a.late),
-            round=a.round and replace(a.round, heard=frozenset(place[disk] for disk in h)),
+            round=a.round and replace(a.round, responders=frozenset(place[disk] for disk in h)),
         )
         for a, h in zip(world.askers, heard, strict=True)
     )
--- a/tests/membership_change_model.py
+++ b/tests/membership_change_model.py
@@ -21,29 +21,29 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from grebestack.consensus.acceptor import Voter
+from grebestack.consensus.acceptor import Acceptor
 from grebestack.consensus.actions import Peer, Send, Write
 from grebestack.consensus.messages import (
     Accept,
-    Behind,
-    Enter,
-    Entered,
-    Kept,
+    EnterEpoch,
+    EpochEntered,
+    EpochRequest,
+    MembershipConfig,
     Message,
     Prepare,
     Promise,
-    Roll,
-    Seal,
-    Sealed,
-    SlotOf,
+    RegisterEntry,
+    RegisterWritten,
+    StopVoting,
+    VotingStopped,
 )
-from grebestack.consensus.recovery import Shelf, merged
-from grebestack.consensus.register import NONE, Ballot, Phase, Promised, Round, Slot
+from grebestack.consensus.recovery import RecoveredState, merge_registers
+from grebestack.consensus.register import NO_BALLOT, AcceptorState, Ballot, Phase, PromiseGranted, Round
 from tests import state_exploration
 from tests.state_exploration import Found, put
 
-FORMER = Roll(1, (("a", "1"), ("b", "1"), ("c", "1")))
-FOLLOWING = Roll(2, (("a", "1"), ("b", "1"), ("c", "2")))
+FORMER = MembershipConfig(1, (("a", "1"), ("b", "1"), ("c", "1")))
+FOLLOWING = MembershipConfig(2, (("a", "1"), ("b", "1"), ("c", "2")))
 VOTERS = (("a", "1"), ("b", "1"), ("c", "1"), ("c", "2"))
 VARIANTS = (
     "votes on after sealing",
@@ -59,9 +59,9 @@
 class Disk(NamedTuple):
     """A voter."""
 
-    roll: Roll = FORMER
+    roll: MembershipConfig = FORMER
     sealed: bool = False
-    slot: Slot = Slot()
+    slot: AcceptorState = AcceptorState()
     ever: frozenset[tuple[int, Ballot, Any]] = frozenset()  # what it has accepted, and in which epoch
 
 
@@ -78,8 +78,8 @@
     disks: tuple[Disk, ...]
     askers: tuple[Asker, ...] = (Asker(), Asker())
     asked: frozenset[tuple[int, Ballot, Any]] = frozenset()  # epoch, ballot, and a value where to accept
-    seals: frozenset[tuple[int, SlotOf]] = frozenset()
-    enters: frozenset[tuple[SlotOf, ...]] = frozenset()  # by members that are there already
+    seals: frozenset[tuple[int, RegisterEntry]] = frozenset()
+    enters: frozenset[tuple[RegisterEntry, ...]] = frozenset()  # by members that are there already
 
 
 def start(name: str) -> World:
@@ -87,18 +87,18 @@
     told: Any
     first, ever = Ballot(1), frozenset({(1, Ballot(1), "0")})
     if name == "both":
-        held = Disk(sealed=True, slot=Slot(first, first, "0"), ever=ever)
-        told = ((0, (X, first, first, "0")), (1, (X, NONE, NONE, None)))
+        held = Disk(sealed=True, slot=AcceptorState(first, first, "0"), ever=ever)
+        told = ((0, (X, first, first, "0")), (1, (X, NO_BALLOT, NO_BALLOT, None)))
         return World((held, Disk(sealed=True), held, Disk()), seals=frozenset(told))
     mine = Ballot(2, "x", 1)
-    a, b = Disk(slot=Slot(mine, first, "0"), ever=ever), Disk(slot=Slot(mine))
-    c = Disk(slot=Slot(first, first, "0"), ever=ever)
+    a, b = Disk(slot=AcceptorState(mine, first, "0"), ever=ever), Disk(slot=AcceptorState(mine))
+    c = Disk(slot=AcceptorState(first, first, "0"), ever=ever)
     asked = frozenset({(1, mine, "0x")})
     askers = Asker(1, Round(mine, 2, Phase.ACCEPTING)), Asker()
     told = ()
     if name == "sealed":
         a, b = a._replace(sealed=True), b._replace(sealed=True)
-        told = ((0, (X, mine, first, "0")), (1, (X, mine, NONE, None)))
+        told = ((0, (X, mine, first, "0")), (1, (X, mine, NO_BALLOT, None)))
     return World((a, b, c, Disk()), askers, asked, frozenset(told))
 
 
@@ -114,11 +114,11 @@
         for epoch, roll in ((1, FORMER), (2, FOLLOWING)):
             by: dict[tuple[Ballot, Any], set[str]] = {}
             for (name, incarnation), disk in zip(VOTERS, world.disks, strict=True):
-                if roll.counts(name, incarnation) or self.variant == "the old incarnation votes on":
+                if roll.is_voter(name, incarnation) or self.variant == "the old incarnation votes on":
                     for at, ballot, value in disk.ever:
                         if at == epoch:
                             by.setdefault((ballot, value), set()).add(name)
-            chosen |= {value for (_, value), names in by.items() if len(names) >= roll.majority}
+            chosen |= {value for (_, value), names in by.items() if len(names) >= roll.quorum_size}
         values = sorted(chosen, key=len)
         ok = all(b.startswith(a) for a, b in zip(values, values[1:], strict=False))
         return "" if ok else f"in force were {values}"
@@ -139,69 +139,73 @@
             for epoch, ballot, value in world.asked:
                 message = Prepare(epoch, X, ballot) if value is None else Accept(epoch, X, ballot, value)
                 yield from self._voter(world, voter, message)
-            yield from self._voter(world, voter, Seal(1, FOLLOWING))
-            yield from self._voter(world, voter, Behind(1))
+            yield from self._voter(world, voter, StopVoting(1, FOLLOWING))
+            yield from self._voter(world, voter, EpochRequest(1))
             for enter in self._enters(world):
                 yield from self._voter(world, voter, enter)
 
-    def _enters(self, world: World) -> Iterator[Enter]:
-        least = 1 if self.variant == "one seal is enough" else FORMER.majority
+    def _enters(self, world: World) -> Iterator[EnterEpoch]:
+        least = 1 if self.variant == "one seal is enough" else FORMER.quorum_size
         seals = sorted(world.seals, key=lambda item: item[0])
         for first in range(len(seals)):
             for last in range(first + least, len(seals) + 1):
                 some = [seal for _, seal in seals[first:last]]
                 nothing = self.variant == "nothing is carried over"
-                yield Enter(FOLLOWING, () if nothing else merged([(slot,) for slot in some]))
+                yield EnterEpoch(FOLLOWING, () if nothing else merge_registers([(slot,) for slot in some]))
         for slots in world.enters:
-            yield Enter(FOLLOWING, slots)
+            yield EnterEpoch(FOLLOWING, slots)
 
-    def _heard(self, world: World, epoch: int, voter: int, answer: Promised) -> World:
+    def _heard(self, world: World, epoch: int, voter: int, answer: PromiseGranted) -> World:
         n = "xy".index(answer.ballot.member)
         asker, name = world.askers[n], VOTERS[voter][0]
         assert asker.round is not None
-        round_ = asker.round.answered(name, answer, lambda value: (value or "") + "xy"[n])
+        round_ = asker.round.on_response(name, answer, lambda value: (value or "") + "xy"[n])
         asked = world.asked
         if round_.phase is Phase.ACCEPTING and asker.round.phase is Phase.PREPARING:
-            asked = asked | {(asker.epoch, round_.ballot, round_.value)}
+            asked = asked | {(asker.epoch, round_.ballot, round_.proposed_value)}
         askers = put(world.askers, n, asker._replace(round=round_))
         return world._replace(askers=askers, asked=asked)
 
     def _voter(self, world: World, n: int, message: Message) -> Iterator[tuple[str, World]]:
         disk, (name, incarnation) = world.disks[n], VOTERS[n]
-        shelf = Shelf("f", incarnation, disk.roll, FOLLOWING if disk.sealed else None, 1)
-        if disk.slot != Slot():
-            shelf.slots[X] = disk.slot
-        voter = Voter(name, shelf, 1, 0.0)
-        voter.vouched = True
+        state = RecoveredState("f", incarnation, disk.roll, FOLLOWING if disk.sealed else None, 1)
+        if disk.slot != AcceptorState():
+            state.registers[X] = disk.slot
+        acceptor = Acceptor(name, state, 1, 0.0)
+        acceptor.is_confirmed = True
         if self.variant == "votes on after sealing" and isinstance(message, Prepare | Accept):
-            shelf.following = None
+            state.next_config = None
         if self.variant == "votes before it has entered" and incarnation == "2":
-            shelf.roll = FOLLOWING
-        if self.variant == "the old incarnation votes on" and shelf.roll == FOLLOWING:
-            shelf.incarnation = dict(FOLLOWING.members)[name]
-        actions = voter.heard(Peer("asker", "1", 1), message) + voter.synced(99)
+            state.config = FOLLOWING
+        if self.variant == "the old incarnation votes on" and state.config == FOLLOWING:
+            state.disk_incarnation = dict(FOLLOWING.members)[name]
+        actions = acceptor.on_message(Peer("asker", "1", 1), message) + acceptor.on_synced(99)
         ever = disk.ever
         for action in actions:
-            if isinstance(action, Write) and isinstance(action.record, Kept | Entered):
-                slots = action.record.slots if isinstance(action.record, Entered) else (action.record.slot,)
+            if isinstance(action, Write) and isinstance(action.record, RegisterWritten | EpochEntered):
+                slots = (
+                    action.record.registers
+                    if isinstance(action.record, EpochEntered)
+                    else (action.record.entry,)
+                )
                 for _, _, accepted, value in slots:
-                    if accepted != NONE:
-                        ever = ever | {(shelf.roll.epoch, accepted, value)}
-        sealed = shelf.following is not None or disk.sealed and shelf.roll == disk.roll
-        after = Disk(shelf.roll, sealed, shelf.slots.get(X, Slot()), ever)
+                    if accepted != NO_BALLOT:
+                        ever = ever | {(state.config.epoch, accepted, value)}
+        sealed = state.next_config is not None or disk.sealed and state.config == disk.roll
+        after = Disk(state.config, sealed, state.registers.get(X, AcceptorState()), ever)
         world = world._replace(disks=put(world.disks, n, after))
         what = f"{VOTERS[n]} is told {message}"
         for action in actions:
             if isinstance(action, Send):
                 said = action.message
-                if isinstance(said, Sealed):
-                    mine = said.slots[0] if said.slots else (X, NONE, NONE, None)
+                if isinstance(said, VotingStopped):
+                    mine = said.registers[0] if said.registers else (X, NO_BALLOT, NO_BALLOT, None)
                     world = world._replace(seals=world.seals | {(n, mine)})
-                elif isinstance(said, Enter):
-                    world = world._replace(enters=world.enters | {said.slots})
+                elif isinstance(said, EnterEpoch):
+                    world = world._replace(enters=world.enters | {said.registers})
                 elif isinstance(said, Promise):
                     yield f"{what}, which is not heard", world
-                    answer = Promised(said.ballot, said.accepted, said.value)
+                    answer = PromiseGranted(said.ballot, said.accepted, said.value)
                     world = self._heard(world, said.epoch, n, answer)
         yield what, world
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -11,8 +11,18 @@
 import pytest
 from msgspec import structs
 
-from grebestack.consensus.lease import FREE, Fence, Lease, Tenure, Terms, releasing, taking
-from grebestack.consensus.register import NONE, Answer, Ballot, Phase, Round, Slot, Value, accept, prepare
+from grebestack.consensus.lease import FREE, Fence, Lease, LeaseHolder, LeaseTerms, acquire, release
+from grebestack.consensus.register import (
+    NO_BALLOT,
+    AcceptorResponse,
+    AcceptorState,
+    Ballot,
+    Phase,
+    Round,
+    Value,
+    accept,
+    prepare,
+)
 from tests.consensus_model import Model, explore
 
 
@@ -44,44 +54,48 @@
 def test_an_asking_that_was_thought_lost_is_not_taken_for_the_next() -> None:
     # Guards the wait of a rival that has seen the lost asking on a disk for a term while the next one, which
     # was asked for later, has just come into force.
-    terms = Terms(term_ms=1000.0, guard_ms=0.0)
-    held = Tenure("a", 1, terms, known=True, seen=Lease("a", 1, 1, 1), asked=1, until_ms=900.0)
-    asking, lost = held.ask(400.0)
+    terms = LeaseTerms(term_ms=1000.0, guard_ms=0.0)
+    held = LeaseHolder(
+        "a", 1, terms, has_observed=True, observed=Lease("a", 1, 1, 1), proposal_count=1, valid_until_ms=900.0
+    )
+    asking, lost = held.propose(400.0)
     assert lost is not None
-    orphan = lost(held.seen)
-    rival = Tenure("b", 1, terms, known=True).saw(410.0, orphan)
-    again, change = asking.failed(500.0).ask(890.0)
+    orphan = lost(held.observed)
+    rival = LeaseHolder("b", 1, terms, has_observed=True).observe(410.0, orphan)
+    again, change = asking.on_failed(500.0).propose(890.0)
     assert change is not None
-    inforce = change(held.seen)
-    holder = again.chosen(895.0, held.seen, inforce)
-    assert holder.token(1500.0) == 1
-    _, take = rival.ask(410.0 + terms.wait_ms)
+    inforce = change(held.observed)
+    holder = again.on_chosen(895.0, held.observed, inforce)
+    assert holder.valid_token(1500.0) == 1
+    _, take = rival.propose(410.0 + terms.takeover_ms)
     assert take is not None and take(inforce) == inforce
     assert take(orphan) != orphan
 
 
 def test_a_term_is_counted_only_from_an_asking_that_made_the_value() -> None:
-    terms = Terms(term_ms=1000.0)
+    terms = LeaseTerms(term_ms=1000.0)
     mine = Lease("a", 1, 4, 7)
-    asking, _ = replace(Tenure("a", 1, terms), known=True, seen=mine, asked=7).ask(5000.0)
-    assert asking.chosen(5010.0, mine, mine).token(5011.0) is None
-    assert asking.chosen(5010.0, mine, structs.replace(mine, mark=8)).token(5011.0) == 4
+    asking, _ = replace(
+        LeaseHolder("a", 1, terms), has_observed=True, observed=mine, proposal_count=7
+    ).propose(5000.0)
+    assert asking.on_chosen(5010.0, mine, mine).valid_token(5011.0) is None
+    assert asking.on_chosen(5010.0, mine, structs.replace(mine, proposal_number=8)).valid_token(5011.0) == 4
 
 
 def test_a_former_life_of_the_same_member_holds_nothing_and_is_waited_for() -> None:
-    terms = Terms(term_ms=1000.0)
-    anew = Tenure("a", 2, terms).saw(100.0, Lease("a", 1, 3, 1))
-    assert anew.token(101.0) is None and anew.due_ms() == 100.0 + terms.wait_ms
+    terms = LeaseTerms(term_ms=1000.0)
+    anew = LeaseHolder("a", 2, terms).observe(100.0, Lease("a", 1, 3, 1))
+    assert anew.valid_token(101.0) is None and anew.due_ms() == 100.0 + terms.takeover_ms
 
 
 def test_a_release_frees_the_task_and_a_hand_over_names_who_takes_it() -> None:
     held = Lease("a", 1, 3, 9)
-    free = releasing(held)(held)
-    assert free.holder == "" and taking(Lease("b", 1, 0, 1), FREE)(free) == Lease("b", 1, 4, 1)
-    handed = releasing(held, "b")(held)
-    named, other = (Tenure(name, 1, Terms()).saw(0.0, handed) for name in ("b", "c"))
-    assert named.due_ms() == 0.0 and named.token(0.0) is None and other.due_ms() > 4000.0
-    assert releasing(held)(Lease("b", 1, 4, 1)) == Lease("b", 1, 4, 1)
+    free = release(held)(held)
+    assert free.holder == "" and acquire(Lease("b", 1, 0, 1), FREE)(free) == Lease("b", 1, 4, 1)
+    handed = release(held, "b")(held)
+    named, other = (LeaseHolder(name, 1, LeaseTerms()).observe(0.0, handed) for name in ("b", "c"))
+    assert named.due_ms() == 0.0 and named.valid_token(0.0) is None and other.due_ms() > 4000.0
+    assert release(held)(Lease("b", 1, 4, 1)) == Lease("b", 1, 4, 1)
 
 
 def test_a_fence_refuses_an_older_token() -> None:
@@ -89,24 +103,26 @@
     assert [fence.admits(token) for token in (1, 2, 1, 2, 3, 2)] == [True, True, False, True, True, False]
 
 
-@pytest.mark.parametrize("wrong", [{"term_ms": 0.0}, {"drift": 0.5}, {"renew_at": 1.0}, {"guard_ms": 3000.0}])
+@pytest.mark.parametrize(
+    "wrong", [{"term_ms": 0.0}, {"max_clock_drift": 0.5}, {"renew_at": 1.0}, {"guard_ms": 3000.0}]
+)
 def test_terms_that_can_t_hold_are_turned_down(wrong: dict[str, float]) -> None:
     with pytest.raises(ValueError, match="out of range|guard_ms"):
-        Terms(**wrong)
+        LeaseTerms(**wrong)
 
 
 class Drawn:
     """Three members that want a task and five disks; delays, losses, repeats, cuts, pauses and restarts."""
 
-    TERMS = Terms(term_ms=1000.0, drift=0.02, guard_ms=20.0, stagger_ms=40.0)
+    TERMS = LeaseTerms(term_ms=1000.0, max_clock_drift=0.02, guard_ms=20.0, stagger_ms=40.0)
 
     def __init__(self, seed: int, rates: tuple[float, float, float]) -> None:
         self.random, self.now, self.count = random.Random(seed), 0.0, 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.disks = [Slot() for _ in range(5)]
+        self.disks = [AcceptorState() for _ in range(5)]
         self.rates = rates
         self.offsets = [self.random.uniform(0, 1e6) for _ in rates]
-        self.tenures = [Tenure(f"m{i}", 1, self.TERMS, place=i) for i in range(3)]
+        self.holders = [LeaseHolder(f"m{i}", 1, self.TERMS, rank=i) for i in range(3)]
         self.rounds: list[Round | None] = [None] * 3
         self.ballots = [Ballot(0, f"m{i}", 1) for i in range(3)]
         self.paused_until = [0.0] * 3
@@ -129,16 +145,16 @@
         self.at(self.random.uniform(5, 40), partial(self.turn, i))
         if self.now < self.paused_until[i]:
             return
-        tenure = self.tenures[i].saw(self.clock(i), self.disks[i].value)
-        token = tenure.token(self.clock(i))
+        tenure = self.holders[i].observe(self.clock(i), self.disks[i].value)
+        token = tenure.valid_token(self.clock(i))
         if token is not None:
-            others = (t.token(self.clock(j)) for j, t in enumerate(self.tenures) if j != i)
+            others = (t.valid_token(self.clock(j)) for j, t in enumerate(self.holders) if j != i)
             self.overlaps += any(other is not None for other in others)
             self.acts.append((self.now, token, i, self.fence.admits(token)))
-        tenure, change = tenure.ask(self.clock(i))
-        self.tenures[i] = tenure
+        tenure, change = tenure.propose(self.clock(i))
+        self.holders[i] = tenure
         if change is not None:
-            ballot = self.ballots[i] = self.ballots[i].above(NONE)
+            ballot = self.ballots[i] = self.ballots[i].next_above(NO_BALLOT)
             self.rounds[i] = Round(ballot, 3)
             self.send(i, ballot, change, None)
             self.at(self.random.uniform(100, 400), partial(self.give_up, i, ballot))
@@ -163,25 +179,27 @@
         if (disk, i) not in self.cut:
             self.at(self.delay(), partial(self.hear, i, disk, answer, change))
 
-    def hear(self, i: int, disk: int, answer: Answer, change: Callable[[Value], Value]) -> None:
+    def hear(self, i: int, disk: int, answer: AcceptorResponse, change: Callable[[Value], Value]) -> None:
         before = self.rounds[i]
         if before is None or self.now < self.paused_until[i]:
             return
-        after = self.rounds[i] = before.answered(disk, answer, change)
+        after = self.rounds[i] = before.on_response(disk, answer, change)
         if after.phase is Phase.ACCEPTING and before.phase is Phase.PREPARING:
-            self.send(i, after.ballot, change, after.value)
+            self.send(i, after.ballot, change, after.proposed_value)
         elif after.phase is Phase.CHOSEN and before.phase is Phase.ACCEPTING:
             self.rounds[i] = None
-            self.tenures[i] = self.tenures[i].chosen(self.clock(i), after.before, after.value)
-        elif after.phase is Phase.BEATEN and before.phase is not Phase.BEATEN:
-            self.ballots[i] = self.ballots[i]._replace(number=after.beaten_by.number)
+            self.holders[i] = self.holders[i].on_chosen(
+                self.clock(i), after.previous_value, after.proposed_value
+            )
+        elif after.phase is Phase.PREEMPTED and before.phase is not Phase.PREEMPTED:
+            self.ballots[i] = self.ballots[i]._replace(number=after.preempting_ballot.number)
             self.give_up(i, after.ballot)
 
     def give_up(self, i: int, ballot: Ballot) -> None:
         round_ = self.rounds[i]
         if round_ is not None and round_.ballot == ballot:
             self.rounds[i] = None
-            self.tenures[i] = self.tenures[i].failed(self.clock(i) + self.random.uniform(10, 150))
+            self.holders[i] = self.holders[i].on_failed(self.clock(i) + self.random.uniform(10, 150))
 
     def harm(self) -> None:
         """One drawn fault."""
@@ -190,8 +208,8 @@
         if what == 0:
             self.paused_until[i] = self.now + self.random.uniform(100, 3000)
         elif what == 1:
-            life = self.tenures[i].life + 1
-            self.tenures[i] = Tenure(f"m{i}", life, self.TERMS, place=i)
+            life = self.holders[i].process_incarnation + 1
+            self.holders[i] = LeaseHolder(f"m{i}", life, self.TERMS, rank=i)
             self.rounds[i] = None
             self.ballots[i] = Ballot(self.ballots[i].number, f"m{i}", life)
         elif what == 2:
--- a/tests/test_log_store.py
+++ b/tests/test_log_store.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from grebestack.cluster_io.log_store import Files, Store, found
+from grebestack.cluster_io.log_store import Files, LogStore, create_log
 
 
 class Failing(Files):
-    """A disk that fails as it is told."""
+    """A disk that fails as it is reports."""
 
     def __init__(self, how: str, number: int) -> None:
         self.how, self.error = how, OSError(number, os.strerror(number))
@@ -40,13 +40,13 @@
         super().rename(old, new)
 
 
-class Told:
+class Reports:
     """What a store has told its owner."""
 
     def __init__(self) -> None:
         self.synced: list[int] = []
         self.failed: list[str] = []
-        self.anew: list[str] = []
+        self.replaced: list[str] = []
 
 
 async def _until(true: Callable[[], object]) -> None:
@@ -65,25 +65,27 @@
     tmp_path: Path, how: str, number: int
 ) -> None:
     async def main() -> None:
-        told, folder = Told(), str(tmp_path / "member")
-        found(folder, [b"a", b"b"])
+        reports, folder = Reports(), str(tmp_path / "member")
+        create_log(folder, [b"a", b"b"])
         files = Failing(how, number)
-        store = Store(asyncio.get_running_loop(), folder, told.synced.append, told.failed.append, files)
-        assert os.strerror(number) in store.open().doubt
+        store = LogStore(
+            asyncio.get_running_loop(), folder, reports.synced.append, reports.failed.append, files
+        )
+        assert os.strerror(number) in store.open().fault
         store.append(b"c")
-        store.anew(told.anew.append)
-        await _until(lambda: told.anew)
-        assert not told.synced, "a record counted as written"
+        store.replace(reports.replaced.append)
+        await _until(lambda: reports.replaced)
+        assert not reports.synced, "a record counted as written"
         if how != "read":  # it can't be begun anew either
-            assert os.strerror(number) in told.anew[0]
+            assert os.strerror(number) in reports.replaced[0]
             files.how = ""
-            store.anew(told.anew.append)
-            await _until(lambda: len(told.anew) == 2)
-        assert told.anew[-1] == ""
+            store.replace(reports.replaced.append)
+            await _until(lambda: len(reports.replaced) == 2)
+        assert reports.replaced[-1] == ""
         store.append(b"d")
-        await _until(lambda: told.synced)
+        await _until(lambda: reports.synced)
         store.close()
-        again = Store(asyncio.get_running_loop(), folder, told.synced.append, told.failed.append)
+        again = LogStore(asyncio.get_running_loop(), folder, reports.synced.append, reports.failed.append)
         assert again.open().payloads == (b"d",), "what was doubted came back"
         assert len([name for name in os.listdir(folder) if name.startswith("doubted-")]) == 1
         again.close()
@@ -93,22 +95,28 @@
 
 def test_a_disk_that_becomes_read_only_stops_the_record_and_not_the_program(tmp_path: Path) -> None:
     async def main() -> None:
-        told, folder = Told(), str(tmp_path / "member")
-        found(folder, [b"a"])
+        reports, folder = Reports(), str(tmp_path / "member")
+        create_log(folder, [b"a"])
         files = Failing("", errno.EROFS)
-        store = Store(asyncio.get_running_loop(), folder, told.synced.append, told.failed.append, files)
+        store = LogStore(
+            asyncio.get_running_loop(), folder, reports.synced.append, reports.failed.append, files
+        )
         assert store.open().payloads == (b"a",)
         store.append(b"b")
-        await _until(lambda: told.synced == [2])
+        await _until(lambda: reports.synced == [2])
         files.how = "write open rename"
         store.append(b"c")
-        await _until(lambda: told.failed)
+        await _until(lambda: reports.failed)
         store.append(b"d")
         files.how = ""
         store.append(b"e")  # it works again, and is not believed for that
-        store.anew(told.anew.append)
-        await _until(lambda: told.anew)
-        assert told.synced == [2] and told.anew == [""] and os.strerror(errno.EROFS) in told.failed[0]
+        store.replace(reports.replaced.append)
+        await _until(lambda: reports.replaced)
+        assert (
+            reports.synced == [2]
+            and reports.replaced == [""]
+            and os.strerror(errno.EROFS) in reports.failed[0]
+        )
         store.close()
 
     asyncio.run(main())
--- a/tests/test_peer_connection.py
+++ b/tests/test_peer_connection.py
@@ -1,4 +1,4 @@
-"""What comes over a link, and what stands in the file: wrong input is named, nothing grows without bound."""
+"""What comes over a connection, and what stands in the file: wrong input is named, memory stays bounded."""
 
 from __future__ import annotations
 
@@ -11,12 +11,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from grebestack.cluster_io.peer_connection import HEAD, MOST_QUEUED, Link
-from grebestack.consensus.messages import MOST, VERSION, Hello, Message, Ping, Word, encode
+from grebestack.cluster_io.peer_connection import HEADER, MAX_QUEUED_BYTES, PeerConnection
+from grebestack.consensus.messages import (
+    MAX_MESSAGE_BYTES,
+    PROTOCOL_VERSION,
+    Handshake,
+    Heartbeat,
+    Message,
+    TaskMessage,
+    encode,
+)
 from grebestack.program.config import ConfigError, from_file
 from tests.standins import APPLIANCE_SETTINGS
 
-HELLO = Hello(VERSION, "f", "b", "1", 1, 1, {})
+HELLO = Handshake(PROTOCOL_VERSION, "f", "b", "1", 1, 1, {})
 
 
 class Wire:
@@ -49,76 +57,76 @@
 
 
 class Owner:
-    """Whoever the link belongs to."""
+    """Whoever the connection belongs to."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
-        self.why = ""
+        self.reason = ""
 
-    def greeting(self) -> Hello:
+    def handshake(self) -> Handshake:
         return HELLO
 
-    def told(self) -> int:
+    def reported_record(self) -> int:
         return 7
 
-    def greeted(self, link: Link, hello: Hello) -> str:
-        link.open(hello.name)
-        return "" if hello.fleet == "f" else "another fleet"
+    def on_handshake(self, connection: PeerConnection, handshake: Handshake) -> str:
+        connection.accept_peer(handshake.name)
+        return "" if handshake.cluster == "f" else "another fleet"
 
-    def heard(self, link: Link, last: int, message: Message) -> None:
-        assert last == 7
+    def on_message(self, connection: PeerConnection, last_record: int, message: Message) -> None:
+        assert last_record == 7
         self.messages.append(message)
 
-    def ended(self, link: Link, why: str) -> None:
-        self.why = why
+    def on_closed(self, connection: PeerConnection, reason: str) -> None:
+        self.reason = reason
 
 
-def linked() -> tuple[Link, Owner, Wire]:
+def connected() -> tuple[PeerConnection, Owner, Wire]:
     owner, wire = Owner(), Wire()
-    link = Link(cast(asyncio.AbstractEventLoop, Loop()), owner)
-    link.connection_made(cast(asyncio.Transport, wire))
-    return link, owner, wire
+    connection = PeerConnection(cast(asyncio.AbstractEventLoop, Loop()), owner)
+    connection.connection_made(cast(asyncio.Transport, wire))
+    return connection, owner, wire
 
 
 def framed(*items: Message) -> bytes:
-    return b"".join(HEAD.pack(len(encode(item)), 7) + encode(item) for item in items)
+    return b"".join(HEADER.pack(len(encode(item)), 7) + encode(item) for item in items)
 
 
 @given(chance=st.randoms(), count=st.integers(0, 5))
 def test_messages_are_the_same_however_they_are_cut(chance: random.Random, count: int) -> None:
-    link, owner, wire = linked()
-    said: list[Message] = [Word("t", chance.randbytes(chance.randrange(300))) for _ in range(count)]
+    connection, owner, wire = connected()
+    said: list[Message] = [TaskMessage("t", chance.randbytes(chance.randrange(300))) for _ in range(count)]
     data = framed(HELLO, *said)
     while data:
         size = chance.randint(1, len(data))
-        link.data_received(data[:size])
+        connection.data_received(data[:size])
         data = data[size:]
-    assert owner.messages == said and not wire.aborted and not link.rest
+    assert owner.messages == said and not wire.aborted and not connection.unparsed
 
 
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (HEAD.pack(MOST + 1, 0), "allowed: 1048576"),
-        (framed(Ping()), "did not say who it is first"),
-        (HEAD.pack(3, 0) + b"\xc1\xc1\xc1", f"no message of version {VERSION}"),
-        (framed(Hello(VERSION, "g", "b", "1", 1, 1, {})), "another fleet"),
+        (HEADER.pack(MAX_MESSAGE_BYTES + 1, 0), "allowed: 1048576"),
+        (framed(Heartbeat()), "did not say who it is first"),
+        (HEADER.pack(3, 0) + b"\xc1\xc1\xc1", f"no message of version {PROTOCOL_VERSION}"),
+        (framed(Handshake(PROTOCOL_VERSION, "g", "b", "1", 1, 1, {})), "another fleet"),
     ],
 )
 def test_what_can_not_be_read_ends_the_link_and_says_why(data: bytes, why: str) -> None:
-    link, owner, wire = linked()
-    link.data_received(data)
-    assert wire.aborted and why in link.why
-    link.connection_lost(None)
-    assert why in owner.why
+    connection, owner, wire = connected()
+    connection.data_received(data)
+    assert wire.aborted and why in connection.close_reason
+    connection.connection_lost(None)
+    assert why in owner.reason
 
 
 def test_a_member_that_does_not_read_is_cut_off() -> None:
-    link, _, wire = linked()
-    wire.unread = MOST_QUEUED
+    connection, _, wire = connected()
+    wire.unread = MAX_QUEUED_BYTES
     written = len(wire.written)
-    link.send(Ping())
-    assert wire.aborted and len(wire.written) == written and link.why == "it does not read"
+    connection.send(Heartbeat())
+    assert wire.aborted and len(wire.written) == written and connection.close_reason == "it does not read"
 
 
 @pytest.mark.parametrize(
