--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -10,15 +10,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from grebestack.consensus.actions import Action, Cut, Reborn, Send, Told, Write
-from grebestack.consensus.lease import Terms
-from grebestack.consensus.messages import VERSION, Born, Message, Record, Roll, encode, message, record
-from grebestack.consensus.recovery import Shelf
-from grebestack.consensus.replica import Member
+from grebestack.consensus.actions import Action, Disconnect, LogMessage, ReplaceDisk, Send, Write
+from grebestack.consensus.lease import LeaseTerms
+from grebestack.consensus.messages import (
+    PROTOCOL_VERSION,
+    IncarnationStarted,
+    LogRecord,
+    MembershipConfig,
+    Message,
+    decode_message,
+    decode_record,
+    encode,
+)
+from grebestack.consensus.recovery import RecoveredState
+from grebestack.consensus.replica import Replica
 from tests.cluster import Act, Change, Held, History
 
 TASKS = ("t", "u")
-TERMS = Terms(term_ms=1000.0, drift=0.02, guard_ms=10.0)
+TERMS = LeaseTerms(term_ms=1000.0, max_clock_drift=0.02, guard_ms=10.0)
 
 
 class Place:
@@ -26,14 +35,14 @@
 
     def __init__(self, name: str, rate: float) -> None:
         self.name, self.rate = name, rate
-        self.disk: list[Record] = []
+        self.disk: list[LogRecord] = []
         self.synced = 0
         self.starts = 0
         self.epoch = 0  # grows with each start and each new disk: what was under way for the former is over
         self.up = False
         self.lies = False
         self.held_until = 0.0  # stopped until then
-        self.member: Member
+        self.member: Replica
 
 
 class World:
@@ -48,9 +57,9 @@
         self.links: dict[frozenset[str], int] = {}  # those that are up, each with a number
         self.last: dict[tuple[str, str], float] = {}  # when the last message one way arrives
         self.cut: set[tuple[str, str]] = set()
-        roll = Roll(1, tuple((name, "0") for name in self.names))
+        config = MembershipConfig(1, tuple((name, "0") for name in self.names))
         for place in self.places.values():
-            place.disk = [Born("f", "0", roll)]
+            place.disk = [IncarnationStarted("f", "0", config)]
             place.synced = 1
             self.start(place)
         self.at(5.0, self.dial)
@@ -76,14 +85,14 @@
         place.epoch += 1
         place.starts += 1
         place.up = True
-        shelf = Shelf("f")
+        state = RecoveredState("f")
         for item in place.disk:
-            shelf.take(record(encode(item)))
+            state.apply(decode_record(encode(item)))
         place.synced, clock = len(place.disk), self.clock(place)
-        place.member = Member(
+        place.member = Replica(
             place.name,
             self.names,
-            shelf,
+            state,
             len(place.disk),
             TASKS,
             TERMS,
@@ -91,7 +100,9 @@
             clock,
         )
         member = place.member
-        self.carry(place, member.start(clock) if place.disk else member.doubted(clock, "nothing is there"))
+        self.carry(
+            place, member.start(clock) if place.disk else member.on_disk_fault(clock, "nothing is there")
+        )
         self.at(self.random.uniform(0, 20), partial(self.tick, place, place.starts))
 
     def kill(self, place: Place) -> None:
@@ -108,7 +119,7 @@
             return
         member, clock = place.member, self.clock(place)
         for task in TASKS:
-            token = member.token(task, clock)
+            token = member.valid_token(task, clock)
             if token is not None:
                 self.history.acts.append(Act(self.now, task, place.name, token, True))
         self.carry(place, member.tick(clock))
@@ -124,16 +135,16 @@
                 if a < b and link not in self.links and fit and not {(a, b), (b, a)} & self.cut:
                     self.count += 1
                     self.links[link] = self.count
-                    hellos = [p.member.hello("f", VERSION) for p in both]
+                    hellos = [p.member.handshake("f", PROTOCOL_VERSION) for p in both]
                     for place, hello in zip(both, reversed(hellos), strict=True):
-                        self.carry(place, place.member.linked(self.clock(place), hello))
+                        self.carry(place, place.member.on_connected(self.clock(place), hello))
 
     def unlink(self, link: frozenset[str]) -> None:
         if self.links.pop(link, None) is not None:
             for name in link:
                 place, (other,) = self.places[name], link - {name}
                 if place.up:
-                    self.carry(place, place.member.unlinked(self.clock(place), other))
+                    self.carry(place, place.member.on_disconnected(self.clock(place), other))
 
     def carry(self, place: Place, actions: list[Action]) -> None:
         for action in actions:
@@ -143,25 +154,25 @@
                 place.disk.append(action.record)
                 delay = self.random.choice((1.0, 5.0, 60.0, 900.0)) * self.random.random()
                 self.at(delay, partial(self.sync, place, place.epoch, len(place.disk)))
-            elif isinstance(action, Cut):
+            elif isinstance(action, Disconnect):
                 self.unlink(frozenset((place.name, action.peer)))
-            elif isinstance(action, Reborn):
+            elif isinstance(action, ReplaceDisk):
                 place.epoch += 1
                 self.at(self.random.uniform(5, 50), partial(self.reborn, place, place.epoch))
-            elif isinstance(action, Told):
+            elif isinstance(action, LogMessage):
                 self.told(place, action)
 
     def sync(self, place: Place, epoch: int, upto: int) -> None:
         if place.up and place.epoch == epoch:
             if not place.lies:
                 place.synced = max(place.synced, upto)
-            self.carry(place, place.member.synced(self.clock(place), upto))
+            self.carry(place, place.member.on_synced(self.clock(place), upto))
 
     def reborn(self, place: Place, epoch: int) -> None:
         if place.up and place.epoch == epoch:
             place.disk, place.synced = [], 0
             incarnation = f"{self.random.getrandbits(40):x}"
-            self.carry(place, place.member.reborn(self.clock(place), incarnation))
+            self.carry(place, place.member.on_disk_replaced(self.clock(place), incarnation))
             for link in [link for link in self.links if place.name in link]:
                 self.unlink(link)
 
@@ -169,7 +180,7 @@
         link, key = frozenset((place.name, to)), (place.name, to)
         if link not in self.links:
             return
-        data, last, number = encode(item), place.member.voter.told, self.links[link]
+        data, last, number = encode(item), place.member.acceptor.reported_record, self.links[link]
         delay = self.random.choice((0.2, 2.0, 30.0, 300.0)) * self.random.random()
         arrives = self.last[key] = max(self.now + delay, self.last.get(key, 0.0))
         self.at(arrives - self.now, partial(self.arrive, key, number, last, data))
@@ -181,9 +192,9 @@
         if self.now < place.held_until:
             self.at(place.held_until - self.now + 0.1, partial(self.arrive, key, number, last, data))
             return
-        self.carry(place, place.member.heard(self.clock(place), key[0], last, message(data)))
+        self.carry(place, place.member.on_message(self.clock(place), key[0], last, decode_message(data)))
 
-    def told(self, place: Place, action: Told) -> None:
+    def told(self, place: Place, action: LogMessage) -> None:
         kv = action.kv
         if action.event == "lease_held":
             begin, end = self.true(place, kv["at"]), self.true(place, kv["until"])
@@ -195,13 +206,15 @@
             self.history.changes.append(Change(kv["register"], *times, kv["before"], kv["after"]))
 
     def all_vote(self) -> bool:
-        return all(p.up and self.now >= p.held_until and p.member.voter.votes for p in self.places.values())
+        return all(
+            p.up and self.now >= p.held_until and p.member.acceptor.may_vote for p in self.places.values()
+        )
 
     def settle(self) -> None:
         until = self.now + 15_000.0
         while not self.all_vote():
             self.run(100.0)
-            assert self.now < until, [place.member.voter.standing() for place in self.places.values()]
+            assert self.now < until, [place.member.acceptor.describe() for place in self.places.values()]
 
     def harm(self) -> None:
         """One drawn fault. A disk is taken while all others know it, and is back before the next fault:
@@ -227,7 +240,7 @@
                 return
             copy = list(place.disk[: place.synced])
             if what == 4:
-                self.carry(place, place.member.doubted(self.clock(place), "EIO"))
+                self.carry(place, place.member.on_disk_fault(self.clock(place), "EIO"))
                 self.settle()
                 return
             place.lies = what == 5
@@ -259,5 +272,5 @@
             world.start(place)
     world.run(12_000.0)
     assert world.history.wrong() == []
-    assert all(place.member.voter.votes for place in world.places.values())
+    assert all(place.member.acceptor.may_vote for place in world.places.values())
     assert {act.task for act in world.history.acts if act.at > world.now - 3000.0} == set(TASKS)
