--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -46,9 +46,16 @@
 from grebestack.cluster_io import log_store as mesh_store
 from grebestack.cluster_io.log_store import Files
 from grebestack.cluster_io.node import Node, NodeSettings
-from grebestack.cluster_io.peer_connection import HEAD, Link
-from grebestack.consensus.log_format import read as read_records
-from grebestack.consensus.messages import Began, Born, Message, Plan, Roll, encode
+from grebestack.cluster_io.peer_connection import HEADER, PeerConnection
+from grebestack.consensus.log_format import read_log as read_records
+from grebestack.consensus.messages import (
+    IncarnationStarted,
+    MembershipConfig,
+    Message,
+    Plan,
+    ProcessStarted,
+    encode,
+)
 from grebestack.consensus.register import Value
 from grebestack.core import api
 from grebestack.core.api import ListKind
@@ -784,11 +791,11 @@
     messages = 0
     bytes = 0
 
-    def heard(self, link: Link, last: int, message: Message) -> None:
+    def on_message(self, connection: PeerConnection, last_record: int, message: Message) -> None:
         """Count it."""
         CountingNode.messages += 1
-        CountingNode.bytes += HEAD.size + len(encode(message))
-        super().heard(link, last, message)
+        CountingNode.bytes += HEADER.size + len(encode(message))
+        super().on_message(connection, last_record, message)
 
 
 class CountingFiles(Files):
@@ -808,16 +815,18 @@
     names = [f"m{n}" for n in range(count)]
     accepting: dict[str, Node] = {}
 
-    def accept(name: str) -> Link:
+    def accept(name: str) -> PeerConnection:
         return accepting[name].accept()
 
     servers = {}
     for name in names:
         servers[name] = await loop.create_server(partial(accept, name), "127.0.0.1", 0)
     ports = {name: ("127.0.0.1", server.sockets[0].getsockname()[1]) for name, server in servers.items()}
-    roll = Roll(1, tuple((name, "founding") for name in names))
+    roll = MembershipConfig(1, tuple((name, "founding") for name in names))
     for name in names:
-        mesh_store.found(str(folder / name), [encode(Born("f", "founding", roll)), encode(Began(0))])
+        mesh_store.create_log(
+            str(folder / name), [encode(IncarnationStarted("f", "founding", roll)), encode(ProcessStarted(0))]
+        )
         others = {other: ports[other] for other in names if other != name}
         node = NodeSettings(name, "f", ports[name], others, str(folder / name))
         accepting[name] = CountingNode(loop, node, CountingFiles())
@@ -825,7 +834,9 @@
         accepting[name].listen(servers[name])
     first = accepting[names[0]]
     until = time.monotonic() + 20.0
-    while not all(node.member.voter.votes and len(node.open) == count - 1 for node in accepting.values()):
+    while not all(
+        node.replica.acceptor.may_vote and len(node.connections) == count - 1 for node in accepting.values()
+    ):
         if time.monotonic() > until:
             raise RuntimeError(f"{count} members did not meet")
         await asyncio.sleep(0.05)
@@ -854,7 +865,7 @@
         def ended(good: bool, value: Value) -> None:
             done.set_result(good)
 
-        first.change("bench", lambda value: plan, ended)
+        first.propose("bench", lambda value: plan, ended)
         failed += not await done
         return (time.monotonic() - began) * 1000.0
 
@@ -940,7 +951,7 @@
                 raise RuntimeError(f"{member.name} has ended: {said[-1:]}")
         spent = sum(cpu_s(member.process.pid) for member in members if member.process is not None)
         log = cluster.logs(cluster.names[0])[-1]
-        last = read_records(log.read_bytes(), int(log.stem.partition("-")[2], 16)).last
+        last = read_records(log.read_bytes(), int(log.stem.partition("-")[2], 16)).last_sequence
         return spent, float(last), time.monotonic()
 
     for member in members:
--- a/grebestack/audit/reading.py
+++ b/grebestack/audit/reading.py
@@ -9,7 +9,7 @@
 
 from grebestack.audit.records import VERSION, Act, Gap, Head, Item, Turned, decode
 from grebestack.audit.version_sets import Stamp
-from grebestack.consensus.log_format import read
+from grebestack.consensus.log_format import read_log
 
 MAGIC = b"grebestack audit 1\n"
 
@@ -84,9 +84,9 @@
 
     def take(self, name: str, data: bytes) -> None:
         """Read one segment."""
-        got, doubts = read(data, 1, MAGIC), self.record.doubts
-        if got.doubt:
-            doubts.append(f"{name}: {got.doubt}; what follows in it is not known")
+        got, doubts = read_log(data, 1, MAGIC), self.record.doubts
+        if got.corruption:
+            doubts.append(f"{name}: {got.corruption}; what follows in it is not known")
         self.stamps = {}
         for payload in got.payloads:
             try:
@@ -99,7 +99,7 @@
                     doubts.append(f"{name}: of version {item.version}; this program reads {VERSION}")
                     return
                 self._item(name, item)
-        if got.torn:
+        if got.has_torn_end:
             doubts.append(f"{name}: its end is torn")
 
     def _item(self, name: str, item: Item) -> None:
--- a/grebestack/cluster_io/config_store.py
+++ b/grebestack/cluster_io/config_store.py
@@ -17,9 +17,16 @@
 
 import msgspec
 
-from grebestack.cluster_io.log_store import ASIDE, CLOSE_S, KEPT_ASIDE, Files, sync_folder, take
+from grebestack.cluster_io.log_store import (
+    CLOSE_TIMEOUT_S,
+    MAX_QUARANTINED_FILES,
+    QUARANTINE_PREFIX,
+    Files,
+    lock_folder,
+    sync_folder,
+)
 from grebestack.config_distribution.versions import Version, check, digest_of
-from grebestack.consensus.log_format import frame, read
+from grebestack.consensus.log_format import encode_record, read_log
 
 MAGIC = b"grebestack configuration 1\n"
 VERSION, KEPT, NEW, LIFE = "version-", "kept-", ".new", "life"
@@ -58,7 +65,7 @@
 
     def open(self) -> Held:
         """Take the folder and read it. OSError: there is none to be had; FolderTakenError: in use."""
-        self.lock = take(self.folder)
+        self.lock = lock_folder(self.folder)
         versions, kept, doubts = list[tuple[Version, bytes]](), dict[str, bytes](), list[str]()
         for name in sorted(os.listdir(self.folder)):
             path = os.path.join(self.folder, name)
@@ -102,7 +109,7 @@
         """Write what is queued, then let go of the folder."""
         self.queue.put(None)
         if self.thread.is_alive():
-            self.thread.join(CLOSE_S)
+            self.thread.join(CLOSE_TIMEOUT_S)
         if self.lock >= 0:
             os.close(self.lock)
             self.lock = -1
@@ -110,9 +117,9 @@
     # Reading.
 
     def _payloads(self, path: str, count: int) -> tuple[bytes, ...]:
-        got = read(self.files.read(path), magic=MAGIC)
-        if got.doubt or got.torn or len(got.payloads) != count:
-            raise DoubtError(got.doubt or f"it has {len(got.payloads)} whole records, not {count}")
+        got = read_log(self.files.read(path), magic=MAGIC)
+        if got.corruption or got.has_torn_end or len(got.payloads) != count:
+            raise DoubtError(got.corruption or f"it has {len(got.payloads)} whole records, not {count}")
         return got.payloads
 
     def _version(self, path: str) -> tuple[Version, bytes]:
@@ -164,7 +171,7 @@
         fd = self.files.open(new)
         try:
             os.ftruncate(fd, 0)
-            data = b"".join(frame(n, payload) for n, payload in enumerate(payloads, 1))
+            data = b"".join(encode_record(n, payload) for n, payload in enumerate(payloads, 1))
             self.files.append(fd, MAGIC + data)
             self.files.sync(fd)
         finally:
@@ -188,11 +195,11 @@
             os.unlink(self._path(name))
 
     def _put_aside(self, name: str) -> None:
-        aside = sorted(n for n in os.listdir(self.folder) if n.startswith(ASIDE))
-        number = int(aside[-1][len(ASIDE) :].split("-")[0]) + 1 if aside else 1
+        aside = sorted(n for n in os.listdir(self.folder) if n.startswith(QUARANTINE_PREFIX))
+        number = int(aside[-1][len(QUARANTINE_PREFIX) :].split("-")[0]) + 1 if aside else 1
         try:
-            os.rename(self._path(name), self._path(f"{ASIDE}{number:06d}-{name}"))
-            for old in aside[: max(0, len(aside) + 1 - KEPT_ASIDE)]:
+            os.rename(self._path(name), self._path(f"{QUARANTINE_PREFIX}{number:06d}-{name}"))
+            for old in aside[: max(0, len(aside) + 1 - MAX_QUARANTINED_FILES)]:
                 self._remove(old)
         except OSError:
             pass  # it is looked at again at the next start
--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Mapping
 from functools import partial
 
-from grebestack.cluster_io.action_runner import Turns
+from grebestack.cluster_io.action_runner import ActionRunner
 from grebestack.cluster_io.config_store import Contents
 from grebestack.cluster_io.follower_client import OwnRelay, Take
 from grebestack.cluster_io.log_store import Files
 from grebestack.cluster_io.node import Node
-from grebestack.cluster_io.runtime import tell
+from grebestack.cluster_io.runtime import write_log
 from grebestack.config_distribution.actions import (
     Apply,
     ConfigurationAction,
@@ -43,19 +43,19 @@
     def __init__(self, node: Node, folder: str, take: Take, files: Files | None = None) -> None:
         self.node, self.loop, self.clock, self.take = node, node.loop, node.clock, take
         settings = node.settings
-        self.contents = Contents(node.loop, folder, settings.fleet, files)
+        self.contents = Contents(node.loop, folder, settings.cluster, files)
         self.held = self.contents.open()
         for doubt in self.held.doubts:
             log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
         self.voter = ConfigurationVoter(
-            settings.name, settings.fleet, self.held.life, node.random, self.clock()
+            settings.name, settings.cluster, self.held.life, node.random, self.clock()
         )
         self.relay: OwnRelay | None = None
         self.settled: Callable[[], None] = lambda: None  # called once a version or a majority's word has come
         self.tickets = 0
         self.asked: dict[int, Callable[[Outcome], None]] = {}  # by ticket
         self.counted = dict.fromkeys(("messages_in", "messages_out", "bytes_in", "bytes_out"), 0)
-        self.turns: Turns[ConfigurationAction] = Turns(
+        self.turns: ActionRunner[ConfigurationAction] = ActionRunner(
             self.loop, self.clock, self.voter, self._do, lambda: self.voter.tick(self.clock(), self._view())
         )
 
@@ -75,7 +75,7 @@
 
     def start(self) -> None:
         """Begin."""
-        self.node.words[TASK] = self._word
+        self.node.message_handlers[TASK] = self._word
         self.turns.run(self.voter.start(self.clock(), list(self.held.versions), self.held.kept))
 
     def stop(self) -> None:
@@ -97,16 +97,16 @@
 
     def _view(self) -> View:
         """This voter's disk and set, at this moment."""
-        member = self.node.member
-        slot = member.voter.shelf.slots.get(REGISTER)
+        member = self.node.replica
+        slot = member.acceptor.state.registers.get(REGISTER)
         accepted = slot.value.number if slot is not None and isinstance(slot.value, Version) else 0
-        roll = member.roll
+        roll = member.config
         return View(
-            accepted if member.voter.votes else -1,
+            accepted if member.acceptor.may_vote else -1,
             roll.epoch,
             roll.names(),
-            roll.majority,
-            frozenset(self.node.open),
+            roll.quorum_size,
+            frozenset(self.node.connections),
         )
 
     def _word(self, name: str, body: bytes) -> None:
@@ -119,7 +119,7 @@
         if isinstance(action, Tell):
             self.counted["messages_out"] += 1
             self.counted["bytes_out"] += len(action.body)
-            self.node.say(action.to, TASK, action.body)
+            self.node.send_task_message(action.to, TASK, action.body)
         elif isinstance(action, Keep):
             self.contents.keep(action.digest, action.contents, partial(self._kept, action.digest))
         elif isinstance(action, Discard):
@@ -139,12 +139,12 @@
                 self.relay.confirmed(action.at_ms)
             self.settled()
         elif isinstance(action, Decide):
-            self.node.change(REGISTER, change(action.version), self._registered)
+            self.node.propose(REGISTER, change(action.version), self._registered)
         elif isinstance(action, Outcome):
             if (ended := self.asked.pop(action.ticket, None)) is not None:
                 ended(action)
         else:
-            tell(action)
+            write_log(action)
 
     def _kept(self, digest: str, why: str) -> None:
         if not self.turns.stopped:
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -12,12 +12,12 @@
 from random import Random
 from typing import Protocol
 
-from grebestack.cluster_io.action_runner import Turns
+from grebestack.cluster_io.action_runner import ActionRunner
 from grebestack.cluster_io.config_store import Contents, Held
-from grebestack.cluster_io.framing import Opening, Traffic
+from grebestack.cluster_io.framing import ConnectionAttempt, Traffic
 from grebestack.cluster_io.log_store import Files
 from grebestack.cluster_io.relay_connection import FeedLink
-from grebestack.cluster_io.runtime import monotonic_ms, tell
+from grebestack.cluster_io.runtime import monotonic_ms, write_log
 from grebestack.config_distribution.actions import (
     Apply,
     Close,
@@ -103,8 +103,8 @@
         self.traffic = Traffic()
         self.dials = 0
         self.link: FeedLink | None = None
-        self.opening: Opening | None = None
-        self.turns: Turns[FollowerAction] = Turns(
+        self.opening: ConnectionAttempt | None = None
+        self.turns: ActionRunner[FollowerAction] = ActionRunner(
             self.loop, self.clock, self.follower, self._do, lambda: self.follower.tick(self.clock())
         )
 
@@ -185,7 +185,7 @@
         elif isinstance(action, Gathered):
             self.turns.run(self.follower.tallied(self.clock(), action.tally))
         else:
-            tell(action)
+            write_log(action)
 
     def _dial(self, dial: Dial) -> None:
         if self.link is not None:
@@ -193,7 +193,7 @@
         self.dials += 1
         self.link = link = FeedLink(self.loop, self, dial.link, self.traffic)
         address = self.settings.relays[dial.relay].address
-        self.opening = Opening(self.loop, link, address, partial(self.ended, link))
+        self.opening = ConnectionAttempt(self.loop, link, address, partial(self.ended, link))
 
     def _store(self, store: Store) -> None:
         number = store.version.number
--- a/grebestack/cluster_io/relay_connection.py
+++ b/grebestack/cluster_io/relay_connection.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from grebestack.cluster_io.framing import Frames, Traffic
+from grebestack.cluster_io.framing import FramedConnection, Traffic
 from grebestack.config_distribution.messages import FORM, MOST, Said, decode
 from grebestack.config_distribution.timeouts import GREET_MS
 
@@ -25,10 +25,10 @@
         """The connection has ended; called once for each that was up."""
 
 
-class FeedLink(Frames):
+class FeedLink(FramedConnection):
     """Whole messages each way; `number` is what the pure part knows it by."""
 
-    most, most_queued, greet_s = MOST, 2 * MOST, GREET_MS / 1000.0
+    max_message_bytes, max_queued_bytes, handshake_timeout_s = MOST, 2 * MOST, GREET_MS / 1000.0
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, owner: FeedOwner, number: int, traffic: Traffic
@@ -36,20 +36,20 @@
         super().__init__(loop, traffic)
         self.owner, self.number = owner, number
 
-    def begin(self) -> None:
+    def on_connected(self) -> None:
         """The connection is up."""
         self.owner.connected(self)
 
-    def whole(self, data: bytes, *fields: int) -> None:
+    def on_frame(self, data: bytes, *fields: int) -> None:
         """A message has come."""
         try:
             item = decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             self.close(f"no message of form {FORM}: {error}")
             return
-        self.welcome()
+        self.complete_handshake()
         self.owner.heard(self, item)
 
-    def over(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         """The connection has ended."""
         self.owner.ended(self, why)
--- a/grebestack/cluster_io/relay_server.py
+++ b/grebestack/cluster_io/relay_server.py
@@ -6,10 +6,10 @@
 import logging
 from collections.abc import Callable
 
-from grebestack.cluster_io.action_runner import Turns
+from grebestack.cluster_io.action_runner import ActionRunner
 from grebestack.cluster_io.framing import Traffic
 from grebestack.cluster_io.relay_connection import FeedLink
-from grebestack.cluster_io.runtime import monotonic_ms, tell
+from grebestack.cluster_io.runtime import monotonic_ms, write_log
 from grebestack.config_distribution.actions import Close, Gathered, RelayAction, Say
 from grebestack.config_distribution.messages import Said, Tally, encode
 from grebestack.config_distribution.relay import Relay
@@ -36,7 +36,7 @@
         self.numbers = 0
         self.traffic = Traffic()
         self.server: asyncio.Server | None = None
-        self.turns: Turns[RelayAction] = Turns(
+        self.turns: ActionRunner[RelayAction] = ActionRunner(
             loop, clock, relay, self._do, lambda: self.relay.tick(self.clock())
         )
         self.last: tuple[Said | None, bytes] = None, b""  # a push to all is encoded once
@@ -100,8 +100,8 @@
                 link.write(self.last[1])
         elif isinstance(action, Close):
             if (link := self.links.pop(action.link, None)) is not None:
-                link.leave(action.why)  # it may have just been told why
+                link.close_after_writing(action.why)  # it may have just been told why
         elif isinstance(action, Gathered):
             self.gathered(action.tally)
         else:
-            tell(action)
+            write_log(action)
--- a/grebestack/config_distribution/actions.py
+++ b/grebestack/config_distribution/actions.py
@@ -6,7 +6,7 @@
 
 from grebestack.config_distribution.messages import Said, Tally
 from grebestack.config_distribution.versions import Version
-from grebestack.consensus.actions import Told
+from grebestack.consensus.actions import LogMessage
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,6 +130,8 @@
     held_by: tuple[str, ...] = ()  # voters that hold the contents
 
 
-FollowerAction = Dial | Say | Close | Store | Apply | Offer | Confirmed | Told
-RelayAction = Say | Close | Gathered | Told
-ConfigurationAction = Tell | Keep | Discard | Store | Apply | Offer | Confirmed | Decide | Outcome | Told
+FollowerAction = Dial | Say | Close | Store | Apply | Offer | Confirmed | LogMessage
+RelayAction = Say | Close | Gathered | LogMessage
+ConfigurationAction = (
+    Tell | Keep | Discard | Store | Apply | Offer | Confirmed | Decide | Outcome | LogMessage
+)
--- a/grebestack/config_distribution/configuration.py
+++ b/grebestack/config_distribution/configuration.py
@@ -39,7 +39,7 @@
     sound,
     wrong,
 )
-from grebestack.consensus.actions import Told
+from grebestack.consensus.actions import LogMessage
 from grebestack.consensus.register import Change, Value
 
 REGISTER = "configuration"
@@ -215,7 +215,7 @@
                 self.kept_here[digest] = contents, now_ms
         for version, contents in disk:
             if why := check(version, contents):
-                actions.append(Told("configuration_disk", {"number": version.number, "why": why}))
+                actions.append(LogMessage("configuration_disk", {"number": version.number, "why": why}))
             else:
                 self.disk += ((version, contents),)
         self.disk = tuple(sorted(self.disk, key=lambda held: -held[0].number))
@@ -235,7 +235,7 @@
         proposal = self.proposal
         mine = proposal is not None and proposal.version.digest == digest
         if why:
-            told = Told("configuration_not_kept", {"digest": digest, "why": why})
+            told = LogMessage("configuration_not_kept", {"digest": digest, "why": why})
             return [told, *self._end(False, f"the contents are not on this disk: {why}")] if mine else [told]
         self.kept_here[digest] = contents, now_ms
         actions: list[ConfigurationAction] = [self._say(name, Kept(digest)) for name in sorted(names)]
@@ -252,7 +252,7 @@
             return []
         actions: list[ConfigurationAction] = []
         if why:
-            actions.append(Told("configuration_not_stored", {"number": number, "why": why}))
+            actions.append(LogMessage("configuration_not_stored", {"number": number, "why": why}))
         else:
             actions += self._discard(now_ms, self.pending[0].digest)
         self.step = "applying"
@@ -265,7 +265,7 @@
         (version, _), self.pending, self.step = self.pending, None, ""
         if why:
             self.refused, self.refused_why = number, why
-            told = Told("configuration_refused", {"number": number, "why": why})
+            told = LogMessage("configuration_refused", {"number": number, "why": why})
             self.disk = tuple(held for held in self.disk if held[0].number != number)
             if self.disk and self.version.number <= number:  # what was in force before the last start
                 self.pending, self.step = self.disk[0], "applying"
@@ -273,7 +273,7 @@
         else:
             self.in_force, self.disk = version, ()
             kv = {"number": number, "digest": version.digest, "by": version.by, "relay": ""}
-            told = Told("configuration_in_force", kv)
+            told = LogMessage("configuration_in_force", kv)
         return [told, *self._begin()]
 
     def _begin(self) -> list[ConfigurationAction]:
@@ -720,7 +720,7 @@
         if key in self.noted or len(self.noted) >= MOST_NAMES:
             return []
         self.noted |= {key}
-        return [Told("configuration_wrong", {"voter": by, "why": why})]
+        return [LogMessage("configuration_wrong", {"voter": by, "why": why})]
 
 
 def _rank(told: Entry, linked: bool) -> tuple[bool, int, float]:
--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -39,7 +39,7 @@
     Welcome,
 )
 from grebestack.config_distribution.versions import NO_VERSION, Version, apply_delta, check, sound, wrong
-from grebestack.consensus.actions import Told
+from grebestack.consensus.actions import LogMessage
 
 Held = tuple[Version, bytes]
 PAUSED, DIALLING, GREETING, LINKED = "paused", "dialling", "greeting", "linked"
@@ -133,7 +133,7 @@
         sound_ones = []
         for version, contents in disk:
             if why := check(version, contents):
-                actions.append(Told("configuration_disk", {"number": version.number, "why": why}))
+                actions.append(LogMessage("configuration_disk", {"number": version.number, "why": why}))
             else:
                 sound_ones.append((version, contents))
         self.disk = tuple(sorted(sound_ones, key=lambda held: -held[0].number))
@@ -150,7 +150,7 @@
             return []
         actions: list[FollowerAction] = []
         if why:  # it serves under it all the same
-            actions.append(Told("configuration_not_stored", {"number": number, "why": why}))
+            actions.append(LogMessage("configuration_not_stored", {"number": number, "why": why}))
         self.step = APPLYING
         return [*actions, Apply(*self.pending)]
 
@@ -162,7 +162,7 @@
         actions: list[FollowerAction] = []
         if why:
             self.refused, self.refused_why = number, why[:MOST_WHY]
-            actions.append(Told("configuration_refused", {"number": number, "why": why}))
+            actions.append(LogMessage("configuration_refused", {"number": number, "why": why}))
             if number >= self.newer:
                 self.newer = 0
         else:
@@ -173,7 +173,7 @@
             if self.refused <= number:
                 self.refused, self.refused_why = 0, ""
             kv = {"number": number, "digest": version.digest, "by": version.by, "relay": self.relay}
-            actions.append(Told("configuration_in_force", kv))
+            actions.append(LogMessage("configuration_in_force", kv))
         if self.state == LINKED:
             actions += self._poll(now_ms)
         return actions + self._begin(now_ms)
@@ -225,7 +225,7 @@
         self.floor = max(self.floor, message.floor)
         self.state, self.deadline_ms, self.newer = LINKED, now_ms + timeouts.ANSWER_MS, 0
         self.home_ms = inf if self.relay == self.order[0] else now_ms + self.random.uniform(*timeouts.HOME_MS)
-        return [Told("configuration_linked", {"relay": self.relay}, detail=True)]
+        return [LogMessage("configuration_linked", {"relay": self.relay}, detail=True)]
 
     def _word(self, now_ms: float, number: int, confirmed_ms: int) -> list[FollowerAction]:
         """The relay says which number it has, and when that was known to be the newest."""
@@ -376,7 +376,7 @@
     def _leave(self, now_ms: float, why: str, closed: bool = False) -> list[FollowerAction]:
         """The relay is no good: another one after a pause."""
         kv = {"relay": self.relay, "why": why}
-        told = Told("configuration_link_ended", kv, detail=self.state != LINKED)
+        told = LogMessage("configuration_link_ended", kv, detail=self.state != LINKED)
         actions: list[FollowerAction] = [told] if closed else [told, Close(self.link, why)]
         self.tried |= {self.relay}
         most = min(timeouts.PAUSE_MS[1] * 2.0 ** min(self.tries, 10), timeouts.PAUSE_MOST_MS)
@@ -390,7 +390,7 @@
         return [*self._wrong(why), *self._leave(now_ms, why)]
 
     def _wrong(self, why: str) -> list[FollowerAction]:
-        return [Told("configuration_wrong", {"relay": self.relay, "why": why})]
+        return [LogMessage("configuration_wrong", {"relay": self.relay, "why": why})]
 
     def _note(self, key: str, why: str) -> list[FollowerAction]:
         """As `_wrong`, once for each thing."""
--- a/grebestack/config_distribution/relay.py
+++ b/grebestack/config_distribution/relay.py
@@ -36,7 +36,7 @@
     delta_between,
     wrong,
 )
-from grebestack.consensus.actions import Told
+from grebestack.consensus.actions import LogMessage
 
 MOST_FOLLOWERS = 2048
 MOST_NAME = 128
@@ -107,7 +107,7 @@
     def offer(self, now_ms: float, version: Version, contents: bytes) -> list[RelayAction]:
         """A decided version, checked: pushed at once if it is newer."""
         if why := check(version, contents):
-            return [Told("configuration_wrong", {"relay": self.name, "why": why})]
+            return [LogMessage("configuration_wrong", {"relay": self.name, "why": why})]
         if version.number <= self.version.number:
             return []
         self.version, self.contents = version, contents
@@ -261,7 +261,7 @@
             self.changed.add(seat.name)
             if poll.refused and poll.refused != seat.refused:
                 kv = {"follower": seat.name, "number": poll.refused, "why": poll.why}
-                actions.append(Told("configuration_follower_refuses", kv))
+                actions.append(LogMessage("configuration_follower_refuses", kv))
         behind = None if poll.number >= self.version.number else seat.behind_ms
         if behind is None and poll.number < self.version.number:
             behind = now_ms
@@ -289,7 +289,7 @@
         seat = self._leave(now_ms, link)
         if seat is None:
             return []
-        return [Told("configuration_follower_lost", {"follower": seat.name, "why": why}, detail=True)]
+        return [LogMessage("configuration_follower_lost", {"follower": seat.name, "why": why}, detail=True)]
 
     def _leave(self, now_ms: float, link: int) -> Seat | None:
         seat = self.seats.pop(link, None)
@@ -307,13 +307,16 @@
         return self._spoilt(link, seat.name if seat is not None else "", why)
 
     def _spoilt(self, link: int, name: str, why: str) -> list[RelayAction]:
-        return [Told("configuration_wrong", {"follower": name[:MOST_NAME], "why": why}), Close(link, why)]
+        return [
+            LogMessage("configuration_wrong", {"follower": name[:MOST_NAME], "why": why}),
+            Close(link, why),
+        ]
 
     def _note(self, key: str, name: str, why: str) -> list[RelayAction]:
         if key in self.noted:
             return []
         self.noted = (self.noted if len(self.noted) < MOST_STANDINGS else frozenset()) | {key}
-        return [Told("configuration_wrong", {"follower": name, "why": why})]
+        return [LogMessage("configuration_wrong", {"follower": name, "why": why})]
 
     # Time.
 
@@ -355,7 +358,7 @@
         for link, seat in list(self.seats.items()):
             if now_ms - seat.heard_ms >= timeouts.OVERDUE_MS:
                 self._leave(now_ms, link)
-                told = Told("configuration_follower_lost", {"follower": seat.name, "why": why})
+                told = LogMessage("configuration_follower_lost", {"follower": seat.name, "why": why})
                 actions += [told, Close(link, why)]
         for name, seat in list(self.gone.items()):
             if now_ms - seat.heard_ms >= timeouts.FORGET_MS:
--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -19,8 +19,8 @@
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.records import OF_OPERATORS
 from grebestack.audit.version_sets import Stamp, Stamps, digest
-from grebestack.cluster_io.log_store import Files, FolderTakenError, take
-from grebestack.consensus.log_format import frame
+from grebestack.cluster_io.log_store import Files, FolderTakenError, lock_folder
+from grebestack.consensus.log_format import encode_record
 from grebestack.core.api import ListKind, WorkerEntry
 from grebestack.program.config import AuditConfig, StartError
 from grebestack.routing.requests import Session
@@ -73,7 +73,7 @@
         if self.fd < 0:
             raise OSError("no segment is open")
         self.sequence += 1
-        self.files.append(self.fd, (MAGIC if fresh else b"") + frame(self.sequence, data))
+        self.files.append(self.fd, (MAGIC if fresh else b"") + encode_record(self.sequence, data))
         self.files.sync(self.fd)
 
     def _make_room(self) -> None:
@@ -105,7 +105,7 @@
     def __init__(self, dispatcher: Dispatcher, config: AuditConfig) -> None:
         self.dispatcher, self.config = dispatcher, config
         try:
-            self.lock = take(config.folder)
+            self.lock = lock_folder(config.folder)
             names = segments(config.folder)
         except (OSError, FolderTakenError) as error:
             why = f"{config.folder} can't be used, or is another's: {error}"
@@ -163,8 +163,8 @@
 
     def _acted(self, what: str, session: Session, server: str) -> None:
         fleet = self.dispatcher.fleet
-        if fleet is not None and fleet.node.member.roll.epoch != self.stamps.current.epoch:
-            self._turn(epoch=fleet.node.member.roll.epoch)
+        if fleet is not None and fleet.node.replica.config.epoch != self.stamps.current.epoch:
+            self._turn(epoch=fleet.node.replica.config.epoch)
         self.recorder.act(self._now(), what, session.call_id[:MOST_CALL], server)
 
     def operated(self, call: Call) -> None:
--- a/grebestack/program/cluster_member.py
+++ b/grebestack/program/cluster_member.py
@@ -16,8 +16,14 @@
 from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.cluster_tasks.metrics_export import Ask, Counts, Export, Tallies, word
 from grebestack.cluster_tasks.rolling_restart import Pace
-from grebestack.consensus.lease import Terms
-from grebestack.consensus.messages import Began, Born, Record, Roll, encode
+from grebestack.consensus.lease import LeaseTerms
+from grebestack.consensus.messages import (
+    IncarnationStarted,
+    LogRecord,
+    MembershipConfig,
+    ProcessStarted,
+    encode,
+)
 from grebestack.program import rolling_restart, shared_discovery
 from grebestack.program.cluster_task import Attendance
 from grebestack.program.config import Config, ConfigError, FleetConfig, StartError, TalliesConfig
@@ -48,7 +54,7 @@
 
     def begin(self) -> bytes | None:
         """A connection is up: the act. The lease is looked at here, and nowhere before."""
-        if self.over or self.owner.node.token(self.export.task) != self.export.token:
+        if self.over or self.owner.node.valid_token(self.export.task) != self.export.token:
             self.end("the lease is over")
             return None
         body = msgspec.json.encode(self.export)
@@ -66,7 +72,7 @@
     def answered(self, response: Response) -> None:
         """The collector's word: 409 says that a later token has been there."""
         if response.status == 409:
-            self.owner.node.fenced(self.export.task)
+            self.owner.node.on_fenced(self.export.task)
             self.end("a later holder has acted")
         else:
             self.end("" if response.status < 300 else f"status {response.status}")
@@ -100,7 +106,7 @@
     ) -> None:
         self.node, self.config, self.pools, self.clock, self.counts = node, config, pools, clock, counts
         s = node.settings
-        self.tallies = Tallies(s.fleet, task, s.name, config.every_s * 1000.0)
+        self.tallies = Tallies(s.cluster, task, s.name, config.every_s * 1000.0)
         self.post: Post | None = None
         self.failed = ""
         self.attendance = Attendance(node, clock, task, word, self._heard, self._look)
@@ -112,12 +118,14 @@
             self.tallies.heard(name, item)
             self.attendance.look()
         else:
-            counts = Counts(item.number, self.node.member.life, dict(self.counts()))
+            counts = Counts(item.number, self.node.replica.process_incarnation, dict(self.counts()))
             self.attendance.say(msgspec.msgpack.encode(counts), name)
 
     def _look(self, now: float) -> float:
-        names, others = self.node.member.roll.names(), frozenset(self.node.open)
-        if self.tallies.tick(now, self.node.token(self.tallies.task), self.counts(), others & names, names):
+        names, others = self.node.replica.config.names(), frozenset(self.node.connections)
+        if self.tallies.tick(
+            now, self.node.valid_token(self.tallies.task), self.counts(), others & names, names
+        ):
             self.attendance.say(msgspec.msgpack.encode(Ask(self.tallies.number)))
         self._export()
         return min(max(1.0, self.tallies.due_ms(now) - now), LOOK_MS)
@@ -154,7 +162,7 @@
 
     def __init__(self, dispatcher: Dispatcher, config: FleetConfig) -> None:
         self.dispatcher, self.config = dispatcher, config
-        terms = Terms(config.term_s * 1000.0, config.drift, config.guard_ms)
+        terms = LeaseTerms(config.term_s * 1000.0, config.drift, config.guard_ms)
         exports = EXPORTS if config.tallies is not None else ()
         tasks = (*exports, rolling_restart.TASK, *((shared_discovery.TASK,) if config.share_servers else ()))
         settings = NodeSettings(
@@ -198,22 +206,22 @@
 
     def drop(self, name: str) -> Answer:
         """Take a member out of the set: the others agree on a set without it, which `shown` tells."""
-        member = self.node.member
-        if self.node.open.get(name) is not None or name == self.node.settings.name:
+        member = self.node.replica
+        if self.node.connections.get(name) is not None or name == self.node.settings.name:
             return Answer(False, f"{name} is connected: stop it first, or it is admitted again")
-        why = member.drop(name)
-        if not why and not member.voter.votes:
-            why = f"{self.node.settings.name} itself {member.voter.standing()}"
-        done = f"{name} leaves the set; `fleet` shows the epoch after {member.roll.epoch}"
+        why = member.remove_member(name)
+        if not why and not member.acceptor.may_vote:
+            why = f"{self.node.settings.name} itself {member.acceptor.describe()}"
+        done = f"{name} leaves the set; `fleet` shows the epoch after {member.config.epoch}"
         return Answer(not why, why or done)
 
     def members(self) -> dict[str, Any]:
         """The set in force and all members, as this one sees them."""
-        member, now = self.node.member, self.node.clock()
-        names, configuring = member.roll.names(), self.dispatcher.configuring
+        member, now = self.node.replica, self.node.clock()
+        names, configuring = member.config.names(), self.dispatcher.configuring
         return {
-            "epoch": member.roll.epoch,
-            "majority_heard": member.quorum(now),
+            "epoch": member.config.epoch,
+            "majority_heard": member.has_quorum(now),
             "configuration": [] if configuring is None else configuring.lines(),
             "members": [
                 {"member": name, "state": state, "in_set": name in names}
@@ -224,16 +232,16 @@
     def tasks_held(self) -> dict[str, Any]:
         """The tasks and their holders: what this member knows, which may be old without a majority."""
         now, rows = self.node.clock(), list[dict[str, Any]]()
-        for task, tenure in sorted(self.node.member.tenures.items()):
-            token = tenure.token(now)
+        for task, tenure in sorted(self.node.replica.leases.holders.items()):
+            token = tenure.valid_token(now)
             row: dict[str, Any] = dict.fromkeys(("task", "holder", "token", "more_s", "seen_s_ago"))
             row["task"] = task
             if token is not None:
-                left_s = (tenure.until_ms - now) / 1000.0
+                left_s = (tenure.valid_until_ms - now) / 1000.0
                 row |= {"holder": self.node.settings.name, "token": token, "more_s": round(left_s, 1)}
-            elif tenure.known:
-                ago_s = (now - tenure.seen_ms) / 1000.0
-                row |= {"holder": tenure.seen.holder or "nobody", "token": tenure.seen.token}
+            elif tenure.has_observed:
+                ago_s = (now - tenure.observed_ms) / 1000.0
+                row |= {"holder": tenure.observed.holder or "nobody", "token": tenure.observed.token}
                 row |= {"seen_s_ago": round(ago_s, 1)}
             rows.append(row)
         return {"tasks": rows, "restart": self.paced.shown()}
@@ -267,10 +275,10 @@
     if config.fleet is None:
         raise ConfigError("the file has no [fleet]")
     names = sorted({config.name, *config.fleet.members})
-    roll = Roll(1, tuple((name, FOUNDING) for name in names))
-    records: list[Record] = [Born(config.fleet.name, FOUNDING, roll), Began(0)]
+    roll = MembershipConfig(1, tuple((name, FOUNDING) for name in names))
+    records: list[LogRecord] = [IncarnationStarted(config.fleet.name, FOUNDING, roll), ProcessStarted(0)]
     try:
-        log_store.found(config.fleet.folder, [encode(record) for record in records])
+        log_store.create_log(config.fleet.folder, [encode(record) for record in records])
     except OSError as error:
         raise ConfigError(str(error)) from error
     fleet = config.fleet
--- a/grebestack/program/cluster_task.py
+++ b/grebestack/program/cluster_task.py
@@ -38,7 +38,7 @@
 
     def begin(self) -> None:
         """Attend from now on."""
-        self.node.words[self.task], self.node.turned[self.task] = self._said, self.look
+        self.node.message_handlers[self.task], self.node.lease_listeners[self.task] = self._said, self.look
         self.look()
 
     def look(self) -> None:
@@ -51,8 +51,8 @@
 
     def say(self, body: bytes, to: str = "") -> None:
         """Say something to the task of one member, or of all that are connected."""
-        for name in [to] if to else list(self.node.open):
-            self.node.say(name, self.task, body)
+        for name in [to] if to else list(self.node.connections):
+            self.node.send_task_message(name, self.task, body)
 
     def _said(self, name: str, body: bytes) -> None:
         try:
--- a/grebestack/program/rolling_restart.py
+++ b/grebestack/program/rolling_restart.py
@@ -69,37 +69,37 @@
         self.attendance = Attendance(node, self.clock, TASK, said, self._heard, self._look)
 
     def _look(self, now: float) -> float:
-        mine = State(self.node.member.life, self.dispatcher.life.ready)
+        mine = State(self.node.replica.process_incarnation, self.dispatcher.life.ready)
         self.known[self.node.settings.name] = Known(mine, now)
         if now >= self.tell_ms:
             self.tell_ms = now + LOOK_MS
             self.attendance.say(msgspec.msgpack.encode(mine))
         self._line(now)
-        token = self.node.token(TASK)
+        token = self.node.valid_token(TASK)
         for act in self.pacing.tick(now, token, self.known):
             if isinstance(act, Ask):
-                self.node.change(REGISTER, act.change, partial(self._asked, token))
+                self.node.propose(REGISTER, act.change, partial(self._asked, token))
             elif isinstance(act, HandOver):
                 log.info("fleet_restart", extra={"kv": {"hands_over_to": act.to}})
                 self.wait_ms = now + 2.0 * self.node.settings.terms.term_ms
                 self.node.release(TASK, act.to)
-            elif self.node.token(TASK) == token:
+            elif self.node.valid_token(TASK) == token:
                 self.attendance.say(msgspec.msgpack.encode(act.go), act.name)
         return LOOK_MS if token is None else ACT_MS
 
     def _plan(self) -> Plan | None:
         """The plan as this member's disk has it."""
-        slot = self.node.member.voter.shelf.slots.get(REGISTER)
+        slot = self.node.replica.acceptor.state.registers.get(REGISTER)
         return slot.value if slot is not None and isinstance(slot.value, Plan) else None
 
     def _line(self, now: float) -> None:
         """Stand in line for the task while there is something to do: a lease costs all members syncs."""
-        plan, wanted = self._plan(), self.node.member.tenures[TASK].wanted
+        plan, wanted = self._plan(), self.node.replica.leases.holders[TASK].is_candidate
         goes_on = plan is not None and plan.state == GOES_ON
         if wanted and not goes_on:
             self.node.release(TASK)
         elif goes_on and not wanted and not self.going and now >= self.wait_ms:
-            self.node.want(TASK)
+            self.node.become_candidate(TASK)
 
     def _asked(self, token: int | None, known: bool, value: Value) -> None:
         former = self.pacing.plan
@@ -115,7 +115,7 @@
             self._go(name, item)
 
     def _go(self, name: str, go: Go) -> None:
-        if go.token < self.highest or go.life != self.node.member.life or self.going:
+        if go.token < self.highest or go.life != self.node.replica.process_incarnation or self.going:
             return
         self.highest, self.going = go.token, True
         log.info("fleet_restart", extra={"kv": {"told_by": name, "number": go.number}})
@@ -128,7 +128,7 @@
 
     def begin(self, reply: Callable[[Answer], None]) -> None:
         """An operator wants the fleet restarted."""
-        names = tuple(sorted(self.node.member.roll.names()))
+        names = tuple(sorted(self.node.replica.config.names()))
         if len(names) < 2:
             reply(Answer(False, "a restart one after the other needs two members at least"))
             return
@@ -140,7 +140,7 @@
                 mine = value.by == self.node.settings.name and not value.done and not value.step
                 reply(Answer(mine, shown(value)))
 
-        self.node.change(REGISTER, beginning(self.node.settings.name, names), ended)
+        self.node.propose(REGISTER, beginning(self.node.settings.name, names), ended)
 
     def halt(self, reply: Callable[[Answer], None]) -> None:
         """An operator wants it to go no further; a member that has been told restarts all the same."""
@@ -152,7 +152,7 @@
             plan = value if isinstance(value, Plan) else None
             reply(Answer(plan is not None and plan.state != GOES_ON, shown(plan)))
 
-        self.node.change(REGISTER, stopping(f"halted at {self.node.settings.name}"), ended)
+        self.node.propose(REGISTER, stopping(f"halted at {self.node.settings.name}"), ended)
 
     def shown(self) -> str:
         """The plan, in words."""
--- a/grebestack/program/shared_discovery.py
+++ b/grebestack/program/shared_discovery.py
@@ -86,7 +86,7 @@
         make: Callable[[Sequence[Listing]], Source],
     ) -> None:
         self.node, self.clock, self.listings, self.make = node, clock, listings, make
-        self.sharing = Sharing(len(listings), clock.now_ms(), place=node.member.place)
+        self.sharing = Sharing(len(listings), clock.now_ms(), place=node.replica.rank)
         self.own: Source | None = None
         self.attendance = Attendance(node, clock, TASK, said, self._heard, self._look)
         self.stopped = False
@@ -110,14 +110,14 @@
     def _look(self, now: float) -> float | None:
         if self.stopped:
             return None
-        self._carry_out(self.sharing.tick(now, self.node.token(TASK)))
+        self._carry_out(self.sharing.tick(now, self.node.valid_token(TASK)))
         return LOOK_MS
 
     def told(self, index: int, whole: bool, servers: Iterable[Server]) -> None:
         """The own source has told something."""
         if not self.stopped:
             now = self.clock.now_ms()
-            self._carry_out(self.sharing.tick(now, self.node.token(TASK)))
+            self._carry_out(self.sharing.tick(now, self.node.valid_token(TASK)))
             self._carry_out(self.sharing.told(now, index, whole, [self._line(now, s) for s in servers]))
 
     def _heard(self, name: str, item: Said) -> None:
@@ -125,7 +125,7 @@
         if self.stopped:
             return
         now = self.clock.now_ms()
-        self._carry_out(self.sharing.tick(now, self.node.token(TASK)))
+        self._carry_out(self.sharing.tick(now, self.node.valid_token(TASK)))
         self._carry_out(self.sharing.heard(now, name, item))
 
     @staticmethod
@@ -166,7 +166,7 @@
 
     def _want(self) -> None:
         if not self.stopped and not self.node.stopped:
-            self.node.want(TASK)
+            self.node.become_candidate(TASK)
 
     def _read(self, on: bool) -> None:
         kv = {"task": TASK, "reads": on, "follows": self.sharing.leader or "nobody"}
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -24,8 +24,8 @@
 from grebestack.config_distribution.messages import News, decode, encode
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import Version, digest_of
-from grebestack.consensus.actions import Told
-from grebestack.consensus.register import Accepted, Ballot, Phase, Round, Slot, accept, prepare
+from grebestack.consensus.actions import LogMessage
+from grebestack.consensus.register import AcceptGranted, AcceptorState, Ballot, Phase, Round, accept, prepare
 
 FLEET = "f"
 VOTERS = {"v1": "r1/z1", "v2": "r1/z2", "v3": "r2/z3"}
@@ -135,7 +135,7 @@
         self.up, self.stopped = False, False
         self.disk: dict[int, tuple[Version, bytes]] = {}
         self.kept: dict[str, bytes] = {}
-        self.slot = Slot()  # a voter's, on its disk
+        self.slot = AcceptorState()  # a voter's, on its disk
         self.ballot = 0
         self.asking: Asking | None = None
         self.voter: ConfigurationVoter | None = None
@@ -168,7 +168,7 @@
         self.chosen: list[Chosen] = []
         self.acts: list[InForce] = []
         self.outcomes: dict[int, act.Outcome] = {}
-        self.told: list[tuple[float, str, Told]] = []
+        self.told: list[tuple[float, str, LogMessage]] = []
         self.lose_news: dict[str, int] = {}  # so many pushes to a follower are lost
         self.dials: list[tuple[float, str, str]] = []
         self.connections = 0
@@ -324,7 +324,7 @@
             self.ask(p, action.version)
         elif isinstance(action, act.Outcome):
             self.outcomes[action.ticket] = action
-        elif isinstance(action, Told):
+        elif isinstance(action, LogMessage):
             self.told.append((self.now, p.name, action))
         else:
             raise AssertionError(action)
@@ -506,7 +506,7 @@
                 disk.slot, answer = prepare(disk.slot, ballot)
             else:
                 disk.slot, answer = accept(disk.slot, ballot, value[0])
-                if isinstance(answer, Accepted):
+                if isinstance(answer, AcceptGranted):
                     self.accepted(ballot, value[0])
             back = partial(self.answered, p, name, answer)
             self.at(
@@ -529,16 +529,16 @@
         if asking is None or not p.up or asking.life != p.life:
             return
         phase = asking.round.phase
-        asking.round = asking.round.answered(name, answer, asking.change)
+        asking.round = asking.round.on_response(name, answer, asking.change)
         if asking.round.phase is phase:
             return
         if asking.round.phase is Phase.ACCEPTING:
             for to in VOTERS:
-                self.to_slot(p, to, asking.round.ballot, (asking.round.value,))
+                self.to_slot(p, to, asking.round.ballot, (asking.round.proposed_value,))
             return
-        if asking.round.phase is Phase.BEATEN:
-            p.ballot = max(p.ballot, asking.round.beaten_by.number)
-        self.close_asking(p, asking.round.phase is Phase.CHOSEN, asking.round.value)
+        if asking.round.phase is Phase.PREEMPTED:
+            p.ballot = max(p.ballot, asking.round.preempting_ballot.number)
+        self.close_asking(p, asking.round.phase is Phase.CHOSEN, asking.round.proposed_value)
 
     def given_up(self, p: Process, ballot: Ballot) -> None:
         if p.asking is not None and p.asking.round.ballot == ballot:
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -19,7 +19,7 @@
 from grebestack.config_distribution import actions as act
 from grebestack.config_distribution.configuration import ConfigurationVoter, View, change
 from grebestack.config_distribution.versions import Version, digest_of
-from grebestack.consensus.register import Ballot, Phase, Promised, Round, Slot, accept, prepare
+from grebestack.consensus.register import AcceptorState, Ballot, Phase, PromiseGranted, Round, accept, prepare
 from tests import state_exploration
 from tests.configuration_states import Longest, Part
 from tests.state_exploration import Found, put
@@ -90,7 +90,7 @@
     lives: tuple[int, ...]
     kept: tuple[frozenset[bytes], ...]  # contents on each disk, decided or not
     stored: tuple[tuple[Version, ...], ...]
-    slots: tuple[Slot, ...]
+    slots: tuple[AcceptorState, ...]
     askings: tuple[Asking | None, ...]
     late: frozenset[tuple[Ballot, Version | None]]  # asked to accept by an asker that has given up
     numbers: int
@@ -143,7 +143,7 @@
             (1, 1, 1),
             (empty,) * 3,
             ((),) * 3,
-            (Slot(),) * 3,
+            (AcceptorState(),) * 3,
             (None,) * 3,
             frozenset(),
             0,
@@ -210,7 +210,7 @@
         disk = [(v, c) for v in world.stored[index] for c in world.kept[index] if digest_of(c) == v.digest]
         asking, late = world.askings[index], world.late
         if asking is not None and asking.round.phase is Phase.ACCEPTING:
-            late |= {(asking.round.ballot, asking.round.value)}
+            late |= {(asking.round.ballot, asking.round.proposed_value)}
         world = world._replace(
             lives=put(world.lives, index, life),
             askings=put(world.askings, index, None),
@@ -230,15 +230,15 @@
         if budget.unheard:
             left = world._replace(budget=budget._replace(unheard=budget.unheard - 1))
             if round_.phase is Phase.ACCEPTING:
-                left = left._replace(late=left.late | {(round_.ballot, round_.value)})
+                left = left._replace(late=left.late | {(round_.ballot, round_.proposed_value)})
             yield f"{name} hears nothing", self._ended(left, index, False, None)
         if round_.phase is Phase.PREPARING:
             for pair in combinations(range(3), 2):
                 slots, after = list(world.slots), round_
                 for place in pair:
                     slots[place], answer = prepare(slots[place], round_.ballot)
-                    if isinstance(answer, Promised):
-                        after = after.answered(NAMES[place], answer, change(asking.version))
+                    if isinstance(answer, PromiseGranted):
+                        after = after.on_response(NAMES[place], answer, change(asking.version))
                 if after.phase is Phase.ACCEPTING:
                     moved = world._replace(
                         slots=tuple(slots), askings=put(world.askings, index, asking._replace(round=after))
@@ -252,11 +252,14 @@
             if slot.accepted == round_.ballot:
                 holds += 1
             elif slot.promised <= round_.ballot:
-                yield f"{NAMES[place]} accepts", self._accepts(world, place, round_.ballot, round_.value)
+                yield (
+                    f"{NAMES[place]} accepts",
+                    self._accepts(world, place, round_.ballot, round_.proposed_value),
+                )
         if holds >= 2:
-            yield f"{name} hears that it is in force", self._ended(world, index, True, round_.value)
+            yield f"{name} hears that it is in force", self._ended(world, index, True, round_.proposed_value)
         if any(slot.promised > round_.ballot for slot in world.slots):
-            left = world._replace(late=world.late | {(round_.ballot, round_.value)})
+            left = world._replace(late=world.late | {(round_.ballot, round_.proposed_value)})
             yield f"{name} is refused", self._ended(left, index, False, None)
 
     def _accepts(self, world: World, place: int, ballot: Ballot, value: Any) -> World:
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -15,9 +15,9 @@
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.version_sets import Stamps
 from grebestack.cluster_io.config_store import Contents
-from grebestack.cluster_io.log_store import Files, Store, found
+from grebestack.cluster_io.log_store import Files, LogStore, create_log
 from grebestack.config_distribution.versions import Version, digest_of
-from grebestack.consensus.log_format import frame
+from grebestack.consensus.log_format import encode_record
 from grebestack.hot_restart.framing import note
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
@@ -63,17 +63,17 @@
     payloads = [encoded_record(record) for record in RECORDS.values()]
     states = {}
     synced: asyncio.Queue[int] = asyncio.Queue()
-    found(folder, payloads[:2])
+    create_log(folder, payloads[:2])
     states["founded"] = contents_of(folder)
-    store = Store(asyncio.get_running_loop(), folder, synced.put_nowait, lambda why: None)
+    store = LogStore(asyncio.get_running_loop(), folder, synced.put_nowait, lambda why: None)
     store.open()
     store.append(payloads[2])
     await asyncio.wait_for(synced.get(), WAIT_S)
     states["one more record"] = contents_of(folder)
-    store.shorten(payloads[3:])
+    store.compact(payloads[3:])
     await asyncio.wait_for(synced.get(), WAIT_S)
     states["begun anew"] = contents_of(folder)
-    await _wait_for(store.anew)
+    await _wait_for(store.replace)
     states["put aside"] = contents_of(folder)
     store.close()
     return states
@@ -144,7 +144,10 @@
             "audit": _audit_files(folders["audit"]),
             "snapshot": contents_of(folders["snapshot"]),
             "bans": {"some": note(BANS).hex(), "none": note(set()).hex()},
-            "frame": {"first": frame(1, b"payload").hex(), "last": frame((1 << 64) - 1, b"").hex()},
+            "frame": {
+                "first": encode_record(1, b"payload").hex(),
+                "last": encode_record((1 << 64) - 1, b"").hex(),
+            },
         }
 
 
--- a/tests/golden_links.py
+++ b/tests/golden_links.py
@@ -6,11 +6,11 @@
 from typing import Any, cast
 from unittest.mock import MagicMock
 
-from grebestack.cluster_io.framing import Frames, Traffic
-from grebestack.cluster_io.peer_connection import Link
+from grebestack.cluster_io.framing import FramedConnection, Traffic
+from grebestack.cluster_io.peer_connection import PeerConnection
 from grebestack.cluster_io.relay_connection import FeedLink
 from grebestack.config_distribution.messages import Said, encode
-from grebestack.consensus.messages import Hello, Message
+from grebestack.consensus.messages import Handshake, Message
 from grebestack.program.cluster_member import Post
 from grebestack.program.config import TalliesConfig
 from tests.golden_samples import EXPORTS, FEED, MEMBER
@@ -48,25 +48,25 @@
     def __init__(self) -> None:
         self.items: list[object] = []
 
-    def greeting(self) -> Hello:
+    def handshake(self) -> Handshake:
         """The sample of the first message."""
-        return cast(Hello, MEMBER["hello"])
+        return cast(Handshake, MEMBER["hello"])
 
-    def told(self) -> int:
+    def reported_record(self) -> int:
         """The sequence number that stands in each frame's head."""
         return DISK_SEQUENCE
 
-    def greeted(self, link: Link, hello: Hello) -> str:
+    def on_handshake(self, link: PeerConnection, hello: Handshake) -> str:
         """Keep the first message."""
         self.items.append(hello)
-        link.open("m-1")
+        link.accept_peer("m-1")
         return ""
 
-    def heard(self, link: Link, last: int, message: Message) -> None:
+    def on_message(self, link: PeerConnection, last: int, message: Message) -> None:
         """Keep a message with the number in its frame's head."""
         self.items += [last, message]
 
-    def ended(self, link: Link, why: str) -> None:
+    def on_closed(self, link: PeerConnection, why: str) -> None:
         """Keep why it ended."""
         self.items.append(why)
 
@@ -93,7 +93,7 @@
     """Two frames of each kind of connection, as hexadecimal digits."""
     loop = asyncio.new_event_loop()
     member, feed = RecordingTransport(), RecordingTransport()
-    link = Link(loop, MemberOwner())
+    link = PeerConnection(loop, MemberOwner())
     link.connection_made(member)
     link.send(cast(Message, MEMBER["prepare"]))
     feed_link = FeedLink(loop, FeedEnd(), 1, Traffic())
@@ -108,7 +108,10 @@
     """What each kind of connection reads of bytes that come in two pieces."""
     loop = asyncio.new_event_loop()
     member, feed = MemberOwner(), FeedEnd()
-    links: dict[str, Frames] = {"member": Link(loop, member), "feed": FeedLink(loop, feed, 1, Traffic())}
+    links: dict[str, FramedConnection] = {
+        "member": PeerConnection(loop, member),
+        "feed": FeedLink(loop, feed, 1, Traffic()),
+    }
     for name, link in links.items():
         data = bytes.fromhex(frames[name])
         link.connection_made(RecordingTransport())
@@ -121,7 +124,7 @@
 def export_request() -> str:
     """The request by which the holder of the task exports tallies, head and body."""
     owner = MagicMock()
-    owner.node.token.return_value = TOKEN
+    owner.node.valid_token.return_value = TOKEN
     owner.config = TalliesConfig(("10.0.0.9", 9009), "/tallies", 5.0)
     request = Post(owner, cast(Any, EXPORTS["export"])).begin()
     assert request is not None
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -28,7 +28,7 @@
 BALLOT = Ballot(71, "m-2", 3)
 ACCEPTED = Ballot(64, "m-3", 5)
 LEASE = Lease("m-1", 12, 345, 67)
-ROLL = consensus.Roll(9, (("m-1", "inc-1"), ("m-2", "inc-2"), ("m-3", "inc-3")))
+ROLL = consensus.MembershipConfig(9, (("m-1", "inc-1"), ("m-2", "inc-2"), ("m-3", "inc-3")))
 PLAN = consensus.Plan(4, "m-1", ("m-1", "m-2", "m-3"), ("m-2",), "m-3", 8, "goes on", "m-3 is awaited")
 DIGEST = "ab" * 32
 VERSION = Version(17, DIGEST, 1234, "m-2", 1_700_000_000_123)
@@ -55,19 +55,19 @@
 
 
 MEMBER = {
-    "hello": consensus.Hello(
+    "hello": consensus.Handshake(
         2, "fleet-a", "m-1", "inc-1", 11, 9, {"m-2": ("inc-2", 21), "m-3": ("inc-3", 22)}
     ),
-    "hello of a member that knows nobody": consensus.Hello(2, "fleet-a", "m-1", "inc-1", 1, 0, {}),
-    "ping": consensus.Ping("m-3"),
-    "ping with defaults": consensus.Ping(),
-    "pong": consensus.Pong("m-2"),
-    "pong with defaults": consensus.Pong(),
+    "hello of a member that knows nobody": consensus.Handshake(2, "fleet-a", "m-1", "inc-1", 1, 0, {}),
+    "ping": consensus.Heartbeat("m-3"),
+    "ping with defaults": consensus.Heartbeat(),
+    "pong": consensus.HeartbeatResponse("m-2"),
+    "pong with defaults": consensus.HeartbeatResponse(),
     "prepare": consensus.Prepare(9, "task/servers", BALLOT),
     "accept of a lease": consensus.Accept(9, "task/servers", BALLOT, LEASE),
     "accept of a lease with defaults": consensus.Accept(9, "task/servers", BALLOT, Lease()),
     "accept of a roll": consensus.Accept(9, "set", BALLOT, ROLL),
-    "accept of a roll with defaults": consensus.Accept(9, "set", BALLOT, consensus.Roll()),
+    "accept of a roll with defaults": consensus.Accept(9, "set", BALLOT, consensus.MembershipConfig()),
     "accept of a plan": consensus.Accept(9, "plan/restart", BALLOT, PLAN),
     "accept of a plan with defaults": consensus.Accept(
         9, "plan/restart", BALLOT, consensus.Plan(1, "m-1", ("m-1", "m-2"))
@@ -76,29 +76,29 @@
     "accept of nothing": consensus.Accept(9, "empty", BALLOT, None),
     "promise": consensus.Promise(9, "task/servers", BALLOT, ACCEPTED, LEASE),
     "promise of nothing": consensus.Promise(9, "empty", BALLOT, Ballot(), None),
-    "taken": consensus.Taken(9, "task/servers", BALLOT),
-    "refuse": consensus.Refuse(9, "task/servers", ACCEPTED, BALLOT),
-    "admit": consensus.Admit("m-4", "inc-4"),
-    "seal": consensus.Seal(8, ROLL),
-    "sealed": consensus.Sealed(8, SLOTS),
-    "sealed with no slots": consensus.Sealed(8, ()),
-    "enter": consensus.Enter(ROLL, SLOTS),
-    "enter with defaults": consensus.Enter(consensus.Roll(), ()),
-    "behind": consensus.Behind(7),
-    "word": consensus.Word("servers", b"\x00body\xff"),
+    "taken": consensus.Accepted(9, "task/servers", BALLOT),
+    "refuse": consensus.Rejected(9, "task/servers", ACCEPTED, BALLOT),
+    "admit": consensus.JoinRequest("m-4", "inc-4"),
+    "seal": consensus.StopVoting(8, ROLL),
+    "sealed": consensus.VotingStopped(8, SLOTS),
+    "sealed with no slots": consensus.VotingStopped(8, ()),
+    "enter": consensus.EnterEpoch(ROLL, SLOTS),
+    "enter with defaults": consensus.EnterEpoch(consensus.MembershipConfig(), ()),
+    "behind": consensus.EpochRequest(7),
+    "word": consensus.TaskMessage("servers", b"\x00body\xff"),
 }
 RECORDS = {
-    "born": consensus.Born("fleet-a", "inc-1", ROLL),
-    "born outside of a set": consensus.Born("fleet-a", "inc-1", consensus.Roll()),
-    "began": consensus.Began(13),
-    "kept lease": consensus.Kept(SLOTS[0]),
-    "kept plan": consensus.Kept(SLOTS[1]),
-    "kept version": consensus.Kept(SLOTS[2]),
-    "kept roll": consensus.Kept(SLOTS[3]),
-    "kept nothing": consensus.Kept(SLOTS[4]),
-    "ended": consensus.Ended(ROLL),
-    "entered": consensus.Entered(ROLL, SLOTS),
-    "entered with defaults": consensus.Entered(consensus.Roll(), ()),
+    "born": consensus.IncarnationStarted("fleet-a", "inc-1", ROLL),
+    "born outside of a set": consensus.IncarnationStarted("fleet-a", "inc-1", consensus.MembershipConfig()),
+    "began": consensus.ProcessStarted(13),
+    "kept lease": consensus.RegisterWritten(SLOTS[0]),
+    "kept plan": consensus.RegisterWritten(SLOTS[1]),
+    "kept version": consensus.RegisterWritten(SLOTS[2]),
+    "kept roll": consensus.RegisterWritten(SLOTS[3]),
+    "kept nothing": consensus.RegisterWritten(SLOTS[4]),
+    "ended": consensus.EpochEnded(ROLL),
+    "entered": consensus.EpochEntered(ROLL, SLOTS),
+    "entered with defaults": consensus.EpochEntered(consensus.MembershipConfig(), ()),
 }
 STANDING = distribution.Standing("d-1", 14, 16, 250, True, 350, 15, "names no class")
 TALLY = distribution.Tally("m-2", 3, 41, True, 17, (STANDING, distribution.Standing("d-2", 1, 17, 0, False)))
@@ -164,8 +164,8 @@
 }
 
 CODECS = {
-    "members": Codec(consensus.encode, consensus.message, MEMBER, get_args(consensus.Message)),
-    "records": Codec(consensus.encode, consensus.record, RECORDS, get_args(consensus.Record)),
+    "members": Codec(consensus.encode, consensus.decode_message, MEMBER, get_args(consensus.Message)),
+    "records": Codec(consensus.encode, consensus.decode_record, RECORDS, get_args(consensus.LogRecord)),
     "configuration": Codec(
         msgpack.encode,
         msgpack.Decoder(configuration.Word).decode,
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -21,7 +21,7 @@
 from grebestack.audit.recorder import FIRST, Limits, Recorder, place
 from grebestack.audit.records import OF_OPERATORS, Act, Gap, decode
 from grebestack.audit.version_sets import Stamp, Stamps, digest
-from grebestack.consensus.log_format import frame
+from grebestack.consensus.log_format import encode_record
 from grebestack.program.config import ConfigError, from_file
 from tests.dispatcher_group import Yard
 from tests.standins import APPLIANCE_SETTINGS, wait_until
@@ -48,7 +48,7 @@
                 self.recorder.failed(at_ms, fails)
                 return
             name = f"acts-{segment:04}.log"
-            self.files[name] = (MAGIC if fresh else self.files[name]) + frame(self.sequence, data)
+            self.files[name] = (MAGIC if fresh else self.files[name]) + encode_record(self.sequence, data)
             self.recorder.written()
 
     def turn(self, at_ms: float, **changes: Any) -> None:
--- a/tests/test_config_distribution.py
+++ b/tests/test_config_distribution.py
@@ -19,7 +19,7 @@
 from grebestack.config_distribution.messages import News
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import Version
-from grebestack.consensus import replica
+from grebestack.consensus import proposals
 from tests.configuration_model import (
     COLD,
     FAULTS,
@@ -204,7 +204,7 @@
 def test_a_sound_relay_is_never_stale() -> None:
     hop = timeouts.BEAT_MS[1] + timeouts.SOON_MS[1]
     assert hop + timeouts.ANSWER_MS < timeouts.STALE_MS
-    assert timeouts.ASK_MS == replica.ASK_MS
+    assert timeouts.ASK_MS == proposals.PROPOSAL_TIMEOUT_MS
 
 
 # The checker, and what it must find.
--- a/tests/test_configuration_parts.py
+++ b/tests/test_configuration_parts.py
@@ -59,7 +59,7 @@
     delta_between,
     digest_of,
 )
-from grebestack.consensus.actions import Told
+from grebestack.consensus.actions import LogMessage
 
 PLACES = {"a": "r/1", "b": "r/2", "c": "r/1", "far": "s/1"}
 
@@ -78,11 +78,13 @@
 
 
 def told(actions: list[Any]) -> list[str]:
-    return [a.kv.get("why", "") for a in actions if isinstance(a, Told) and a.event == "configuration_wrong"]
+    return [
+        a.kv.get("why", "") for a in actions if isinstance(a, LogMessage) and a.event == "configuration_wrong"
+    ]
 
 
 def kinds(actions: list[Any]) -> list[str]:
-    return [type(a).__name__ for a in actions if not isinstance(a, Told)]
+    return [type(a).__name__ for a in actions if not isinstance(a, LogMessage)]
 
 
 def said(actions: list[Any]) -> list[Said]:
@@ -142,7 +144,7 @@
     fed.hear(whole(1))
     actions = fed.follower.stored(fed.now, 1, "No space left on device")
     assert kinds(list(actions)) == ["Apply"]
-    assert [a.event for a in actions if isinstance(a, Told)] == ["configuration_not_stored"]
+    assert [a.event for a in actions if isinstance(a, LogMessage)] == ["configuration_not_stored"]
 
 
 NIL = digest_of(b"")
@@ -247,7 +249,7 @@
     follower = Follower("d1", "f", "r/1", 1, PLACES, random.Random(1))
     disk = [(version(4), contents(4)), (version(5), contents(5)), (version(6), b"half")]
     actions = follower.start(0.0, disk)
-    assert [a.kv["number"] for a in actions if isinstance(a, Told)] == [6]
+    assert [a.kv["number"] for a in actions if isinstance(a, LogMessage)] == [6]
     follower.tick(timeouts.START_MS - 1.0)
     assert follower.pending is None
     (apply,) = (a for a in follower.tick(timeouts.START_MS) if isinstance(a, Apply))
@@ -456,7 +458,7 @@
     made.heard(0.0, 1, greeting())
     actions = list(made.heard(5000.0, 1, Poll(0, "", 1, "servers is 3; allowed: a table")))
     assert said(actions) == [Still(1, NEVER_MS)]
-    assert [a.event for a in actions if isinstance(a, Told)] == ["configuration_follower_refuses"]
+    assert [a.event for a in actions if isinstance(a, LogMessage)] == ["configuration_follower_refuses"]
     assert isinstance(said(list(made.offer(6000.0, version(2), contents(2))))[0], News)
 
 
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -37,7 +37,7 @@
     digest_of,
     sound,
 )
-from grebestack.consensus.messages import Kept, record
+from grebestack.consensus.messages import RegisterWritten, decode_record
 from grebestack.consensus.messages import encode as encoded
 from grebestack.consensus.register import Ballot
 
@@ -151,5 +151,5 @@
 
 
 def test_a_version_can_be_the_value_of_a_register() -> None:
-    kept = Kept(("configuration", Ballot(3, "v1", 1), Ballot(3, "v1", 1), FITS))
-    assert record(encoded(kept)) == kept and hash(FITS) == hash(version_of(AFTER))
+    kept = RegisterWritten(("configuration", Ballot(3, "v1", 1), Ballot(3, "v1", 1), FITS))
+    assert decode_record(encoded(kept)) == kept and hash(FITS) == hash(version_of(AFTER))
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -107,7 +107,7 @@
         size = drawn.randint(1, len(data))
         link.data_received(data[:size])
         data = data[size:]
-    assert ear.messages == [*SAID, *SAID] and not link.rest
+    assert ear.messages == [*SAID, *SAID] and not link.unparsed
     assert link.traffic.messages_in == 6 and link.traffic.bytes_in == len(framed(*SAID, *SAID))
 
 
@@ -122,7 +122,7 @@
 def test_what_can_not_be_read_ends_the_link_and_nothing_after_it_is_read(data: bytes, why: str) -> None:
     link, ear, wire = linked()
     link.data_received(data + framed(*SAID))
-    assert wire.aborted and why in link.why and not ear.messages
+    assert wire.aborted and why in link.close_reason and not ear.messages
     link.connection_lost(None)
     assert why in ear.why
 
@@ -131,17 +131,17 @@
     link, _, wire = linked()
     wire.unread = 2 * MOST
     link.write(b"x")
-    assert wire.aborted and link.why == "it does not read" and not wire.written
+    assert wire.aborted and link.close_reason == "it does not read" and not wire.written
 
 
 def test_one_that_is_ending_keeps_nothing_that_still_comes_and_is_cut_when_it_does_not_read() -> None:
     link, ear, wire = linked()
-    link.leave("not taken")
+    link.close_after_writing("not taken")
     assert wire.closed and not wire.aborted
     link.data_received(framed(*SAID) + b"half")
-    assert not ear.messages and link.rest == b""
+    assert not ear.messages and link.unparsed == b""
     link.close("later")
-    assert wire.aborted and link.why == "not taken"
+    assert wire.aborted and link.close_reason == "not taken"
 
 
 def test_one_given_up_while_it_was_opened_ends_as_it_comes_up() -> None:
@@ -308,7 +308,7 @@
 
 def test_a_voter_keeps_all_that_its_disk_held_until_something_is_in_force(tmp_path: Path) -> None:
     async def script(rig: Rig) -> None:
-        settings = SimpleNamespace(name="m0", fleet="farm")
+        settings = SimpleNamespace(name="m0", cluster="farm")
         node = SimpleNamespace(loop=rig.loop, clock=monotonic_ms, settings=settings, random=random.Random(1))
         voter = ConfigurationNode(cast(Node, node), str(tmp_path), lambda version, data: "")
         stored: list[int] = []
--- a/tests/test_golden_fields.py
+++ b/tests/test_golden_fields.py
@@ -16,7 +16,12 @@
 
 def test_places_in_what_registers_hold() -> None:
     lease = decoded("members", "accept of a lease").value
-    assert (lease.holder, lease.life, lease.token, lease.mark) == ("m-1", 12, 345, 67)
+    assert (lease.holder, lease.process_incarnation, lease.token, lease.proposal_number) == (
+        "m-1",
+        12,
+        345,
+        67,
+    )
     version = decoded("members", "accept of a version").value
     assert (version.number, version.size, version.since_ms) == (17, 1234, 1_700_000_000_123)
     assert (version.digest, version.by) == ("ab" * 32, "m-2")
@@ -27,17 +32,21 @@
 
 def test_places_in_messages_between_members() -> None:
     hello = decoded("members", "hello")
-    assert (hello.version, hello.life, hello.epoch) == (2, 11, 9)
-    assert (hello.fleet, hello.name, hello.incarnation) == ("fleet-a", "m-1", "inc-1")
+    assert (hello.version, hello.process_incarnation, hello.epoch) == (2, 11, 9)
+    assert (hello.cluster, hello.name, hello.disk_incarnation) == ("fleet-a", "m-1", "inc-1")
     promise = decoded("members", "promise")
     assert (promise.ballot, promise.accepted) == ((71, "m-2", 3), (64, "m-3", 5))
-    assert (promise.ballot.number, promise.ballot.member, promise.ballot.life) == (71, "m-2", 3)
+    assert (promise.ballot.number, promise.ballot.member, promise.ballot.process_incarnation) == (
+        71,
+        "m-2",
+        3,
+    )
     refuse = decoded("members", "refuse")
     assert (refuse.ballot, refuse.promised) == ((64, "m-3", 5), (71, "m-2", 3))
     admit = decoded("members", "admit")
-    assert (admit.name, admit.incarnation) == ("m-4", "inc-4")
+    assert (admit.name, admit.disk_incarnation) == ("m-4", "inc-4")
     born = decoded("records", "born")
-    assert (born.fleet, born.incarnation) == ("fleet-a", "inc-1")
+    assert (born.cluster, born.disk_incarnation) == ("fleet-a", "inc-1")
     beat = decoded("configuration", "beat")
     assert (beat.sequence, beat.epoch, beat.accepted) == (31, 9, 17)
     echo = decoded("configuration", "echo")
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -10,8 +10,8 @@
 from grebestack.audit import records
 from grebestack.audit.reading import MAGIC
 from grebestack.cluster_io.config_store import Contents
-from grebestack.cluster_io.log_store import Store
-from grebestack.consensus.log_format import read
+from grebestack.cluster_io.log_store import LogStore
+from grebestack.consensus.log_format import read_log
 from grebestack.hot_restart.framing import read_note
 from grebestack.jobs.store import JobStore
 from grebestack.protocol.snapshot import load as load_snapshot
@@ -53,13 +53,13 @@
 def test_a_members_golden_file_is_read(tmp_path: Path, state: str) -> None:
     write_golden(tmp_path, "member", state)
     loop = asyncio.new_event_loop()
-    store = Store(loop, str(tmp_path), lambda last: None, lambda why: None)
+    store = LogStore(loop, str(tmp_path), lambda last: None, lambda why: None)
     held = store.open()
     store.close()
     loop.close()
     payloads = tuple(encoded_record(record) for record in RECORDS.values())
     expected = {"founded": payloads[:2], "one more record": payloads[:3], "begun anew": payloads[3:]}
-    assert held.doubt == ""
+    assert held.fault == ""
     assert held.payloads == expected[state]
 
 
@@ -79,8 +79,8 @@
 def test_golden_segments_of_the_audit_are_read() -> None:
     whats = []
     for digits in load(FILES)["audit"].values():
-        segment = read(bytes.fromhex(digits), 1, MAGIC)
-        assert segment.doubt == "" and not segment.torn
+        segment = read_log(bytes.fromhex(digits), 1, MAGIC)
+        assert segment.corruption == "" and not segment.has_torn_end
         for payload in segment.payloads:
             items = records.decode(payload)
             assert records.encode(items) == payload
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -60,7 +60,7 @@
     "Upgrade.begin",
     "Upgrade._take",
     "run.main",
-    "Opening._open",
+    "ConnectionAttempt._open",
     "Fleet.start",
     "Configuring.start",
     "RelayServer.start",
@@ -100,7 +100,7 @@
         walk(ast.parse(path.read_text()), "")
     assert found == COROUTINES
     assert sorted(tasks) == [
-        "Opening.__init__",
+        "ConnectionAttempt.__init__",
         "Pools.dial",
         "Upgrade._accept",
         "Upgrade._adopt",
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -6,7 +6,17 @@
 import re
 from pathlib import Path
 
-from grebestack.consensus.messages import MOST, Enter, Hello, Plan, Roll, Seal, Sealed, SlotOf, encode
+from grebestack.consensus.messages import (
+    MAX_MESSAGE_BYTES,
+    EnterEpoch,
+    Handshake,
+    MembershipConfig,
+    Plan,
+    RegisterEntry,
+    StopVoting,
+    VotingStopped,
+    encode,
+)
 from grebestack.consensus.register import Ballot
 from tests.dispatcher_group import Yard
 from tests.standins import OPTIONS, wait_until
@@ -40,12 +50,15 @@
     members = tuple((f"{n:064}", f"{n:032x}") for n in range(1024))
     names = tuple(name for name, _ in members)
     ballot, plan = Ballot(1 << 60, names[0], 1 << 60), Plan(1, names[0], names, names)
-    roll = Roll(8, members)
-    slots: tuple[SlotOf, ...] = (("set/7", ballot, ballot, roll), ("restart", ballot, ballot, plan))
+    config = MembershipConfig(8, members)
+    registers: tuple[RegisterEntry, ...] = (
+        ("set/7", ballot, ballot, config),
+        ("restart", ballot, ballot, plan),
+    )
     for message in (
-        Hello(1, "fleet", names[0], "f" * 32, 9, 8, {n: (i, 1 << 60) for n, i in members}),
-        Seal(7, roll),
-        Sealed(7, slots),
-        Enter(roll, slots),
+        Handshake(1, "fleet", names[0], "f" * 32, 9, 8, {n: (i, 1 << 60) for n, i in members}),
+        StopVoting(7, config),
+        VotingStopped(7, registers),
+        EnterEpoch(config, registers),
     ):
-        assert len(encode(message)) < MOST / 2, type(message).__name__
+        assert len(encode(message)) < MAX_MESSAGE_BYTES / 2, type(message).__name__
