--- a/grebestack/cluster_tasks/metrics_export.py
+++ b/grebestack/cluster_tasks/metrics_export.py
@@ -1,8 +1,8 @@
-"""The fleet's tallies, gathered by whoever holds the task and exported under its token. Pure.
+"""Export of the cluster's counters: the lease holder collects and exports them under its fencing token. Pure.
 
-An export that its holder did not finish is begun again by the next one: counts only grow within a life of a
-member, so that nothing is lost with it but the moment. The collector takes exports in the order of their
-tokens and, within one, of their numbers.
+An export that a holder did not finish is begun again by the next holder. Counters only grow within a process
+incarnation, so nothing but the moment is lost. The receiver of the exports takes them in the order of their
+tokens and, within one token, of their numbers.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 
 import msgspec
 
-GATHER_MS = 400.0  # who has not answered by then is named as missing
+COLLECTION_TIMEOUT_MS = 400.0  # members that have not responded by then are named as missing
 
 
-class Ask(msgspec.Struct, array_like=True, tag="ask"):
-    """Tell your counts."""
+class CountersRequest(msgspec.Struct, array_like=True, tag="ask"):
+    """Requests a member's counters for the export of this number."""
 
     number: int
 
 
-class Counts(msgspec.Struct, array_like=True, tag="counts"):
-    """A member's counts since its start."""
+class CountersResponse(msgspec.Struct, array_like=True, tag="counts"):
+    """A member's counters since its start."""
 
     number: int
-    life: int
-    counts: dict[str, int]
+    process_incarnation: int
+    counters: dict[str, int]
 
 
 class Export(msgspec.Struct):
-    """What goes to the collector."""
+    """The JSON object that is sent to the collector."""
 
     fleet: str
     task: str
@@ -42,78 +42,101 @@
     missing: list[str]
 
 
-_words = msgspec.msgpack.Decoder(Ask | Counts)
+Message = CountersRequest | CountersResponse
+_decoder = msgspec.msgpack.Decoder(Message)
 
 
-def word(data: bytes) -> Ask | Counts:
-    """Read what another member says; msgspec.DecodeError where it is nothing of this."""
-    return _words.decode(data)
+def decode(data: bytes) -> Message:
+    """Decode a message between members.
+
+    Raises
+    ------
+    msgspec.DecodeError
+        The data is no message of this task.
+    """
+    return _decoder.decode(data)
 
 
 @dataclass(slots=True)
-class Gathering:
-    """One export, from the question to the others until it is to go out."""
+class Collection:
+    """The collection of the counters for one export."""
 
     number: int
     token: int
-    until_ms: float
-    asked: frozenset[str]  # who is connected, and waited for
-    all: frozenset[str]
-    counts: dict[str, dict[str, int]] = field(default_factory=dict)
+    deadline_ms: float
+    expected: frozenset[str]  # members that are connected
+    members: frozenset[str]
+    counters: dict[str, dict[str, int]] = field(default_factory=dict)  # by member
+
+    def is_finished(self, now_ms: float) -> bool:
+        """Tell whether the export is due, complete or not."""
+        return now_ms >= self.deadline_ms or self.expected <= set(self.counters)
 
-    def ripe(self, now_ms: float) -> bool:
-        """Whether it goes out now, complete or not."""
-        return now_ms >= self.until_ms or self.asked <= set(self.counts)
 
+class CountersCollector:
+    """One member's part in the task.
 
-class Tallies:
-    """One member's side of the task."""
+    Parameters
+    ----------
+    interval_ms
+        Time between two exports.
+    """
 
-    def __init__(self, fleet: str, task: str, name: str, every_ms: float) -> None:
-        self.fleet, self.task, self.name, self.every_ms = fleet, task, name, every_ms
+    def __init__(self, cluster: str, task: str, name: str, interval_ms: float) -> None:
+        """Begin without the lease."""
+        self.cluster, self.task, self.name, self.interval_ms = cluster, task, name, interval_ms
         self.number = 0
         self.token: int | None = None
-        self.next_ms = 0.0
-        self.gathering: Gathering | None = None
+        self.next_export_ms = 0.0
+        self.collection: Collection | None = None
 
     def tick(
         self,
         now_ms: float,
         token: int | None,
-        own: Mapping[str, int],
+        own_counters: Mapping[str, int],
         connected: frozenset[str],
-        all: frozenset[str],
+        members: frozenset[str],
     ) -> bool:
-        """Time has passed, under this token; True where the connected are to be asked for number `number`."""
-        if token != self.token:  # a new holder begins at once, and counts its exports anew
-            self.token, self.number, self.next_ms, self.gathering = token, 0, now_ms, None
-        if token is None or self.gathering is not None or now_ms < self.next_ms:
+        """Begin a collection if it is due under this token; return whether to request counters now."""
+        if token != self.token:  # a new holder exports at once, and numbers its exports from 1
+            self.token, self.number, self.next_export_ms, self.collection = token, 0, now_ms, None
+        if token is None or self.collection is not None or now_ms < self.next_export_ms:
             return False
         self.number += 1
-        self.next_ms = max(self.next_ms + self.every_ms, now_ms)
-        self.gathering = Gathering(self.number, token, now_ms + GATHER_MS, connected, all)
-        self.gathering.counts[self.name] = dict(own)
+        self.next_export_ms = max(self.next_export_ms + self.interval_ms, now_ms)
+        deadline_ms = now_ms + COLLECTION_TIMEOUT_MS
+        self.collection = Collection(self.number, token, deadline_ms, connected, members)
+        self.collection.counters[self.name] = dict(own_counters)
         return True
 
-    def heard(self, name: str, said: Counts) -> None:
-        """Another member's counts; those for another number come too late."""
-        if self.gathering is not None and said.number == self.gathering.number:
-            self.gathering.counts[name] = said.counts
+    def on_response(self, name: str, response: CountersResponse) -> None:
+        """Handle a member's counters; those for another export are late and ignored."""
+        if self.collection is not None and response.number == self.collection.number:
+            self.collection.counters[name] = response.counters
 
-    def export(self, now_ms: float) -> Export | None:
-        """What is to go out now, if anything; the caller looks at its token again as it does."""
-        if self.gathering is None or not self.gathering.ripe(now_ms):
+    def take_export(self, now_ms: float) -> Export | None:
+        """Return the export that is due, if any. The caller checks its token again as it sends it."""
+        if self.collection is None or not self.collection.is_finished(now_ms):
             return None
-        done, self.gathering = self.gathering, None
+        finished, self.collection = self.collection, None
         totals: dict[str, int] = {}
-        for counts in done.counts.values():
-            for key, value in counts.items():
+        for counters in finished.counters.values():
+            for key, value in counters.items():
                 totals[key] = totals.get(key, 0) + value
-        missing = sorted(done.all - set(done.counts))
-        return Export(self.fleet, self.task, self.name, done.token, done.number, totals, done.counts, missing)
+        return Export(
+            self.cluster,
+            self.task,
+            self.name,
+            finished.token,
+            finished.number,
+            totals,
+            finished.counters,
+            sorted(finished.members - set(finished.counters)),
+        )
 
     def due_ms(self, now_ms: float) -> float:
-        """When `tick` and `export` are to be called next."""
-        if self.gathering is not None:
-            return self.gathering.until_ms
-        return self.next_ms if self.token is not None else now_ms + self.every_ms
+        """Return when `tick` and `take_export` are due next."""
+        if self.collection is not None:
+            return self.collection.deadline_ms
+        return self.next_export_ms if self.token is not None else now_ms + self.interval_ms
--- a/grebestack/cluster_tasks/rolling_restart.py
+++ b/grebestack/cluster_tasks/rolling_restart.py
@@ -1,8 +1,9 @@
-"""A restart of the whole fleet, one member at a time, by whoever holds the task. Pure.
+"""A rolling restart of the cluster, one member at a time, coordinated by the lease holder. Pure.
 
-How far it has come is a register (`Plan`), so that the next holder goes on where the last one was: a step is
-written down before its member is told, and over once that member is back in another life and ready. Nobody
-is told anything while another is away. A member that does not come back in time stops the whole.
+The progress is a register (`RestartPlan`), so that the next holder continues where the last one stopped. A
+step is written to the register before its member is requested to restart, and is over once that member is
+ready in another process incarnation. No member is requested to restart while another is away. A member that
+does not come back in time stops the whole restart.
 """
 
 from __future__ import annotations
@@ -12,187 +13,243 @@
 
 from msgspec import Struct, msgpack, structs
 
-from grebestack.consensus.messages import Plan
+from grebestack.consensus.messages import RestartPlan
 from grebestack.consensus.register import Change, Value
 
 REGISTER = "plan/restart"
-AGAIN_MS = 400.0  # what came to nothing is asked again, what was told is said again, after this
-GOES_ON, DONE, STOPPED = "goes on", "done", "stopped"
+RETRY_INTERVAL_MS = 400.0  # of proposals and of requests to restart
+IN_PROGRESS, DONE, STOPPED = "goes on", "done", "stopped"  # the states of a plan, as they are stored
 
 
-class State(Struct, array_like=True, tag="state"):
-    """A member tells in which life it is, and whether it is ready for clients."""
+class MemberState(Struct, array_like=True, tag="state"):
+    """A member's report of its process incarnation, and of whether it is ready for clients."""
 
-    life: int
-    ready: bool
+    process_incarnation: int
+    is_ready: bool
 
 
-class Go(Struct, array_like=True, tag="go"):
-    """Restart, if this is the life that is meant."""
+class RestartRequest(Struct, array_like=True, tag="go"):
+    """Requests a member to restart if it runs in this process incarnation."""
 
     number: int
     token: int
-    life: int
+    process_incarnation: int
 
 
-_said = msgpack.Decoder(State | Go)
+Message = MemberState | RestartRequest
+_decoder = msgpack.Decoder(Message)
 
 
-def said(data: bytes) -> State | Go:
-    """Read what another member says; msgspec.DecodeError where it is nothing of this."""
-    return _said.decode(data)
+def decode(data: bytes) -> Message:
+    """Decode a message between members.
+
+    Raises
+    ------
+    msgspec.DecodeError
+        The data is no message of this task.
+    """
+    return _decoder.decode(data)
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Change the register, or read it."""
+class ProposePlan:
+    """Propose a change of the plan's register, or read it; then call `on_proposal_ended`."""
 
     change: Change
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Tell a member that it is its turn."""
+class RequestRestart:
+    """Send a member the request to restart."""
 
     name: str
-    go: Go
+    request: RestartRequest
 
 
 @dataclass(frozen=True, slots=True)
-class HandOver:
-    """The task is to pass to another member: the one that holds it comes last."""
+class HandOverLease:
+    """Hand the lease over to another member: the holder itself restarts last."""
 
     to: str
 
 
-Act = Ask | Tell | HandOver
+Action = ProposePlan | RequestRestart | HandOverLease
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """What a member has last told, and when."""
+class ReceivedState:
+    """The last report of a member, and when it came."""
 
-    state: State
-    at_ms: float
+    state: MemberState
+    received_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
-    """Milliseconds."""
+class RestartTimes:
+    """The times of a rolling restart.
+
+    Parameters
+    ----------
+    return_ms
+        For how long a step may take, or a member that is away be awaited.
+    pause_ms
+        Between two members.
+    state_ttl_ms
+        The age at which a member's report expires.
+    """
 
-    return_ms: float = 60_000.0  # a member is back and ready within so long
-    pause_ms: float = 5_000.0  # between two of them
-    heard_ms: float = 3_000.0  # a state that is older says nothing
+    return_ms: float = 60_000.0
+    pause_ms: float = 5_000.0
+    state_ttl_ms: float = 3_000.0
 
 
-def beginning(by: str, names: tuple[str, ...]) -> Change:
-    """A new restart, unless one goes on."""
+def begin_restart(requested_by: str, names: tuple[str, ...]) -> Change:
+    """Begin a restart, unless one is in progress."""
 
     def change(value: Value) -> Value:
-        if isinstance(value, Plan) and value.state == GOES_ON:
+        if isinstance(value, RestartPlan) and value.state == IN_PROGRESS:
             return value
-        number = value.number + 1 if isinstance(value, Plan) else 1
-        return Plan(number, by, names, state=GOES_ON)
+        number = value.number + 1 if isinstance(value, RestartPlan) else 1
+        return RestartPlan(number, requested_by, names, state=IN_PROGRESS)
 
     return change
 
 
-def stopping(why: str, number: int = 0) -> Change:
-    """Stop the one that goes on, or only the one of this number."""
+def stop_restart(reason: str, number: int = 0) -> Change:
+    """Stop the restart in progress, or only if it has this number."""
 
     def change(value: Value) -> Value:
-        if not isinstance(value, Plan) or value.state != GOES_ON or number not in (0, value.number):
+        if not isinstance(value, RestartPlan) or value.state != IN_PROGRESS:
+            return value
+        if number not in (0, value.number):
             return value
-        return structs.replace(value, state=STOPPED, why=why)
+        return structs.replace(value, state=STOPPED, reason=reason)
 
     return change
 
 
-def _from(plan: Plan, after: Plan) -> Change:
-    return lambda value: after if value == plan else value
+def _replace(before: RestartPlan, after: RestartPlan) -> Change:
+    return lambda value: after if value == before else value
 
 
-class Pacing:
-    """The side of one member, which acts only while it holds the task."""
+class RestartCoordinator:
+    """One member's part in the task: it acts only while it holds the lease."""
 
-    def __init__(self, me: str, pace: Pace, now_ms: float) -> None:
-        self.me, self.pace = me, pace
+    def __init__(self, name: str, times: RestartTimes, now_ms: float) -> None:
+        """Begin without the lease."""
+        self.name, self.times = name, times
         self.token: int | None = None
-        self.plan: Plan | None = None  # as it was when it was last read or changed
-        self.read = False
-        self.asking = False
-        self.again_ms = now_ms
-        self.since_ms = now_ms  # since when this holder waits for what it waits for
-        self.pause_ms = now_ms
-
-    def tick(self, now_ms: float, token: int | None, known: Mapping[str, Known]) -> list[Act]:
-        """Time has passed, under this token."""
+        self.plan: RestartPlan | None = None  # when it was last read or changed
+        self.has_read = False
+        self.is_proposing = False
+        self.next_action_ms = now_ms
+        self.waiting_since_ms = now_ms  # when the present wait of this holder began
+        self.pause_until_ms = now_ms
+
+    def tick(self, now_ms: float, token: int | None, states: Mapping[str, ReceivedState]) -> list[Action]:
+        """Take the next step under this token, if any is due."""
         if token != self.token:
-            self.token, self.read, self.asking = token, False, False
-            self.again_ms = self.since_ms = self.pause_ms = now_ms
-        if token is None or self.asking or now_ms < self.again_ms:
+            self.token, self.has_read, self.is_proposing = token, False, False
+            self.next_action_ms = self.waiting_since_ms = self.pause_until_ms = now_ms
+        if token is None or self.is_proposing or now_ms < self.next_action_ms:
             return []
-        self.again_ms = now_ms + AGAIN_MS
-        if not self.read:
-            return self._ask(lambda value: value)
+        self.next_action_ms = now_ms + RETRY_INTERVAL_MS
+        if not self.has_read:
+            return self._propose(lambda value: value)
         plan = self.plan
-        if plan is None or plan.state != GOES_ON:
-            self.read = False  # somebody may begin one
+        if plan is None or plan.state != IN_PROGRESS:
+            self.has_read = False  # an operator may begin a restart
             return []
-        ready = {n for n, k in known.items() if k.state.ready and now_ms - k.at_ms <= self.pace.heard_ms}
-        if plan.step:
-            return self._step(now_ms, token, plan, known.get(plan.step), plan.step in ready)
-        left = [n for n in plan.members if n not in plan.done]
-        away = [n for n in plan.members if n not in ready]
+        ready = self._ready_members(now_ms, states)
+        if plan.restarting:
+            return self._continue_step(now_ms, token, plan, states.get(plan.restarting), ready)
+        return self._begin_step(now_ms, plan, states, ready)
+
+    def _ready_members(self, now_ms: float, states: Mapping[str, ReceivedState]) -> set[str]:
+        return {
+            name
+            for name, received in states.items()
+            if received.state.is_ready and now_ms - received.received_ms <= self.times.state_ttl_ms
+        }
+
+    def _begin_step(
+        self, now_ms: float, plan: RestartPlan, states: Mapping[str, ReceivedState], ready: set[str]
+    ) -> list[Action]:
+        """Choose the next member once all are ready and the pause is over."""
+        left = [name for name in plan.members if name not in plan.restarted]
         if not left:
-            return self._ask(_from(plan, structs.replace(plan, state=DONE)))
-        if away:
-            return self._late(now_ms, plan, f"{', '.join(away)} not ready")
-        if now_ms < self.pause_ms:
+            return self._propose(_replace(plan, structs.replace(plan, state=DONE)))
+        if away := [name for name in plan.members if name not in ready]:
+            return self._stop_if_late(now_ms, plan, f"{', '.join(away)} not ready")
+        if now_ms < self.pause_until_ms:
             return []
-        others = [n for n in left if n != self.me]
+        others = [name for name in left if name != self.name]
         if not others:
-            return [HandOver(next(n for n in plan.members if n != self.me))] if len(plan.members) > 1 else []
-        life = known[others[0]].state.life
-        return self._ask(_from(plan, structs.replace(plan, step=others[0], life=life)))
-
-    def _step(self, now_ms: float, token: int, plan: Plan, known: Known | None, ready: bool) -> list[Act]:
-        if known is not None and known.state.life != plan.life and ready:
-            self.pause_ms = now_ms + self.pace.pause_ms
-            done = (*plan.done, plan.step)
-            return self._ask(_from(plan, structs.replace(plan, done=done, step="", life=0)))
-        if known is not None and known.state.life == plan.life:
-            late = self._late(now_ms, plan, f"{plan.step} did not stop")
-            return late or [Tell(plan.step, Go(plan.number, token, plan.life))]
-        return self._late(now_ms, plan, f"{plan.step} did not come back")
-
-    def _late(self, now_ms: float, plan: Plan, why: str) -> list[Act]:
-        if now_ms - self.since_ms < self.pace.return_ms:
+            return self._hand_over_lease(plan)
+        incarnation = states[others[0]].state.process_incarnation
+        step = structs.replace(plan, restarting=others[0], process_incarnation=incarnation)
+        return self._propose(_replace(plan, step))
+
+    def _hand_over_lease(self, plan: RestartPlan) -> list[Action]:
+        """Hand the lease over to any other member, since only this one is left to restart."""
+        others = [name for name in plan.members if name != self.name]
+        return [HandOverLease(others[0])] if others else []
+
+    def _continue_step(
+        self,
+        now_ms: float,
+        token: int,
+        plan: RestartPlan,
+        received: ReceivedState | None,
+        ready: set[str],
+    ) -> list[Action]:
+        """Request the member to restart until it is back."""
+        name = plan.restarting
+        has_same_incarnation = (
+            received is not None and received.state.process_incarnation == plan.process_incarnation
+        )
+        if received is not None and not has_same_incarnation and name in ready:
+            self.pause_until_ms = now_ms + self.times.pause_ms
+            restarted = (*plan.restarted, name)
+            after = structs.replace(plan, restarted=restarted, restarting="", process_incarnation=0)
+            return self._propose(_replace(plan, after))
+        if not has_same_incarnation:
+            return self._stop_if_late(now_ms, plan, f"{name} did not come back")
+        request = RestartRequest(plan.number, token, plan.process_incarnation)
+        stop = self._stop_if_late(now_ms, plan, f"{name} did not stop")
+        return stop or [RequestRestart(name, request)]
+
+    def _stop_if_late(self, now_ms: float, plan: RestartPlan, reason: str) -> list[Action]:
+        if now_ms - self.waiting_since_ms < self.times.return_ms:
             return []
-        return self._ask(stopping(f"{why} within {self.pace.return_ms / 1000.0:g} s", plan.number))
+        late = f"{reason} within {self.times.return_ms / 1000.0:g} s"
+        return self._propose(stop_restart(late, plan.number))
 
-    def _ask(self, change: Change) -> list[Act]:
-        self.asking = True
-        return [Ask(change)]
+    def _propose(self, change: Change) -> list[Action]:
+        self.is_proposing = True
+        return [ProposePlan(change)]
 
-    def asked(self, now_ms: float, token: int | None, value: Value, known: bool) -> None:
-        """An asking has ended; `known`: with this value in force."""
+    def on_proposal_ended(self, now_ms: float, token: int | None, value: Value, is_chosen: bool) -> None:
+        """Handle the end of a proposal that was made under this token."""
         if token != self.token:
             return
-        self.asking = False
-        if known:
-            plan = value if isinstance(value, Plan) else None
-            if plan != self.plan:
-                self.since_ms = now_ms
-            self.plan, self.read, self.again_ms = plan, True, now_ms
-            if plan is None or plan.state != GOES_ON:
-                self.again_ms = now_ms + AGAIN_MS
-
-
-def shown(plan: Plan | None) -> str:
-    """A plan in words."""
+        self.is_proposing = False
+        if not is_chosen:
+            return
+        plan = value if isinstance(value, RestartPlan) else None
+        if plan != self.plan:
+            self.waiting_since_ms = now_ms
+        self.plan, self.has_read, self.next_action_ms = plan, True, now_ms
+        if plan is None or plan.state != IN_PROGRESS:
+            self.next_action_ms = now_ms + RETRY_INTERVAL_MS
+
+
+def describe_plan(plan: RestartPlan | None) -> str:
+    """Return a plan as a text for operators."""
     if plan is None:
         return "no restart"
-    back = f"{len(plan.done)} of {len(plan.members)} are back"
-    text = f"restart {plan.number} by {plan.by} {plan.state}: {back}"
-    return text + (f", {plan.step} is away" if plan.step else "") + (f" ({plan.why})" if plan.why else "")
+    progress = f"{len(plan.restarted)} of {len(plan.members)} are back"
+    text = f"restart {plan.number} by {plan.requested_by} {plan.state}: {progress}"
+    if plan.restarting:
+        text += f", {plan.restarting} is away"
+    return f"{text} ({plan.reason})" if plan.reason else text
--- a/grebestack/cluster_tasks/shared_discovery.py
+++ b/grebestack/cluster_tasks/shared_discovery.py
@@ -1,9 +1,10 @@
-"""One member reads an expensive source of servers, the others take the list from it. Pure.
+"""Shared discovery: the lease holder reads an expensive source of workers, the others follow it. Pure.
 
-The holder of the task reads and tells; its messages carry its token and a number, and a lower token than was
-heard is passed over. A member follows a holder only while that one is heard and says that its source is well;
-else it reads for itself, as if it were alone. What was last known stands in between: a list is replaced by
-the next whole one, never emptied. A holder whose source has been silent for long gives the task to others.
+The holder reads its source and sends lists and changes. Its messages carry its fencing token and a number; a
+message with a lower token than was seen is ignored. A member follows a holder only while it receives its
+heartbeats and they report a healthy source; otherwise it reads its own source. Until then the last list stays
+in force: a list is replaced by the next complete one, never emptied. A holder whose source has not responded
+for long releases the lease.
 """
 
 from __future__ import annotations
@@ -13,241 +14,300 @@
 
 from msgspec import Struct, msgpack
 
-PART = 200_000  # bytes of lines in one message
+MAX_PART_BYTES = 200_000  # of the entries in one message
+ENTRY_OVERHEAD_BYTES = 16
+FALLBACK_STAGGER_MS = 50.0  # by rank: members that stop following don't all read at once
 
 
-class Line(Struct, frozen=True, array_like=True):
-    """One server: its name, and the rest for whoever carries out; no rest: it is gone."""
+class ListEntry(Struct, frozen=True, array_like=True):
+    """One worker by name, with the data that the caller encodes; without data: it is gone."""
 
     name: str
-    rest: bytes
+    data: bytes
 
 
-class Beat(Struct, array_like=True, tag="beat"):
-    """The holder is there: how many changes it has told, and whether its source answers."""
+class Heartbeat(Struct, array_like=True, tag="beat"):
+    """The holder's heartbeat: the number of its last change, and whether its source responds."""
 
     token: int
     number: int
-    well: bool
+    is_healthy: bool
 
 
-class Part(Struct, array_like=True, tag="part"):
-    """Some of a list or of changes to it. The last of `parts` brings it into force."""
+class ListPart(Struct, array_like=True, tag="part"):
+    """A part of a list or of changes to it. The last of `parts` puts it in force."""
 
     token: int
     number: int
-    index: int  # of which source
-    whole: bool
-    part: int
+    source: int  # the index of the source
+    is_complete_list: bool  # else changes
+    part: int  # counted from 1
     parts: int
-    lines: tuple[Line, ...]
-    all: bool = False  # one of several lists that stand for all before
+    entries: tuple[ListEntry, ...]
+    is_resync: bool = False  # one of the lists of all sources, which replace all that was sent before
 
 
-class Again(Struct, array_like=True, tag="again"):
-    """Tell all lists whole."""
+class ResyncRequest(Struct, array_like=True, tag="again"):
+    """Requests complete lists of all sources."""
 
 
-Said = Beat | Part | Again
-_said = msgpack.Decoder(Said)
+Message = Heartbeat | ListPart | ResyncRequest
+_decoder = msgpack.Decoder(Message)
 _encoder = msgpack.Encoder()
 
 
-def said(data: bytes) -> Said:
-    """Read what another member says; msgspec.DecodeError where it is nothing of this."""
-    return _said.decode(data)
+def decode(data: bytes) -> Message:
+    """Decode a message between members.
+
+    Raises
+    ------
+    msgspec.DecodeError
+        The data is no message of this task.
+    """
+    return _decoder.decode(data)
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """Say something to one member, or to all."""
+class SendMessage:
+    """Send a message to one member, or to all if `to` is empty."""
 
     to: str
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Read:
-    """Read the source for oneself from now on, or no longer."""
+class ReadSource:
+    """Begin to read the own source, or stop."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Update:
-    """A list or changes to it, from the holder."""
+class UpdateList:
+    """Apply a list or changes to it from the holder."""
 
-    index: int
-    whole: bool
-    lines: tuple[Line, ...]
+    source: int
+    is_complete_list: bool
+    entries: tuple[ListEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Alive:
-    """The holder says that its source has answered and nothing has changed."""
+class ConfirmLists:
+    """The holder's source has responded and nothing has changed."""
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
-    """The source does not answer here: another is to hold the task."""
+class ReleaseLease:
+    """The own source does not respond: another member is to hold the lease."""
 
 
-Act = Say | Read | Update | Alive | GiveUp
+Action = SendMessage | ReadSource | UpdateList | ConfirmLists | ReleaseLease
 
 
 @dataclass(frozen=True, slots=True)
 class SharingTimes:
-    """Milliseconds."""
-
-    beat_ms: float = 700.0
-    silent_ms: float = 2500.0  # a holder that is not heard for so long is not followed
-    patience_ms: float = 400.0  # after a start a holder's list is awaited for so long
-    ill_ms: float = 5000.0  # a holder whose source has been silent for so long gives up
+    """The times of shared discovery.
+
+    Parameters
+    ----------
+    heartbeat_interval_ms
+        Of the holder's heartbeats.
+    holder_timeout_ms
+        After this silence a holder is not followed any more.
+    first_holder_timeout_ms
+        For how long a member without a holder waits for one before it reads its own source.
+    source_timeout_ms
+        After this silence a source is not healthy, and a holder releases the lease.
+    """
+
+    heartbeat_interval_ms: float = 700.0
+    holder_timeout_ms: float = 2500.0
+    first_holder_timeout_ms: float = 400.0
+    source_timeout_ms: float = 5000.0
 
 
 @dataclass(slots=True)
-class Sharing:
-    """One member's side of the task, for all lists of its sources."""
+class SharedDiscovery:
+    """One member's part in the task, for the lists of all its sources."""
 
-    sources: int
-    heard_ms: float  # when the leader was heard last, or since when one is awaited
+    source_count: int
+    holder_heard_ms: float  # when the holder was last heard, or since when one is awaited
     times: SharingTimes = field(default_factory=SharingTimes)
-    place: int = 0  # members that fall back do so one after the other
-    reads: bool = False
-    token: int | None = None  # held here
-    lists: dict[int, dict[str, Line]] = field(default_factory=dict)
-    number: int = 0  # changes told, or taken from the holder
-    heard_token: int = 0  # the highest
-    leader: str = ""  # who is followed
-    current: bool = False  # whether all that the leader has told is here
-    begun: list[Line] = field(default_factory=list)  # parts of a list that is not whole yet
-    well_ms: float | None = None  # when the own source answered last
-    beat_ms: float = 0.0
-    held_ms: float = 0.0
-
-    def tick(self, now_ms: float, token: int | None) -> list[Act]:
-        """Time has passed, under this token."""
-        acts: list[Act] = []
+    rank: int = 0
+    reads_source: bool = False
+    token: int | None = None  # of the lease held here
+    lists: dict[int, dict[str, ListEntry]] = field(default_factory=dict)  # by source and worker
+    number: int = 0  # of the last change that was sent, or received from the holder
+    highest_token: int = 0
+    holder: str = ""  # the member that is followed
+    is_current: bool = False  # whether all that the holder has sent is here
+    received_entries: list[ListEntry] = field(default_factory=list)  # of a list with parts to come
+    source_healthy_ms: float | None = None  # when the own source last responded
+    next_heartbeat_ms: float = 0.0
+    lease_since_ms: float = 0.0
+
+    def tick(self, now_ms: float, token: int | None) -> list[Action]:
+        """Do what is due under this token."""
         if token != self.token:
-            self.token, self.beat_ms, self.held_ms = token, now_ms, now_ms
-            if token is not None:
-                self.heard_token, self.leader, self.current = max(token, self.heard_token), "", False
+            self._on_token_changed(now_ms, token)
         if token is not None:
-            acts += self._read(True)
-            if now_ms >= self.beat_ms:
-                self.beat_ms = now_ms + self.times.beat_ms
-                acts.append(self._say("", Beat(token, self.number, self.well(now_ms))))
-            if now_ms - max(self.well_ms or 0.0, self.held_ms) > self.times.ill_ms:
-                self.held_ms = now_ms
-                acts.append(GiveUp())
-            return acts
-        patience = self.times.silent_ms if self.leader else self.times.patience_ms
-        if not self.reads and now_ms - self.heard_ms > patience + self.place * 50.0:
-            self.leader, self.current = "", False
-            acts += self._read(True)
-        return acts
-
-    def well(self, now_ms: float) -> bool:
-        """Whether the own source has answered lately."""
-        return self.reads and self.well_ms is not None and now_ms - self.well_ms <= self.times.ill_ms
-
-    def _read(self, on: bool) -> list[Act]:
-        if self.reads is on:
+            return self._tick_as_holder(now_ms, token)
+        times = self.times
+        timeout_ms = times.holder_timeout_ms if self.holder else times.first_holder_timeout_ms
+        timeout_ms += self.rank * FALLBACK_STAGGER_MS
+        if self.reads_source or now_ms - self.holder_heard_ms <= timeout_ms:
             return []
-        self.reads = on
-        return [Read(on)]
-
-    def _say(self, to: str, item: Said) -> Say:
-        return Say(to, _encoder.encode(item))
-
-    # The own source.
+        self.holder, self.is_current = "", False
+        return self._read_source(True)
 
-    def answered(self, now_ms: float) -> None:
-        """The own source has answered, changed or not."""
-        self.well_ms = now_ms
-
-    def silent(self) -> None:
-        """The own source did not answer."""
-        self.well_ms = None
-
-    def told(self, now_ms: float, index: int, whole: bool, lines: Iterable[Line]) -> list[Act]:
-        """The own source has told a list or changes: the holder passes it on."""
-        self.well_ms = now_ms
-        lines = tuple(lines)
-        self._take(index, whole, lines)
+    def _on_token_changed(self, now_ms: float, token: int | None) -> None:
+        self.token, self.next_heartbeat_ms, self.lease_since_ms = token, now_ms, now_ms
+        if token is not None:
+            self.highest_token = max(token, self.highest_token)
+            self.holder, self.is_current = "", False
+
+    def _tick_as_holder(self, now_ms: float, token: int) -> list[Action]:
+        actions = self._read_source(True)
+        if now_ms >= self.next_heartbeat_ms:
+            self.next_heartbeat_ms = now_ms + self.times.heartbeat_interval_ms
+            heartbeat = Heartbeat(token, self.number, self.is_source_healthy(now_ms))
+            actions.append(_send("", heartbeat))
+        silent_since_ms = max(self.source_healthy_ms or 0.0, self.lease_since_ms)
+        if now_ms - silent_since_ms > self.times.source_timeout_ms:
+            self.lease_since_ms = now_ms
+            actions.append(ReleaseLease())
+        return actions
+
+    def is_source_healthy(self, now_ms: float) -> bool:
+        """Tell whether the own source is read and has responded in time."""
+        healthy_ms = self.source_healthy_ms
+        if not self.reads_source or healthy_ms is None:
+            return False
+        return now_ms - healthy_ms <= self.times.source_timeout_ms
+
+    def _read_source(self, enabled: bool) -> list[Action]:
+        if self.reads_source is enabled:
+            return []
+        self.reads_source = enabled
+        return [ReadSource(enabled)]
+
+    # Events of the own source.
+
+    def on_source_responded(self, now_ms: float) -> None:
+        """Note that the own source has responded, changed or not."""
+        self.source_healthy_ms = now_ms
+
+    def on_source_failed(self) -> None:
+        """Note that the own source did not respond."""
+        self.source_healthy_ms = None
+
+    def on_source_update(
+        self, now_ms: float, source: int, is_complete_list: bool, entries: Iterable[ListEntry]
+    ) -> list[Action]:
+        """Handle a list or changes from the own source: the holder sends it to the others."""
+        self.source_healthy_ms = now_ms
+        entries = tuple(entries)
+        self._apply(source, is_complete_list, entries)
         if self.token is None:
             return []
         self.number += 1
-        return self._parts("", index, whole, lines, False)
-
-    def _take(self, index: int, whole: bool, lines: Iterable[Line]) -> None:
-        kept = self.lists.setdefault(index, {})
-        if whole:
-            kept.clear()
-        for line in lines:
-            if line.rest:
-                kept[line.name] = line
+        return self._list_parts("", source, is_complete_list, entries, False)
+
+    def _apply(self, source: int, is_complete_list: bool, entries: Iterable[ListEntry]) -> None:
+        current = self.lists.setdefault(source, {})
+        if is_complete_list:
+            current.clear()
+        for entry in entries:
+            if entry.data:
+                current[entry.name] = entry
             else:
-                kept.pop(line.name, None)
-
-    def _parts(self, to: str, index: int, whole: bool, lines: Sequence[Line], all: bool) -> list[Act]:
-        parts: list[list[Line]] = [[]]
-        size = 0
-        for line in lines:
-            size += len(line.rest) + len(line.name) + 16
-            if size > PART and parts[-1]:
-                parts.append([])
-                size = 0
-            parts[-1].append(line)
+                current.pop(entry.name, None)
+
+    def _list_parts(
+        self, to: str, source: int, is_complete_list: bool, entries: Sequence[ListEntry], is_resync: bool
+    ) -> list[Action]:
         assert self.token is not None
+        parts = _split(entries)
         return [
-            self._say(to, Part(self.token, self.number, index, whole, n + 1, len(parts), tuple(some), all))
-            for n, some in enumerate(parts)
+            _send(
+                to,
+                ListPart(
+                    self.token,
+                    self.number,
+                    source,
+                    is_complete_list,
+                    index,
+                    len(parts),
+                    tuple(part),
+                    is_resync,
+                ),
+            )
+            for index, part in enumerate(parts, 1)
         ]
 
-    # Other members.
-
-    def heard(self, now_ms: float, name: str, item: Said) -> list[Act]:
-        """Another member says something."""
-        if isinstance(item, Again):
-            if self.token is None:
-                return []
-            acts: list[Act] = []
-            for index in sorted(self.lists):
-                acts += self._parts(name, index, True, list(self.lists[index].values()), True)
-            return acts
-        if item.token < self.heard_token or self.token is not None:
-            return []  # one that held the task before
-        if item.token > self.heard_token or name != self.leader:
-            self.heard_token, self.current, self.begun = item.token, False, []
-            self.leader = name
-        if isinstance(item, Beat):
-            return self._beat(now_ms, name, item)
-        self.heard_ms = now_ms
-        return self._part(name, item)
-
-    def _beat(self, now_ms: float, name: str, beat: Beat) -> list[Act]:
-        if not beat.well:
-            self.leader, self.current = "", False
-            return self._read(True)
-        self.heard_ms = now_ms
-        if self.current and beat.number == self.number:
-            return [Alive(), *self._read(False)]
-        return [self._say(name, Again())]
-
-    def _part(self, name: str, part: Part) -> list[Act]:
+    # Messages of other members.
+
+    def on_message(self, now_ms: float, name: str, message: Message) -> list[Action]:
+        """Handle a message; those of a former holder are ignored."""
+        if isinstance(message, ResyncRequest):
+            return self._on_resync_request(name)
+        if message.token < self.highest_token or self.token is not None:
+            return []
+        if message.token > self.highest_token or name != self.holder:
+            self.highest_token, self.is_current, self.received_entries = message.token, False, []
+            self.holder = name
+        if isinstance(message, Heartbeat):
+            return self._on_heartbeat(now_ms, name, message)
+        self.holder_heard_ms = now_ms
+        return self._on_list_part(name, message)
+
+    def _on_resync_request(self, name: str) -> list[Action]:
+        if self.token is None:
+            return []
+        actions: list[Action] = []
+        for source in sorted(self.lists):
+            actions += self._list_parts(name, source, True, list(self.lists[source].values()), True)
+        return actions
+
+    def _on_heartbeat(self, now_ms: float, name: str, heartbeat: Heartbeat) -> list[Action]:
+        if not heartbeat.is_healthy:
+            self.holder, self.is_current = "", False
+            return self._read_source(True)
+        self.holder_heard_ms = now_ms
+        if self.is_current and heartbeat.number == self.number:
+            return [ConfirmLists(), *self._read_source(False)]
+        return [_send(name, ResyncRequest())]
+
+    def _on_list_part(self, name: str, part: ListPart) -> list[Action]:
         if part.part == 1:
-            self.begun = []
-        self.begun += part.lines
+            self.received_entries = []
+        self.received_entries += part.entries
         if part.part < part.parts:
             return []
-        lines, self.begun = tuple(self.begun), []
-        if not part.all and (not self.current or part.number != self.number + 1):
-            return [self._say(name, Again())] if self.current else []
+        entries, self.received_entries = tuple(self.received_entries), []
+        if not part.is_resync and (not self.is_current or part.number != self.number + 1):
+            return [_send(name, ResyncRequest())] if self.is_current else []
         self.number = part.number
-        self._take(part.index, part.whole, lines)
-        acts: list[Act] = [Update(part.index, part.whole, lines)]
-        if part.all and part.index == self.sources - 1:
-            self.current = True
-            acts += self._read(False)
-        return acts
+        self._apply(part.source, part.is_complete_list, entries)
+        actions: list[Action] = [UpdateList(part.source, part.is_complete_list, entries)]
+        if part.is_resync and part.source == self.source_count - 1:
+            self.is_current = True
+            actions += self._read_source(False)
+        return actions
+
+
+def _send(to: str, message: Message) -> SendMessage:
+    return SendMessage(to, _encoder.encode(message))
+
+
+def _split(entries: Sequence[ListEntry]) -> list[list[ListEntry]]:
+    """Split entries into the parts of messages; there is one part at least."""
+    parts: list[list[ListEntry]] = [[]]
+    size_bytes = 0
+    for entry in entries:
+        size_bytes += len(entry.data) + len(entry.name) + ENTRY_OVERHEAD_BYTES
+        if size_bytes > MAX_PART_BYTES and parts[-1]:
+            parts.append([])
+            size_bytes = 0
+        parts[-1].append(entry)
+    return parts
--- a/grebestack/consensus/messages.py
+++ b/grebestack/consensus/messages.py
@@ -39,20 +39,20 @@
         return (name, disk_incarnation) in self.members
 
 
-class Plan(Struct, frozen=True, array_like=True, tag="plan"):
+class RestartPlan(Struct, frozen=True, array_like=True, tag="plan"):
     """A rolling restart of the cluster; see `cluster_tasks.rolling_restart`."""
 
     number: int
-    by: str  # the member whose operator requested it
+    requested_by: str  # the member whose operator requested it
     members: tuple[str, ...]
-    done: tuple[str, ...] = ()  # members that have restarted
-    step: str = ""  # the member that restarts now
-    life: int = 0  # the process incarnation that it is to end
+    restarted: tuple[str, ...] = ()  # members that have restarted
+    restarting: str = ""  # the member that restarts now
+    process_incarnation: int = 0  # the process incarnation that it is to end
     state: str = ""
-    why: str = ""
+    reason: str = ""
 
 
-RegisterValue = Lease | MembershipConfig | Plan | Version | None
+RegisterValue = Lease | MembershipConfig | RestartPlan | Version | None
 RegisterEntry = tuple[str, Ballot, Ballot, RegisterValue]  # register, promised, accepted, value
 
 
--- a/grebestack/program/cluster_task.py
+++ b/grebestack/program/cluster_task.py
@@ -1,4 +1,4 @@
-"""What the shells of all tasks have in common: what other members' tasks say, and the next look."""
+"""The common part of cluster tasks: their messages to other members, and their ticks."""
 
 from __future__ import annotations
 
@@ -17,10 +17,18 @@
 T = TypeVar("T")
 
 
-class Attendance(Generic[T]):
-    """Reads what is said, and looks at a task when its lease turns, when asked to, and when it is due.
+class TaskRunner(Generic[T]):
+    """Runs one task: when its lease changes, when it asks for it, and when a tick is due.
 
-    `look` does what is due at a time and tells after how many milliseconds it is to come again; None: never.
+    Parameters
+    ----------
+    decode
+        Decodes a message; raises msgspec.DecodeError.
+    on_message
+        Called with the sender and the decoded message.
+    on_tick
+        Does what is due at a time, in milliseconds, and returns the milliseconds until the next tick; None
+        ends the ticks.
     """
 
     def __init__(
@@ -28,36 +36,39 @@
         node: Node,
         clock: Clock,
         task: str,
-        read: Callable[[bytes], T],
-        heard: Callable[[str, T], None],
-        look: Callable[[float], float | None],
+        decode: Callable[[bytes], T],
+        on_message: Callable[[str, T], None],
+        on_tick: Callable[[float], float | None],
     ) -> None:
+        """Begin stopped."""
         self.node, self.clock, self.task = node, clock, task
-        self._read, self._heard, self._look = read, heard, look
+        self._decode, self._on_message, self._on_tick = decode, on_message, on_tick
         self.timer: Timer | None = None
 
-    def begin(self) -> None:
-        """Attend from now on."""
-        self.node.message_handlers[self.task], self.node.lease_listeners[self.task] = self._said, self.look
-        self.look()
+    def start(self) -> None:
+        """Receive messages, and tick from now on."""
+        self.node.message_handlers[self.task] = self._on_data
+        self.node.lease_listeners[self.task] = self.tick
+        self.tick()
 
-    def look(self) -> None:
-        """Do what is due, and come again."""
-        now = self.clock.now_ms()
-        after_ms = None if self.node.stopped else self._look(now)
-        if self.timer is not None:  # also one that was set meanwhile: what is done may ask for a look itself
+    def tick(self) -> None:
+        """Do what is due now, and set the timer for the next tick."""
+        now_ms = self.clock.now_ms()
+        delay_ms = None if self.node.stopped else self._on_tick(now_ms)
+        # Cancelled after the tick, which may have called this method and set a timer itself.
+        if self.timer is not None:
             self.timer.cancel()
-        self.timer = None if after_ms is None else self.clock.call_at(now + after_ms, self.look)
+        self.timer = None if delay_ms is None else self.clock.call_at(now_ms + delay_ms, self.tick)
 
-    def say(self, body: bytes, to: str = "") -> None:
-        """Say something to the task of one member, or of all that are connected."""
+    def send(self, body: bytes, to: str = "") -> None:
+        """Send a message to the task of one member, or of all that are connected."""
         for name in [to] if to else list(self.node.connections):
             self.node.send_task_message(name, self.task, body)
 
-    def _said(self, name: str, body: bytes) -> None:
+    def _on_data(self, name: str, body: bytes) -> None:
         try:
-            item = self._read(body)
+            message = self._decode(body)
         except msgspec.DecodeError:
             log.warning("fleet_word_unknown", extra={"kv": {"peer": name, "task": self.task}})
             return
-        self._heard(name, item)
+        self._on_message(name, message)
--- a/grebestack/program/rolling_restart.py
+++ b/grebestack/program/rolling_restart.py
@@ -1,41 +1,46 @@
-"""The shell of a paced restart: tells the others how this member is, and does what the plan says."""
+"""Runs the rolling restart: reports this member's state, and carries out the coordinator's actions."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 from functools import partial
-from typing import Protocol
+from typing import Any, Protocol
 
 import msgspec
 
 from grebestack.admin.commands import Answer
 from grebestack.cluster_io.node import Node
 from grebestack.cluster_tasks.rolling_restart import (
-    GOES_ON,
+    IN_PROGRESS,
     REGISTER,
-    Ask,
-    Go,
-    HandOver,
-    Known,
-    Pace,
-    Pacing,
-    State,
-    beginning,
-    said,
-    shown,
-    stopping,
+    Action,
+    HandOverLease,
+    MemberState,
+    Message,
+    ProposePlan,
+    ReceivedState,
+    RequestRestart,
+    RestartCoordinator,
+    RestartRequest,
+    RestartTimes,
+    begin_restart,
+    decode,
+    describe_plan,
+    stop_restart,
 )
-from grebestack.consensus.messages import Plan
+from grebestack.consensus.messages import RestartPlan
 from grebestack.consensus.register import Value
-from grebestack.program.cluster_task import Attendance
+from grebestack.program.cluster_task import TaskRunner
 from grebestack.program.lifecycle import LED_MS, Life
 from grebestack.routing.interfaces import Clock
 
 log = logging.getLogger(__name__)
 TASK = "restart"
-LOOK_MS, ACT_MS = 1000.0, 100.0  # without the lease, and with it
-LEAVE_MS = 400.0  # after clients were led out, before the stop
+REPORT_INTERVAL_MS = 1000.0
+TICK_INTERVAL_MS, HOLDER_TICK_INTERVAL_MS = 1000.0, 100.0
+STOP_DELAY_MS = 400.0  # after the clients have had time to leave
+NO_QUORUM = "no majority has answered; look with `fleet`, then call again"
 
 
 class Host(Protocol):
@@ -45,115 +50,134 @@
 
     @property
     def clock(self) -> Clock:
-        """The time."""
+        """The clock of the event loop."""
 
     def apply(self) -> None:
-        """Have all follow the state of `life`."""
+        """Put the state of `life` into effect."""
 
     def stop(self) -> None:
-        """End once all is answered."""
-
-
-class Paced:
-    """One member of a fleet that is restarted one after the other."""
-
-    def __init__(self, dispatcher: Host, node: Node, pace: Pace) -> None:
-        self.dispatcher, self.node = dispatcher, node
-        self.clock = dispatcher.clock
-        self.pacing = Pacing(node.settings.name, pace, self.clock.now_ms())
-        self.known: dict[str, Known] = {}
-        self.tell_ms = 0.0
-        self.highest = 0  # token that has told this member to go
-        self.going = False
-        self.wait_ms = 0.0
-        self.attendance = Attendance(node, self.clock, TASK, said, self._heard, self._look)
-
-    def _look(self, now: float) -> float:
-        mine = State(self.node.replica.process_incarnation, self.dispatcher.life.ready)
-        self.known[self.node.settings.name] = Known(mine, now)
-        if now >= self.tell_ms:
-            self.tell_ms = now + LOOK_MS
-            self.attendance.say(msgspec.msgpack.encode(mine))
-        self._line(now)
+        """Stop once all requests are answered."""
+
+
+class RollingRestart:
+    """One member's part in rolling restarts."""
+
+    def __init__(self, dispatcher: Host, node: Node, times: RestartTimes) -> None:
+        """Begin stopped."""
+        self.dispatcher, self.node, self.clock = dispatcher, node, dispatcher.clock
+        self.coordinator = RestartCoordinator(node.settings.name, times, self.clock.now_ms())
+        self.states: dict[str, ReceivedState] = {}  # of all members, by name
+        self.next_report_ms = 0.0
+        self.highest_token = 0  # of the requests to restart
+        self.is_restarting = False
+        self.next_candidacy_ms = 0.0
+        self.action_handlers: dict[type[Action], Callable[[int | None, Any], None]] = {
+            ProposePlan: self._propose_plan,
+            HandOverLease: self._hand_over_lease,
+            RequestRestart: self._request_restart,
+        }
+        self.runner: TaskRunner[Message] = TaskRunner(
+            node, self.clock, TASK, decode, self._on_message, self._on_tick
+        )
+
+    def start(self) -> None:
+        """Start the task."""
+        self.runner.start()
+
+    def _on_tick(self, now_ms: float) -> float:
+        own_state = MemberState(self.node.replica.process_incarnation, self.dispatcher.life.ready)
+        self.states[self.node.settings.name] = ReceivedState(own_state, now_ms)
+        if now_ms >= self.next_report_ms:
+            self.next_report_ms = now_ms + REPORT_INTERVAL_MS
+            self.runner.send(msgspec.msgpack.encode(own_state))
+        self._update_candidacy(now_ms)
         token = self.node.valid_token(TASK)
-        for act in self.pacing.tick(now, token, self.known):
-            if isinstance(act, Ask):
-                self.node.propose(REGISTER, act.change, partial(self._asked, token))
-            elif isinstance(act, HandOver):
-                log.info("fleet_restart", extra={"kv": {"hands_over_to": act.to}})
-                self.wait_ms = now + 2.0 * self.node.settings.terms.term_ms
-                self.node.release(TASK, act.to)
-            elif self.node.valid_token(TASK) == token:
-                self.attendance.say(msgspec.msgpack.encode(act.go), act.name)
-        return LOOK_MS if token is None else ACT_MS
-
-    def _plan(self) -> Plan | None:
-        """The plan as this member's disk has it."""
-        slot = self.node.replica.acceptor.state.registers.get(REGISTER)
-        return slot.value if slot is not None and isinstance(slot.value, Plan) else None
-
-    def _line(self, now: float) -> None:
-        """Stand in line for the task while there is something to do: a lease costs all members syncs."""
-        plan, wanted = self._plan(), self.node.replica.leases.holders[TASK].is_candidate
-        goes_on = plan is not None and plan.state == GOES_ON
-        if wanted and not goes_on:
+        for action in self.coordinator.tick(now_ms, token, self.states):
+            self.action_handlers[type(action)](token, action)
+        return TICK_INTERVAL_MS if token is None else HOLDER_TICK_INTERVAL_MS
+
+    def _propose_plan(self, token: int | None, action: ProposePlan) -> None:
+        self.node.propose(REGISTER, action.change, partial(self._on_proposal_ended, token))
+
+    def _hand_over_lease(self, token: int | None, action: HandOverLease) -> None:
+        log.info("fleet_restart", extra={"kv": {"hands_over_to": action.to}})
+        self.next_candidacy_ms = self.clock.now_ms() + 2.0 * self.node.settings.terms.term_ms
+        self.node.release(TASK, action.to)
+
+    def _request_restart(self, token: int | None, action: RequestRestart) -> None:
+        if self.node.valid_token(TASK) == token:
+            self.runner.send(msgspec.msgpack.encode(action.request), action.name)
+
+    def _plan(self) -> RestartPlan | None:
+        """Return the plan that this member's acceptor holds."""
+        state = self.node.replica.acceptor.state.registers.get(REGISTER)
+        return state.value if state is not None and isinstance(state.value, RestartPlan) else None
+
+    def _update_candidacy(self, now_ms: float) -> None:
+        """Want the lease only during a restart: each renewal costs all members a sync."""
+        plan, is_candidate = self._plan(), self.node.replica.leases.holders[TASK].is_candidate
+        is_in_progress = plan is not None and plan.state == IN_PROGRESS
+        may_become_candidate = not self.is_restarting and now_ms >= self.next_candidacy_ms
+        if is_candidate and not is_in_progress:
             self.node.release(TASK)
-        elif goes_on and not wanted and not self.going and now >= self.wait_ms:
+        elif is_in_progress and not is_candidate and may_become_candidate:
             self.node.become_candidate(TASK)
 
-    def _asked(self, token: int | None, known: bool, value: Value) -> None:
-        former = self.pacing.plan
-        self.pacing.asked(self.clock.now_ms(), token, value, known)
-        if known and isinstance(value, Plan) and value != former:
-            log.info("fleet_restart", extra={"kv": {"plan": shown(value), "step": value.step}})
+    def _on_proposal_ended(self, token: int | None, is_chosen: bool, value: Value) -> None:
+        former = self.coordinator.plan
+        self.coordinator.on_proposal_ended(self.clock.now_ms(), token, value, is_chosen)
+        if is_chosen and isinstance(value, RestartPlan) and value != former:
+            kv = {"plan": describe_plan(value), "step": value.restarting}
+            log.info("fleet_restart", extra={"kv": kv})
 
-    def _heard(self, name: str, item: State | Go) -> None:
-        """Another member tells how it is, or that it is this one's turn."""
-        if isinstance(item, State):
-            self.known[name] = Known(item, self.clock.now_ms())
+    def _on_message(self, name: str, message: Message) -> None:
+        if isinstance(message, MemberState):
+            self.states[name] = ReceivedState(message, self.clock.now_ms())
         else:
-            self._go(name, item)
+            self._on_restart_request(name, message)
 
-    def _go(self, name: str, go: Go) -> None:
-        if go.token < self.highest or go.life != self.node.replica.process_incarnation or self.going:
+    def _on_restart_request(self, name: str, request: RestartRequest) -> None:
+        is_own_incarnation = request.process_incarnation == self.node.replica.process_incarnation
+        if request.token < self.highest_token or not is_own_incarnation or self.is_restarting:
             return
-        self.highest, self.going = go.token, True
-        log.info("fleet_restart", extra={"kv": {"told_by": name, "number": go.number}})
-        now = self.clock.now_ms()
-        self.dispatcher.life.quiesce(now)
+        self.highest_token, self.is_restarting = request.token, True
+        log.info("fleet_restart", extra={"kv": {"told_by": name, "number": request.number}})
+        now_ms = self.clock.now_ms()
+        self.dispatcher.life.quiesce(now_ms)
         self.dispatcher.apply()
-        self.clock.call_at(now + LED_MS + LEAVE_MS, self.dispatcher.stop)
+        self.clock.call_at(now_ms + LED_MS + STOP_DELAY_MS, self.dispatcher.stop)
 
-    # The door.
+    # Commands of operators.
 
     def begin(self, reply: Callable[[Answer], None]) -> None:
-        """An operator wants the fleet restarted."""
-        names = tuple(sorted(self.node.replica.config.names()))
+        """Begin a restart of the cluster."""
+        own_name, names = self.node.settings.name, tuple(sorted(self.node.replica.config.names()))
         if len(names) < 2:
             reply(Answer(False, "a restart one after the other needs two members at least"))
             return
 
-        def ended(known: bool, value: Value) -> None:
-            if not known:
-                reply(Answer(False, "no majority has answered; look with `fleet`, then call again"))
-            elif isinstance(value, Plan):
-                mine = value.by == self.node.settings.name and not value.done and not value.step
-                reply(Answer(mine, shown(value)))
+        def on_ended(is_chosen: bool, value: Value) -> None:
+            if not is_chosen:
+                reply(Answer(False, NO_QUORUM))
+            elif isinstance(value, RestartPlan):
+                has_begun = value.requested_by == own_name and not value.restarted and not value.restarting
+                reply(Answer(has_begun, describe_plan(value)))
 
-        self.node.propose(REGISTER, beginning(self.node.settings.name, names), ended)
+        self.node.propose(REGISTER, begin_restart(own_name, names), on_ended)
 
     def halt(self, reply: Callable[[Answer], None]) -> None:
-        """An operator wants it to go no further; a member that has been told restarts all the same."""
+        """Stop the restart; a member that has been requested to restart does so all the same."""
 
-        def ended(known: bool, value: Value) -> None:
-            if not known:
-                reply(Answer(False, "no majority has answered; look with `fleet`, then call again"))
+        def on_ended(is_chosen: bool, value: Value) -> None:
+            if not is_chosen:
+                reply(Answer(False, NO_QUORUM))
                 return
-            plan = value if isinstance(value, Plan) else None
-            reply(Answer(plan is not None and plan.state != GOES_ON, shown(plan)))
+            plan = value if isinstance(value, RestartPlan) else None
+            is_stopped = plan is not None and plan.state != IN_PROGRESS
+            reply(Answer(is_stopped, describe_plan(plan)))
 
-        self.node.propose(REGISTER, stopping(f"halted at {self.node.settings.name}"), ended)
+        self.node.propose(REGISTER, stop_restart(f"halted at {self.node.settings.name}"), on_ended)
 
-    def shown(self) -> str:
-        """The plan, in words."""
-        return shown(self._plan())
+    def describe(self) -> str:
+        """Return the plan as a text for operators."""
+        return describe_plan(self._plan())
--- a/tests/cluster_member.py
+++ b/tests/cluster_member.py
@@ -58,7 +58,7 @@
     path, faults, rate = sys.argv[1], sys.argv[2], float(sys.argv[3])
     cluster_member.FILES = config_updates.FILES = lambda: FaultyFiles(faults)
     cluster_member.CLOCK = lambda: time.monotonic() * 1000.0 * rate
-    cluster_member.EXPORTS = TASKS
+    cluster_member.EXPORT_TASKS = TASKS
     sys.argv = ["grebestack", "--config", path, "--log-level", "debug"]
     return __main__.main()
 
--- a/tests/test_cluster_tasks.py
+++ b/tests/test_cluster_tasks.py
@@ -13,22 +13,31 @@
 from hypothesis import strategies as st
 from msgspec import structs
 
-from grebestack.cluster_tasks.metrics_export import Counts, Tallies
+from grebestack.cluster_tasks.metrics_export import CountersCollector, CountersResponse
 from grebestack.cluster_tasks.rolling_restart import (
     DONE,
     STOPPED,
-    Ask,
-    HandOver,
-    Known,
-    Pace,
-    Pacing,
-    State,
-    Tell,
-    beginning,
-    stopping,
+    HandOverLease,
+    MemberState,
+    ProposePlan,
+    ReceivedState,
+    RequestRestart,
+    RestartCoordinator,
+    RestartTimes,
+    begin_restart,
+    stop_restart,
 )
-from grebestack.cluster_tasks.shared_discovery import Act, GiveUp, Line, Read, Say, Sharing, Update, said
-from grebestack.consensus.messages import Plan
+from grebestack.cluster_tasks.shared_discovery import (
+    Action,
+    ListEntry,
+    ReadSource,
+    ReleaseLease,
+    SendMessage,
+    SharedDiscovery,
+    UpdateList,
+    decode,
+)
+from grebestack.consensus.messages import RestartPlan
 from tests.cluster import Cluster
 from tests.standins import Discovery, Runner, World, say, wait_until
 
@@ -39,7 +48,7 @@
     """Members that share a reading, in simulated time, over links that may lose what is said."""
 
     def __init__(self, count: int, chance: random.Random, loss: float) -> None:
-        self.members = [Sharing(2, 0.0, place=n) for n in range(count)]
+        self.members = [SharedDiscovery(2, 0.0, rank=n) for n in range(count)]
         self.lists: list[dict[int, dict[str, bytes]]] = [{} for _ in range(count)]
         self.truth: dict[int, dict[str, bytes]] = {0: {}, 1: {}}
         self.chance, self.loss, self.now = chance, loss, 0.0
@@ -47,34 +56,34 @@
         self.token = 0
         self.well = [True] * count
 
-    def act(self, n: int, acts: list[Act]) -> None:
-        for act in acts:
-            if isinstance(act, Say):
+    def act(self, n: int, actions: list[Action]) -> None:
+        for action in actions:
+            if isinstance(action, SendMessage):
                 for to in range(len(self.members)):
-                    if to != n and act.to in ("", f"m{to}") and self.chance.random() >= self.loss:
-                        heard = self.members[to].heard(self.now, f"m{n}", said(act.body))
+                    if to != n and action.to in ("", f"m{to}") and self.chance.random() >= self.loss:
+                        heard = self.members[to].on_message(self.now, f"m{n}", decode(action.body))
                         self.act(to, heard)
-            elif isinstance(act, Update):
-                mine = self.lists[n].setdefault(act.index, {})
-                if act.whole:
+            elif isinstance(action, UpdateList):
+                mine = self.lists[n].setdefault(action.source, {})
+                if action.is_complete_list:
                     mine.clear()
-                for line in act.lines:
-                    mine[line.name] = line.rest
-                    if not line.rest:
-                        del mine[line.name]
-            elif isinstance(act, Read) and act.on:
+                for entry in action.entries:
+                    mine[entry.name] = entry.data
+                    if not entry.data:
+                        del mine[entry.name]
+            elif isinstance(action, ReadSource) and action.enabled:
                 self.connected(n)
-            elif isinstance(act, GiveUp):
+            elif isinstance(action, ReleaseLease):
                 self.hold((n + 1) % len(self.members))
 
     def tell(self, n: int, index: int, whole: bool, some: dict[str, bytes]) -> None:
-        if self.members[n].reads and self.well[n]:
+        if self.members[n].reads_source and self.well[n]:
             mine = self.lists[n].setdefault(index, {})
             if whole:
                 mine.clear()
             mine |= some
-            lines = [Line(name, rest) for name, rest in some.items()]
-            self.act(n, self.members[n].told(self.now, index, whole, lines))
+            entries = [ListEntry(name, rest) for name, rest in some.items()]
+            self.act(n, self.members[n].on_source_update(self.now, index, whole, entries))
 
     def connected(self, n: int) -> None:
         """A source that is asked anew, or answers again, tells its whole list."""
@@ -94,8 +103,8 @@
         while self.now < until:
             self.now += 100.0
             for n, member in enumerate(self.members):
-                if member.reads and self.well[n]:
-                    member.answered(self.now)
+                if member.reads_source and self.well[n]:
+                    member.on_source_responded(self.now)
                 self.act(n, member.tick(self.now, self.token if self.holder == n else None))
 
 
@@ -120,7 +129,7 @@
         fleet.connected(n)
     fleet.hold(chance.randrange(4))
     fleet.run(4000.0)
-    assert [n for n, member in enumerate(fleet.members) if member.reads] == [fleet.holder]
+    assert [n for n, member in enumerate(fleet.members) if member.reads_source] == [fleet.holder]
     fleet.change(0, "last", b"x")
     fleet.run(1500.0)
     assert all(lists == fleet.truth for lists in fleet.lists)
@@ -129,77 +138,81 @@
 def test_each_reads_for_itself_where_there_is_no_holder_or_its_source_is_ill() -> None:
     fleet = Fleet(3, random.Random(1), 0.0)
     fleet.run(1000.0)
-    assert all(member.reads for member in fleet.members)
+    assert all(member.reads_source for member in fleet.members)
     fleet.hold(0)
     fleet.run(1000.0)
-    assert [member.reads for member in fleet.members] == [True, False, False]
+    assert [member.reads_source for member in fleet.members] == [True, False, False]
     fleet.well[0] = False
-    fleet.members[0].silent()
+    fleet.members[0].on_source_failed()
     fleet.run(800.0)
-    assert all(member.reads for member in fleet.members)
+    assert all(member.reads_source for member in fleet.members)
     fleet.run(6000.0)  # the holder has given the task to one whose source answers
-    assert fleet.holder == 1 and not fleet.members[2].reads
+    assert fleet.holder == 1 and not fleet.members[2].reads_source
 
 
 def test_a_former_holder_is_passed_over() -> None:
-    one = Sharing(1, 0.0)
-    former, later = Sharing(1, 0.0), Sharing(1, 0.0)
+    one = SharedDiscovery(1, 0.0)
+    former, later = SharedDiscovery(1, 0.0), SharedDiscovery(1, 0.0)
     former.tick(0.0, 1)
     later.tick(0.0, 2)
 
-    def told(holder: Sharing, name: str) -> list[Act]:
-        acts: list[Act] = []
-        for act in holder.told(5.0, 0, True, [Line(name, b"1")]) + holder.tick(900.0, holder.token):
-            assert isinstance(act, Say)
-            acts += one.heard(5.0, name, said(act.body))
-        return acts
+    def told(holder: SharedDiscovery, name: str) -> list[Action]:
+        actions: list[Action] = []
+        for action in holder.on_source_update(5.0, 0, True, [ListEntry(name, b"1")]) + holder.tick(
+            900.0, holder.token
+        ):
+            assert isinstance(action, SendMessage)
+            actions += one.on_message(5.0, name, decode(action.body))
+        return actions
 
-    assert told(later, "later") and one.leader == "later"
-    assert not told(former, "former") and one.leader == "later"
+    assert told(later, "later") and one.holder == "later"
+    assert not told(former, "former") and one.holder == "later"
 
 
 def test_tallies_name_who_is_missing_and_wait_only_for_who_is_connected() -> None:
-    tallies, names = Tallies("f", "tallies", "a", 1000.0), frozenset("abc")
-    assert tallies.tick(0.0, 1, {"served": 1}, frozenset("b"), names) and tallies.export(1.0) is None
-    tallies.heard("b", Counts(9, 1, {"served": 100}))  # for another export
-    tallies.heard("b", Counts(1, 1, {"served": 2, "denied": 1}))
-    export = tallies.export(2.0)
+    collector, names = CountersCollector("f", "tallies", "a", 1000.0), frozenset("abc")
+    assert collector.tick(0.0, 1, {"served": 1}, frozenset("b"), names) and collector.take_export(1.0) is None
+    collector.on_response("b", CountersResponse(9, 1, {"served": 100}))  # for another export
+    collector.on_response("b", CountersResponse(1, 1, {"served": 2, "denied": 1}))
+    export = collector.take_export(2.0)
     assert export is not None and export.totals == {"served": 3, "denied": 1} and export.missing == ["c"]
-    assert not tallies.tick(500.0, 1, {}, names, names) and tallies.tick(1000.0, 1, {}, names, names)
-    assert tallies.export(1399.0) is None and tallies.export(1400.0) is not None
-    assert tallies.tick(1500.0, 3, {}, frozenset(), names)  # a new token: at once, and from 1
-    late = tallies.export(1500.0)
+    assert not collector.tick(500.0, 1, {}, names, names) and collector.tick(1000.0, 1, {}, names, names)
+    assert collector.take_export(1399.0) is None and collector.take_export(1400.0) is not None
+    assert collector.tick(1500.0, 3, {}, frozenset(), names)  # a new token: at once, and from 1
+    late = collector.take_export(1500.0)
     assert late is not None and (late.token, late.number) == (3, 1)
 
 
 # A restart.
 
 
-def know(*lives: int, at: float = 0.0) -> dict[str, Known]:
-    return {f"m{n}": Known(State(life, True), at) for n, life in enumerate(lives)}
+def know(*lives: int, at: float = 0.0) -> dict[str, ReceivedState]:
+    return {f"m{n}": ReceivedState(MemberState(life, True), at) for n, life in enumerate(lives)}
 
 
 class Register:
     """What a majority keeps."""
 
     def __init__(self, names: tuple[str, ...]) -> None:
-        self.value: Plan | None = beginning("m0", names)(None)
+        self.value: RestartPlan | None = begin_restart("m0", names)(None)
 
-    def run(self, pacing: Pacing, now: float, token: int | None, known: dict[str, Known]) -> list[object]:
-        acts: list[object] = []
-        for act in pacing.tick(now, token, known):
-            acts.append(act)
-            if isinstance(act, Ask):
-                self.value = act.change(self.value)
-                pacing.asked(now, token, self.value, True)
-        return acts
+    def run(
+        self, coordinator: RestartCoordinator, now: float, token: int | None, known: dict[str, ReceivedState]
+    ) -> list[object]:
+        actions: list[object] = []
+        for action in coordinator.tick(now, token, known):
+            actions.append(action)
+            if isinstance(action, ProposePlan):
+                self.value = action.change(self.value)
+                coordinator.on_proposal_ended(now, token, self.value, True)
+        return actions
 
 
 def test_a_restart_goes_one_by_one_over_two_holders_and_each_member_is_told_for_one_life() -> None:
     names = ("m0", "m1", "m2")
-    register, pace = Register(names), Pace(1000.0, 100.0)
+    register, times = Register(names), RestartTimes(1000.0, 100.0)
     lives, told = [1, 1, 1], list[str]()
-    holder, pacing = 0, Pacing("m0", pace, 0.0)
+    holder, coordinator = 0, RestartCoordinator("m0", times, 0.0)
     now, back = 0.0, dict[int, float]()
     while register.value is not None and register.value.state != DONE and now < 60_000.0:
         now += 50.0
@@ -207,46 +220,54 @@
             lives[n] += 1
             del back[n]
         known = {name: k for name, k in know(*lives, at=now).items() if int(name[1]) not in back}
-        for act in register.run(pacing, now, 7 + holder, known):
-            if isinstance(act, Tell):
+        for action in register.run(coordinator, now, 7 + holder, known):
+            if isinstance(action, RequestRestart):
                 assert not back, "two are away"
-                n = int(act.name[1])
-                assert act.go.life == lives[n] and n != holder
-                told.append(act.name)
+                n = int(action.name[1])
+                assert action.request.process_incarnation == lives[n] and n != holder
+                told.append(action.name)
                 back[n] = now + 300.0
                 if len(told) == 1:  # and the holder dies meanwhile
-                    holder, pacing = 2, Pacing("m2", pace, now)
-            elif isinstance(act, HandOver):
-                holder, pacing = int(act.to[1]), Pacing(act.to, pace, now)
+                    holder, coordinator = 2, RestartCoordinator("m2", times, now)
+            elif isinstance(action, HandOverLease):
+                holder, coordinator = int(action.to[1]), RestartCoordinator(action.to, times, now)
     assert register.value is not None and register.value.state == DONE
     assert told == ["m1", "m0", "m2"] and lives == [2, 2, 2]
 
 
 @pytest.mark.parametrize(("away", "why"), [("m1", "m1 did not come back"), ("m2", "m1 did not stop")])
 def test_a_restart_stops_where_one_does_not_come_back_and_goes_no_further(away: str, why: str) -> None:
-    register, pacing = Register(("m0", "m1", "m2")), Pacing("m0", Pace(1000.0, 0.0), 0.0)
-    now, acts = 0.0, list[object]()
+    register, coordinator = (
+        Register(("m0", "m1", "m2")),
+        RestartCoordinator("m0", RestartTimes(1000.0, 0.0), 0.0),
+    )
+    now, actions = 0.0, list[object]()
     while now < 5000.0:
         now += 50.0
         known = know(1, 1, 1, at=now)
-        if away == "m1" and any(isinstance(act, Tell) for act in acts):
+        if away == "m1" and any(isinstance(action, RequestRestart) for action in actions):
             del known["m1"]
-        acts += register.run(pacing, now, 1, known)
-    assert register.value is not None and register.value.state == STOPPED and why in register.value.why
-    assert {act.name for act in acts if isinstance(act, Tell)} == {"m1"}
+        actions += register.run(coordinator, now, 1, known)
+    assert register.value is not None and register.value.state == STOPPED and why in register.value.reason
+    assert {action.name for action in actions if isinstance(action, RequestRestart)} == {"m1"}
 
 
 def test_none_is_told_while_another_is_away_and_a_halt_holds() -> None:
-    register, pacing = Register(("m0", "m1", "m2")), Pacing("m0", Pace(1000.0, 0.0), 0.0)
+    register, coordinator = (
+        Register(("m0", "m1", "m2")),
+        RestartCoordinator("m0", RestartTimes(1000.0, 0.0), 0.0),
+    )
     known = know(1, 1, at=0.0)
     for now in (0.0, 100.0, 600.0, 1100.0, 1600.0):
-        assert not any(isinstance(act, Tell) for act in register.run(pacing, now, 1, known))
-    assert register.value is not None and "m2 not ready" in register.value.why
-    again = beginning("m1", ("m0", "m1"))(register.value)
-    assert again.number == 2 and beginning("m0", ("m0",))(again) == again
-    halted = stopping("halted")(again)
-    assert halted.state == STOPPED and stopping("x")(halted) == halted
-    assert stopping("x", 1)(again) == again == structs.replace(again)
+        assert not any(
+            isinstance(action, RequestRestart) for action in register.run(coordinator, now, 1, known)
+        )
+    assert register.value is not None and "m2 not ready" in register.value.reason
+    again = begin_restart("m1", ("m0", "m1"))(register.value)
+    assert again.number == 2 and begin_restart("m0", ("m0",))(again) == again
+    halted = stop_restart("halted")(again)
+    assert halted.state == STOPPED and stop_restart("x")(halted) == halted
+    assert stop_restart("x", 1)(again) == again == structs.replace(again)
 
 
 # With processes.
