--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -52,8 +52,8 @@
     IncarnationStarted,
     MembershipConfig,
     Message,
-    Plan,
     ProcessStarted,
+    RestartPlan,
     encode,
 )
 from grebestack.consensus.register import Value
@@ -62,7 +62,7 @@
 from grebestack.jobs.records import Job, JobState
 from grebestack.jobs.store import JobStore
 from grebestack.program.config import check, from_file
-from grebestack.program.shared_discovery import SharedSource
+from grebestack.program.shared_discovery import encode_entry
 from grebestack.protocol.lists import ListReader, Objects
 from grebestack.protocol.platform import PlatformFront
 from grebestack.protocol.runners import Said
@@ -540,7 +540,7 @@
     with undisturbed():
         agent.answer([], "passing")
         answered = [agent.answer([n % count], ("critical", "passing")[n % 2]) for n in range(6)]
-    line = SharedSource._line
+    line = encode_entry
     shared = sum(len(msgspec.msgpack.encode(line(0.0, server))) for server in engine.table.servers.values())
     return {
         "bytes": float(len(whole_text)),
@@ -860,7 +860,7 @@
     async def change(number: int) -> float:
         nonlocal failed
         done: asyncio.Future[bool] = loop.create_future()
-        plan, began = Plan(number, names[0], tuple(names)), time.monotonic()
+        plan, began = RestartPlan(number, names[0], tuple(names)), time.monotonic()
 
         def ended(good: bool, value: Value) -> None:
             done.set_result(good)
--- a/grebestack/program/admin_operations.py
+++ b/grebestack/program/admin_operations.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from grebestack.admin.server import Reply
     from grebestack.program.audit_recording import Auditor
-    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.cluster_member import ClusterMember
     from grebestack.program.config_updates import Configuring
     from grebestack.routing.interfaces import Clock
     from grebestack.routing.worker_table import ServerTable
@@ -20,7 +20,7 @@
     """What calls work on."""
 
     life: Life
-    fleet: Fleet | None
+    fleet: ClusterMember | None
     configuring: Configuring | None
     auditor: Auditor | None
     table: ServerTable
@@ -45,7 +45,7 @@
             self.dispatcher.auditor.operated(call)
         fleet = self.dispatcher.fleet
         if call.verb in (Verb.RESTART, Verb.HALT) and fleet is not None:
-            (fleet.paced.begin if call.verb is Verb.RESTART else fleet.paced.halt)(reply)
+            (fleet.rolling_restart.begin if call.verb is Verb.RESTART else fleet.rolling_restart.halt)(reply)
         elif call.verb is Verb.CONFIGURE and self.dispatcher.configuring is not None:
             self.dispatcher.configuring.configure(call.server, reply)
         else:
@@ -72,13 +72,13 @@
         if call.verb is Verb.CONFIGURE:
             return Answer(False, "no configuration goes through a fleet here; the file needs [fleet.relays]")
         if call.verb is Verb.FLEET and configuring is not None:
-            members = f"{fleet.shown()}; " if fleet is not None else ""
+            members = f"{fleet.describe()}; " if fleet is not None else ""
             return Answer(True, members + configuring.shown())
         if fleet is None:
             return Answer(False, "this dispatcher is a member of no fleet")
         if call.verb is Verb.DROP:
-            return fleet.drop(call.server)
-        return Answer(True, fleet.shown() if call.verb is Verb.FLEET else fleet.leases())
+            return fleet.remove_member(call.server)
+        return Answer(True, fleet.describe() if call.verb is Verb.FLEET else fleet.describe_leases())
 
     def _health(self) -> Answer:
         life = self.dispatcher.life
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -35,7 +35,7 @@
     from grebestack.consul.source import ConsulSource
     from grebestack.jobs.service import JobService
     from grebestack.program.audit_recording import Auditor
-    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.cluster_member import ClusterMember
     from grebestack.program.config_updates import Configuring
     from grebestack.program.hot_restart import Upgrade
     from grebestack.program.shared_discovery import Source
@@ -95,13 +95,13 @@
             from grebestack.program import appliance
 
             self.roster = appliance.roster(config.membership, self.engine)
-        self.fleet: Fleet | None = None
+        self.fleet: ClusterMember | None = None
         if config.fleet is not None:
             from grebestack.program import (
                 cluster_member,  # only here: the platform's dispatchers share nothing
             )
 
-            self.fleet = cluster_member.Fleet(self, config.fleet)
+            self.fleet = cluster_member.ClusterMember(self, config.fleet)
         self.configuring: Configuring | None = None
         if config.force is not None:
             from grebestack.program import config_updates  # only here: nothing of it is on the platform
@@ -434,7 +434,7 @@
         if self.upgrade is not None:
             self.upgrade.stop()
         if self.fleet is not None:
-            self.fleet.leave()
+            self.fleet.release_leases()
         log.info("stopping", extra={"kv": {"open": len(self.engine.open_by_call_id)}})
         due_ms = self.life.due_ms(max(c.deadline_ms for c in self.config.settings.classes))
         self.loop.call_later(LATE_MS / 1000.0, self.front.end_by, due_ms)
--- a/tests/golden_links.py
+++ b/tests/golden_links.py
@@ -11,8 +11,8 @@
 from grebestack.cluster_io.relay_connection import FeedLink
 from grebestack.config_distribution.messages import Said, encode
 from grebestack.consensus.messages import Handshake, Message
-from grebestack.program.cluster_member import Post
 from grebestack.program.config import TalliesConfig
+from grebestack.program.metrics_exporter import ExportRequest
 from tests.golden_samples import EXPORTS, FEED, MEMBER
 
 DISK_SEQUENCE = 98
@@ -126,6 +126,6 @@
     owner = MagicMock()
     owner.node.valid_token.return_value = TOKEN
     owner.config = TalliesConfig(("10.0.0.9", 9009), "/tallies", 5.0)
-    request = Post(owner, cast(Any, EXPORTS["export"])).begin()
+    request = ExportRequest(owner, cast(Any, EXPORTS["export"])).begin()
     assert request is not None
     return request.decode()
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -29,7 +29,7 @@
 ACCEPTED = Ballot(64, "m-3", 5)
 LEASE = Lease("m-1", 12, 345, 67)
 ROLL = consensus.MembershipConfig(9, (("m-1", "inc-1"), ("m-2", "inc-2"), ("m-3", "inc-3")))
-PLAN = consensus.Plan(4, "m-1", ("m-1", "m-2", "m-3"), ("m-2",), "m-3", 8, "goes on", "m-3 is awaited")
+PLAN = consensus.RestartPlan(4, "m-1", ("m-1", "m-2", "m-3"), ("m-2",), "m-3", 8, "goes on", "m-3 is awaited")
 DIGEST = "ab" * 32
 VERSION = Version(17, DIGEST, 1234, "m-2", 1_700_000_000_123)
 SLOTS = (
@@ -70,7 +70,7 @@
     "accept of a roll with defaults": consensus.Accept(9, "set", BALLOT, consensus.MembershipConfig()),
     "accept of a plan": consensus.Accept(9, "plan/restart", BALLOT, PLAN),
     "accept of a plan with defaults": consensus.Accept(
-        9, "plan/restart", BALLOT, consensus.Plan(1, "m-1", ("m-1", "m-2"))
+        9, "plan/restart", BALLOT, consensus.RestartPlan(1, "m-1", ("m-1", "m-2"))
     ),
     "accept of a version": consensus.Accept(9, "configuration", BALLOT, VERSION),
     "accept of nothing": consensus.Accept(9, "empty", BALLOT, None),
@@ -128,19 +128,19 @@
     "tally": TALLY,
     "tally with no standings": distribution.Tally("m-2", 3, 42, False, 17, ()),
 }
-PACING = {"state": rolling_restart.State(8, True), "go": rolling_restart.Go(4, 345, 7)}
-LINES = (shared_discovery.Line("runner-1", b"rest"), shared_discovery.Line("runner-2", b""))
+PACING = {"state": rolling_restart.MemberState(8, True), "go": rolling_restart.RestartRequest(4, 345, 7)}
+LINES = (shared_discovery.ListEntry("runner-1", b"rest"), shared_discovery.ListEntry("runner-2", b""))
 SHARING = {
-    "beat": shared_discovery.Beat(345, 12, True),
-    "part": shared_discovery.Part(345, 12, 1, True, 2, 3, LINES, True),
-    "part with defaults": shared_discovery.Part(345, 12, 0, False, 1, 1, ()),
-    "part of a whole list": shared_discovery.Part(345, 12, 0, True, 1, 1, LINES),
-    "again": shared_discovery.Again(),
+    "beat": shared_discovery.Heartbeat(345, 12, True),
+    "part": shared_discovery.ListPart(345, 12, 1, True, 2, 3, LINES, True),
+    "part with defaults": shared_discovery.ListPart(345, 12, 0, False, 1, 1, ()),
+    "part of a whole list": shared_discovery.ListPart(345, 12, 0, True, 1, 1, LINES),
+    "again": shared_discovery.ResyncRequest(),
 }
 TALLIES = {
-    "ask": metrics_export.Ask(77),
-    "counts": metrics_export.Counts(77, 8, {"sessions": 11, "ok": 10}),
-    "counts of nothing": metrics_export.Counts(77, 8, {}),
+    "ask": metrics_export.CountersRequest(77),
+    "counts": metrics_export.CountersResponse(77, 8, {"sessions": 11, "ok": 10}),
+    "counts of nothing": metrics_export.CountersResponse(77, 8, {}),
 }
 EXPORTS = {
     "export": metrics_export.Export(
@@ -174,11 +174,17 @@
     ),
     "feed": Codec(distribution.encode, distribution.decode, FEED, get_args(distribution.Said)),
     "pacing": Codec(
-        msgpack.encode, rolling_restart.said, PACING, (rolling_restart.State, rolling_restart.Go)
+        msgpack.encode,
+        rolling_restart.decode,
+        PACING,
+        (rolling_restart.MemberState, rolling_restart.RestartRequest),
     ),
-    "sharing": Codec(msgpack.encode, shared_discovery.said, SHARING, get_args(shared_discovery.Said)),
+    "sharing": Codec(msgpack.encode, shared_discovery.decode, SHARING, get_args(shared_discovery.Message)),
     "tallies": Codec(
-        msgpack.encode, metrics_export.word, TALLIES, (metrics_export.Ask, metrics_export.Counts)
+        msgpack.encode,
+        metrics_export.decode,
+        TALLIES,
+        (metrics_export.CountersRequest, metrics_export.CountersResponse),
     ),
     "exports": Codec(
         msgspec_json.encode,
--- a/tests/test_golden_fields.py
+++ b/tests/test_golden_fields.py
@@ -26,8 +26,18 @@
     assert (version.number, version.size, version.since_ms) == (17, 1234, 1_700_000_000_123)
     assert (version.digest, version.by) == ("ab" * 32, "m-2")
     plan = decoded("members", "accept of a plan").value
-    assert (plan.number, plan.life, plan.members, plan.done) == (4, 8, ("m-1", "m-2", "m-3"), ("m-2",))
-    assert (plan.by, plan.step, plan.state, plan.why) == ("m-1", "m-3", "goes on", "m-3 is awaited")
+    assert (plan.number, plan.process_incarnation, plan.members, plan.restarted) == (
+        4,
+        8,
+        ("m-1", "m-2", "m-3"),
+        ("m-2",),
+    )
+    assert (plan.requested_by, plan.restarting, plan.state, plan.reason) == (
+        "m-1",
+        "m-3",
+        "goes on",
+        "m-3 is awaited",
+    )
 
 
 def test_places_in_messages_between_members() -> None:
@@ -55,17 +65,17 @@
 
 def test_places_in_messages_of_tasks() -> None:
     go = decoded("pacing", "go")
-    assert (go.number, go.token, go.life) == (4, 345, 7)
+    assert (go.number, go.token, go.process_incarnation) == (4, 345, 7)
     beat, part = decoded("sharing", "beat"), decoded("sharing", "part")
     assert (beat.token, beat.number) == (345, 12)
-    assert (part.token, part.number, part.index, part.part, part.parts) == (345, 12, 1, 2, 3)
+    assert (part.token, part.number, part.source, part.part, part.parts) == (345, 12, 1, 2, 3)
     counts = decoded("tallies", "counts")
-    assert (counts.number, counts.life) == (77, 8)
+    assert (counts.number, counts.process_incarnation) == (77, 8)
 
 
 def test_whole_and_all_are_told_apart() -> None:
     part = decoded("sharing", "part of a whole list")
-    assert (part.whole, part.all) == (True, False)
+    assert (part.is_complete_list, part.is_resync) == (True, False)
 
 
 def test_places_in_messages_of_followers() -> None:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -61,7 +61,7 @@
     "Upgrade._take",
     "run.main",
     "ConnectionAttempt._open",
-    "Fleet.start",
+    "ClusterMember.start",
     "Configuring.start",
     "RelayServer.start",
 }
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -11,8 +11,8 @@
     EnterEpoch,
     Handshake,
     MembershipConfig,
-    Plan,
     RegisterEntry,
+    RestartPlan,
     StopVoting,
     VotingStopped,
     encode,
@@ -49,7 +49,7 @@
 def test_a_set_of_1024_members_fits_a_message() -> None:
     members = tuple((f"{n:064}", f"{n:032x}") for n in range(1024))
     names = tuple(name for name, _ in members)
-    ballot, plan = Ballot(1 << 60, names[0], 1 << 60), Plan(1, names[0], names, names)
+    ballot, plan = Ballot(1 << 60, names[0], 1 << 60), RestartPlan(1, names[0], names, names)
     config = MembershipConfig(8, members)
     registers: tuple[RegisterEntry, ...] = (
         ("set/7", ballot, ballot, config),
