--- a/grebestack/consensus/acceptor.py
+++ b/grebestack/consensus/acceptor.py
@@ -14,7 +14,7 @@
 
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from grebestack.consensus.actions import Action, LogMessage, Peer, ReplaceDisk, Send, Write
 from grebestack.consensus.messages import (
@@ -51,6 +51,14 @@
 CONFIRMATION_GRACE_MS = 1000.0  # after a start: for how long to wait for more peers than a quorum needs
 
 
+class _PendingResponse(NamedTuple):
+    """A response that waits until a log record is durable."""
+
+    record: int
+    to: str
+    message: Message
+
+
 class Acceptor:
     """The acceptor of one member. Its actions must be carried out in order."""
 
@@ -60,7 +68,7 @@
         self.last_record = last_record  # written
         self.synced_record = last_record  # durable
         self.recovered_record = last_record  # read at the start
-        self.pending: deque[tuple[int, str, Message]] = deque()  # responses, each after a record
+        self.pending: deque[_PendingResponse] = deque()
         self.started_ms = now_ms
         self.is_confirmed = False  # whether other members have confirmed the disk since the start
         self.confirming_peers: set[str] = set()
@@ -111,7 +119,7 @@
         """Send a response once all records that it may depend on are durable."""
         if self.synced_record >= self.last_record:
             return [Send(to, message)]
-        self.pending.append((self.last_record, to, message))
+        self.pending.append(_PendingResponse(self.last_record, to, message))
         return []
 
     # Events of the disk.
@@ -120,9 +128,9 @@
         """Handle the sync of all records up to this one."""
         self.synced_record = max(self.synced_record, last_record)
         actions: list[Action] = []
-        while self.pending and self.pending[0][0] <= self.synced_record:
-            _, to, message = self.pending.popleft()
-            actions.append(Send(to, message))
+        while self.pending and self.pending[0].record <= self.synced_record:
+            response = self.pending.popleft()
+            actions.append(Send(response.to, response.message))
         return actions
 
     def on_disk_fault(self, reason: str) -> list[Action]:
--- a/grebestack/consensus/membership_change.py
+++ b/grebestack/consensus/membership_change.py
@@ -15,6 +15,7 @@
 
 from collections.abc import Collection
 from random import Random
+from typing import NamedTuple
 
 from grebestack.consensus.acceptor import Acceptor
 from grebestack.consensus.actions import Action, Peer, Send
@@ -36,6 +37,13 @@
 JOIN_REQUEST_TTL_MS = 5000.0  # a join request that is not repeated expires
 
 
+class _Applicant(NamedTuple):
+    """A member that has requested to join."""
+
+    disk_incarnation: str
+    expiry_ms: float
+
+
 class MembershipChange:
     """One member's part in changes of the membership.
 
@@ -57,7 +65,7 @@
         """Begin with no change under way."""
         self.name, self.names = name, names
         self.acceptor, self.proposals, self.random = acceptor, proposals, random
-        self.join_requests: dict[str, tuple[str, float]] = {}  # disk incarnation, expiry in milliseconds
+        self.applicants: dict[str, _Applicant] = {}  # by name
         self.removed: set[str] = set()  # members that an operator removes
         self.stopped: dict[str, tuple[RegisterEntry, ...]] = {}  # by member that votes no more
         self.next_step_ms = now_ms
@@ -81,7 +89,8 @@
         """Handle a request for membership; a member can only request its own."""
         is_own = (message.name, message.disk_incarnation) == (peer.name, peer.disk_incarnation)
         if is_own and peer.name in self.names:
-            self.join_requests[peer.name] = peer.disk_incarnation, now_ms + JOIN_REQUEST_TTL_MS
+            expiry_ms = now_ms + JOIN_REQUEST_TTL_MS
+            self.applicants[peer.name] = _Applicant(peer.disk_incarnation, expiry_ms)
 
     def on_voting_stopped(self, peer: Peer, message: VotingStopped) -> list[Action]:
         """Begin the next epoch once a quorum votes no more in the present one."""
@@ -99,18 +108,17 @@
         """Forget what belongs to the former epoch."""
         self.stopped = {}
         for name, incarnation in self.config.members:
-            if self.join_requests.get(name, ("", 0.0))[0] == incarnation:
-                del self.join_requests[name]
+            applicant = self.applicants.get(name)
+            if applicant is not None and applicant.disk_incarnation == incarnation:
+                del self.applicants[name]
 
     def tick(self, now_ms: float, connected: Collection[str]) -> list[Action]:
         """Take or repeat the step that is due."""
         if now_ms < self.next_step_ms:
             return []
         self.next_step_ms = now_ms + STEP_INTERVAL_MS * self.random.uniform(*STEP_JITTER)
-        self.join_requests = {
-            name: (incarnation, expiry_ms)
-            for name, (incarnation, expiry_ms) in self.join_requests.items()
-            if now_ms < expiry_ms
+        self.applicants = {
+            name: applicant for name, applicant in self.applicants.items() if now_ms < applicant.expiry_ms
         }
         self.removed &= self.config.names()
         acceptor, epoch = self.acceptor, self.config.epoch
@@ -146,8 +154,8 @@
         for name in sorted(self.removed & set(members)):
             del members[name]
             return MembershipConfig(self.config.epoch + 1, tuple(sorted(members.items())))
-        for name, (incarnation, _) in sorted(self.join_requests.items()):
-            if members.get(name) != incarnation:
-                members[name] = incarnation
+        for name, applicant in sorted(self.applicants.items()):
+            if members.get(name) != applicant.disk_incarnation:
+                members[name] = applicant.disk_incarnation
                 return MembershipConfig(self.config.epoch + 1, tuple(sorted(members.items())))
         return None
--- a/grebestack/consensus/recovery.py
+++ b/grebestack/consensus/recovery.py
@@ -83,10 +83,10 @@
     """
     merged: dict[str, RegisterEntry] = {}
     for register, promised, accepted, value in (entry for entries in replicas for entry in entries):
-        other = merged.get(register)
-        if other is None:
-            merged[register] = register, promised, accepted, value
-        else:
-            best = (accepted, value) if accepted > other[2] else (other[2], other[3])
-            merged[register] = register, max(promised, other[1]), *best
+        if register in merged:
+            _, other_promised, other_accepted, other_value = merged[register]
+            promised = max(promised, other_promised)
+            if other_accepted >= accepted:
+                accepted, value = other_accepted, other_value
+        merged[register] = register, promised, accepted, value
     return tuple(merged[register] for register in sorted(merged))
--- a/tests/consensus_model.py
+++ b/tests/consensus_model.py
@@ -3,13 +3,14 @@
     python -m tests.consensus_model [--states N] [--variant NAME] [--start NAME] [--end TIME] [--rounds N N]
 
 The code that is explored is `grebestack.consensus` itself. Messages are never taken off the wire: each may
-come late, more than once, in any order or not at all. Members may stop and start anew, give an asking up at
+come late, more than once, in any order or not at all. Members may stop and start anew, give an proposal up at
 any time, and look at what lies on any disk. After each step at most one of them may act, and no token is held
 by two.
 
-Left out, since it only hinders: a promise whose asker does not hear of it (it makes others' askings fail, as
-giving them up does), and a refusal (who gives up may or may not have heard of a higher ballot). Steps that
-can't lead to another asking are left out too: who has none left neither looks, gives up nor starts anew.
+Left out, since it only hinders: a promise that its proposer does not receive (it makes others' proposals
+fail, as giving them up does), and a rejection (who gives up may or may not have heard of a higher ballot).
+Steps that can't lead to another proposal are left out too: who has none left neither looks, gives up nor
+starts anew.
 """
 
 from __future__ import annotations
@@ -45,8 +46,8 @@
 Request = tuple[Ballot, bool, Any]  # its ballot, whether it asks to accept, and what
 
 
-class Asker(NamedTuple):
-    """One that wants the task, and its asking."""
+class Proposer(NamedTuple):
+    """One that wants the task, and its proposal."""
 
     holder: LeaseHolder
     before: LeaseHolder  # as it was when it asked: what it asks for follows from it
@@ -66,7 +67,7 @@
     unsynced: tuple[
         AcceptorState, ...
     ]  # what the members believe; another than the disk only where nothing is synced
-    askers: tuple[Asker, ...]
+    proposers: tuple[Proposer, ...]
     sent: frozenset[Request] = frozenset()
     acted: frozenset[tuple[int, str, int]] = frozenset()  # tokens that could be acted under, and by whom
     crashes: int = 0
@@ -97,18 +98,18 @@
             lease = Lease("", 0, 1, 2)
             slot, acted = AcceptorState(Ballot(1, "", 1), Ballot(1, "", 1), lease), frozenset({(1, "", 1)})
         number = int(self.begins == "held")
-        askers = (Asker(a, a, Ballot(number, "a", 1)), Asker(b, b, Ballot(0, "b", 1)))
+        proposers = (Proposer(a, a, Ballot(number, "a", 1)), Proposer(b, b, Ballot(0, "b", 1)))
         believed = (slot, slot, AcceptorState())
         disks = (AcceptorState(),) * DISKS if self.variant == "no sync" else believed
-        return World(0, disks, believed, askers, acted=acted)
+        return World(0, disks, believed, proposers, acted=acted)
 
     def clock(self, world: World) -> float:
-        """What the askers' clocks show."""
+        """What the proposers' clocks show."""
         return float(world.now)
 
     def wrong(self, world: World) -> str:
         """Which rule a state breaks, if any."""
-        acting = [a.holder for a in world.askers if a.holder.valid_token(self.clock(world)) is not None]
+        acting = [a.holder for a in world.proposers if a.holder.valid_token(self.clock(world)) is not None]
         if len(acting) > 1:
             return "two holders may act"
         if len({token for token, *_ in world.acted}) < len(world.acted):
@@ -119,8 +120,8 @@
         """What may happen next, each with the state after it."""
         if world.now < self.end:
             yield "a moment passes", self._noted(world._replace(now=world.now + 1))
-        for i, asker in enumerate(world.askers):
-            yield from self._asker(world, i, asker)
+        for i, proposer in enumerate(world.proposers):
+            yield from self._proposer(world, i, proposer)
         for disk in range(DISKS):
             for request in world.sent:
                 yield from self._ask_disk(world, disk, request)
@@ -131,49 +132,54 @@
                     world._replace(unsynced=put(world.unsynced, disk, lost), crashes=world.crashes + 1),
                 )
 
-    def _asker(self, world: World, i: int, asker: Asker) -> Iterator[tuple[str, World]]:
-        now, name = self.clock(world), asker.holder.name
-        holder, change = asker.holder.propose(now)
-        left = asker.rounds < self.rounds[i]
+    def _proposer(self, world: World, i: int, proposer: Proposer) -> Iterator[tuple[str, World]]:
+        now, name = self.clock(world), proposer.holder.name
+        holder, change = proposer.holder.propose(now)
+        left = proposer.rounds < self.rounds[i]
         if change is not None and left:
-            ballot = asker.last.next_above(NO_BALLOT)
-            after = asker._replace(
+            ballot = proposer.last.next_above(NO_BALLOT)
+            after = proposer._replace(
                 holder=holder,
-                before=asker.holder,
+                before=proposer.holder,
                 last=ballot,
-                rounds=asker.rounds + 1,
+                rounds=proposer.rounds + 1,
                 round=Round(ballot, DISKS // 2 + 1),
                 late=frozenset(),
             )
             yield (
                 f"{name} asks",
-                world._replace(askers=put(world.askers, i, after), sent=world.sent | {(ballot, False, None)}),
+                world._replace(
+                    proposers=put(world.proposers, i, after), sent=world.sent | {(ballot, False, None)}
+                ),
             )
-        if asker.round is not None:
-            given_up = asker._replace(holder=asker.holder.on_failed(now), round=None, late=frozenset())
+        if proposer.round is not None:
+            given_up = proposer._replace(holder=proposer.holder.on_failed(now), round=None, late=frozenset())
             highest = max(ballot.number for ballot, *_ in world.sent)
-            for number in {asker.last.number, highest} if left else ():
-                after = given_up._replace(last=asker.last._replace(number=number))
-                yield f"{name} gives its asking up", world._replace(askers=put(world.askers, i, after))
-            for disk, answer in asker.late:
+            for number in {proposer.last.number, highest} if left else ():
+                after = given_up._replace(last=proposer.last._replace(number=number))
+                yield (
+                    f"{name} gives its proposal up",
+                    world._replace(proposers=put(world.proposers, i, after)),
+                )
+            for disk, answer in proposer.late:
                 what = f"{name} hears late from member {disk}"
-                yield what, self._answered(world, i, disk, answer)
+                yield what, self._on_response(world, i, disk, answer)
         if world.crashes < self.crashes and left:
-            holder = LeaseHolder(name, asker.holder.process_incarnation + 1, TERMS)
-            anew = Asker(
+            holder = LeaseHolder(name, proposer.holder.process_incarnation + 1, TERMS)
+            restarted = Proposer(
                 holder,
                 holder,
-                Ballot(asker.last.number, name, holder.process_incarnation),
-                rounds=asker.rounds,
+                Ballot(proposer.last.number, name, holder.process_incarnation),
+                rounds=proposer.rounds,
             )
             yield (
                 f"{name} starts anew",
-                world._replace(askers=put(world.askers, i, anew), crashes=world.crashes + 1),
+                world._replace(proposers=put(world.proposers, i, restarted), crashes=world.crashes + 1),
             )
         for value in {slot.value for slot in world.disks} if left else ():
-            looked = asker._replace(holder=asker.holder.observe(now, value))
-            if looked != asker:
-                yield f"{name} sees {value}", world._replace(askers=put(world.askers, i, looked))
+            observing = proposer._replace(holder=proposer.holder.observe(now, value))
+            if observing != proposer:
+                yield f"{name} sees {value}", world._replace(proposers=put(world.proposers, i, observing))
 
     def _ask_disk(self, world: World, disk: int, request: Request) -> Iterator[tuple[str, World]]:
         """A request reaches a disk; its answer is lost, is heard at once, or, where it matters, later.
@@ -190,53 +196,56 @@
         what = f"member {disk} is asked to {verb} {ballot.number}{ballot.member}"
         if after != world and accepts and isinstance(answer, AcceptGranted):
             yield f"{what}, its answer is lost", after
-        for i, asker in enumerate(world.askers):
+        for i, proposer in enumerate(world.proposers):
             if (
-                asker.round is not None
-                and asker.round.ballot == ballot
+                proposer.round is not None
+                and proposer.round.ballot == ballot
                 and not isinstance(answer, BallotRejected)
             ):
-                heard = self._answered(after, i, disk, answer)
+                heard = self._on_response(after, i, disk, answer)
                 if heard != after:
                     yield what, heard
-                round_ = heard.askers[i].round
-                if round_ is None or round_.phase is not asker.round.phase:
-                    late = asker._replace(late=asker.late | {(disk, answer)})
-                    yield f"{what}, its answer is late", after._replace(askers=put(after.askers, i, late))
-
-    def _answered(self, world: World, i: int, disk: int, answer: AcceptorResponse) -> World:
-        asker, now = world.askers[i], self.clock(world)
-        assert asker.round is not None and asker.holder.proposed_ms is not None
-        change = asker.before.propose(asker.holder.proposed_ms)[1]
+                round_ = heard.proposers[i].round
+                if round_ is None or round_.phase is not proposer.round.phase:
+                    late = proposer._replace(late=proposer.late | {(disk, answer)})
+                    yield (
+                        f"{what}, its answer is late",
+                        after._replace(proposers=put(after.proposers, i, late)),
+                    )
+
+    def _on_response(self, world: World, i: int, disk: int, answer: AcceptorResponse) -> World:
+        proposer, now = world.proposers[i], self.clock(world)
+        assert proposer.round is not None and proposer.holder.proposed_ms is not None
+        change = proposer.before.propose(proposer.holder.proposed_ms)[1]
         assert change is not None
-        round_ = asker.round.on_response(disk, answer, change)
-        if round_ == asker.round:
+        round_ = proposer.round.on_response(disk, answer, change)
+        if round_ == proposer.round:
             return world
         if self.variant == "token from memory" and round_.proposed_value != round_.previous_value:
             mine = lease_of(round_.proposed_value)
-            if mine.holder == asker.holder.name and not asker.before.is_held:
-                mine = msgspec.structs.replace(mine, token=asker.before.observed.token + 1)
+            if mine.holder == proposer.holder.name and not proposer.before.is_held:
+                mine = msgspec.structs.replace(mine, token=proposer.before.observed.token + 1)
                 round_ = replace(round_, proposed_value=mine)
         if self.variant == "same marks" and isinstance(round_.proposed_value, Lease):
             round_ = replace(
                 round_, proposed_value=msgspec.structs.replace(round_.proposed_value, proposal_number=0)
             )
-        after, sent = asker._replace(round=round_), world.sent
-        if round_.phase is Phase.ACCEPTING and asker.round.phase is Phase.PREPARING:
+        after, sent = proposer._replace(round=round_), world.sent
+        if round_.phase is Phase.ACCEPTING and proposer.round.phase is Phase.PREPARING:
             sent = sent | {(round_.ballot, True, round_.proposed_value)}
             after = after._replace(late=frozenset())
         elif round_.phase is Phase.CHOSEN:
-            holder = asker.holder.on_chosen(now, round_.previous_value, round_.proposed_value)
+            holder = proposer.holder.on_chosen(now, round_.previous_value, round_.proposed_value)
             if self.variant == "counted from the answer" and holder.valid_until_ms > NEVER_MS:
                 holder = replace(holder, valid_until_ms=now + TERMS.usable_ms)
             after = after._replace(holder=holder, round=None, late=frozenset())
-        return self._noted(world._replace(askers=put(world.askers, i, after), sent=sent))
+        return self._noted(world._replace(proposers=put(world.proposers, i, after), sent=sent))
 
     def _noted(self, world: World) -> World:
         now = self.clock(world)
         acted = {
             (token, a.holder.name, a.holder.process_incarnation)
-            for a in world.askers
+            for a in world.proposers
             if (token := a.holder.valid_token(now)) is not None
         }
         return world._replace(acted=world.acted | acted)
@@ -244,10 +253,10 @@
 
 def one_of_alike(world: World) -> World:
     """Members' disks are alike: of states that differ by their order alone one stands for all."""
-    heard = [a.round.responders if a.round is not None else frozenset() for a in world.askers]
+    heard = [a.round.responders if a.round is not None else frozenset() for a in world.proposers]
 
     def look(disk: int) -> int:
-        late = (frozenset(answer for at, answer in a.late if at == disk) for a in world.askers)
+        late = (frozenset(answer for at, answer in a.late if at == disk) for a in world.proposers)
         return hash((world.disks[disk], world.unsynced[disk], *(disk in h for h in heard), *late))
 
     looks = [look(disk) for disk in range(DISKS)]
@@ -255,15 +264,15 @@
     if order == list(range(DISKS)):
         return world
     place: dict[object, int] = {disk: order.index(disk) for disk in range(DISKS)}
-    askers = tuple(
+    proposers = tuple(
         a._replace(
             late=frozenset((place[disk], answer) for disk, answer in a.late),
             round=a.round and replace(a.round, responders=frozenset(place[disk] for disk in h)),
         )
-        for a, h in zip(world.askers, heard, strict=True)
+        for a, h in zip(world.proposers, heard, strict=True)
     )
     disks = tuple(world.disks[disk] for disk in order)
-    return world._replace(disks=disks, unsynced=tuple(world.unsynced[d] for d in order), askers=askers)
+    return world._replace(disks=disks, unsynced=tuple(world.unsynced[d] for d in order), proposers=proposers)
 
 
 def explore(model: Model, most: int) -> Found:
--- a/tests/membership_change_model.py
+++ b/tests/membership_change_model.py
@@ -10,8 +10,8 @@
 code is that of `grebestack.consensus`. What was in force is never lost: all values that ever were, in either
 epoch, are the beginnings of one another.
 
-An answer is heard at once or not at all: as what an asker says in turn may come at any time, to hear it later
-leads nowhere else. That a value was accepted need not be heard: the disks show it.
+A response is handled at once or not at all: since a proposer may send its next request at any time, a later
+response leads nowhere else. An acceptance need not be received: the disks show it.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 FORMER = MembershipConfig(1, (("a", "1"), ("b", "1"), ("c", "1")))
 FOLLOWING = MembershipConfig(2, (("a", "1"), ("b", "1"), ("c", "2")))
-VOTERS = (("a", "1"), ("b", "1"), ("c", "1"), ("c", "2"))
+ACCEPTORS = (("a", "1"), ("b", "1"), ("c", "1"), ("c", "2"))
 VARIANTS = (
     "votes on after sealing",
     "one seal is enough",
@@ -57,15 +57,15 @@
 
 
 class Disk(NamedTuple):
-    """A voter."""
+    """A index."""
 
-    roll: MembershipConfig = FORMER
-    sealed: bool = False
-    slot: AcceptorState = AcceptorState()
+    config: MembershipConfig = FORMER
+    has_stopped: bool = False
+    state: AcceptorState = AcceptorState()
     ever: frozenset[tuple[int, Ballot, Any]] = frozenset()  # what it has accepted, and in which epoch
 
 
-class Asker(NamedTuple):
+class Proposer(NamedTuple):
     """One that changes the register: it adds its own letter to what is there."""
 
     epoch: int = 0
@@ -76,10 +76,10 @@
     """One state."""
 
     disks: tuple[Disk, ...]
-    askers: tuple[Asker, ...] = (Asker(), Asker())
+    proposers: tuple[Proposer, ...] = (Proposer(), Proposer())
     asked: frozenset[tuple[int, Ballot, Any]] = frozenset()  # epoch, ballot, and a value where to accept
-    seals: frozenset[tuple[int, RegisterEntry]] = frozenset()
-    enters: frozenset[tuple[RegisterEntry, ...]] = frozenset()  # by members that are there already
+    stopped: frozenset[tuple[int, RegisterEntry]] = frozenset()
+    entered: frozenset[tuple[RegisterEntry, ...]] = frozenset()  # by members that are there already
 
 
 def start(name: str) -> World:
@@ -87,19 +87,19 @@
     told: Any
     first, ever = Ballot(1), frozenset({(1, Ballot(1), "0")})
     if name == "both":
-        held = Disk(sealed=True, slot=AcceptorState(first, first, "0"), ever=ever)
+        held = Disk(has_stopped=True, state=AcceptorState(first, first, "0"), ever=ever)
         told = ((0, (X, first, first, "0")), (1, (X, NO_BALLOT, NO_BALLOT, None)))
-        return World((held, Disk(sealed=True), held, Disk()), seals=frozenset(told))
+        return World((held, Disk(has_stopped=True), held, Disk()), stopped=frozenset(told))
     mine = Ballot(2, "x", 1)
-    a, b = Disk(slot=AcceptorState(mine, first, "0"), ever=ever), Disk(slot=AcceptorState(mine))
-    c = Disk(slot=AcceptorState(first, first, "0"), ever=ever)
+    a, b = Disk(state=AcceptorState(mine, first, "0"), ever=ever), Disk(state=AcceptorState(mine))
+    c = Disk(state=AcceptorState(first, first, "0"), ever=ever)
     asked = frozenset({(1, mine, "0x")})
-    askers = Asker(1, Round(mine, 2, Phase.ACCEPTING)), Asker()
+    proposers = Proposer(1, Round(mine, 2, Phase.ACCEPTING)), Proposer()
     told = ()
     if name == "sealed":
-        a, b = a._replace(sealed=True), b._replace(sealed=True)
+        a, b = a._replace(has_stopped=True), b._replace(has_stopped=True)
         told = ((0, (X, mine, first, "0")), (1, (X, mine, NO_BALLOT, None)))
-    return World((a, b, c, Disk()), askers, asked, frozenset(told))
+    return World((a, b, c, Disk()), proposers, asked, frozenset(told))
 
 
 class Model:
@@ -111,66 +111,66 @@
     def wrong(self, world: World) -> str:
         """Whether two values that were in force are not the beginnings of one another."""
         chosen = set()
-        for epoch, roll in ((1, FORMER), (2, FOLLOWING)):
+        for epoch, config in ((1, FORMER), (2, FOLLOWING)):
             by: dict[tuple[Ballot, Any], set[str]] = {}
-            for (name, incarnation), disk in zip(VOTERS, world.disks, strict=True):
-                if roll.is_voter(name, incarnation) or self.variant == "the old incarnation votes on":
+            for (name, incarnation), disk in zip(ACCEPTORS, world.disks, strict=True):
+                if config.is_voter(name, incarnation) or self.variant == "the old incarnation votes on":
                     for at, ballot, value in disk.ever:
                         if at == epoch:
                             by.setdefault((ballot, value), set()).add(name)
-            chosen |= {value for (_, value), names in by.items() if len(names) >= roll.quorum_size}
+            chosen |= {value for (_, value), names in by.items() if len(names) >= config.quorum_size}
         values = sorted(chosen, key=len)
         ok = all(b.startswith(a) for a, b in zip(values, values[1:], strict=False))
         return "" if ok else f"in force were {values}"
 
     def steps(self, world: World) -> Iterator[tuple[str, World]]:
         """What may happen next, each with the state after it."""
-        for n, asker in enumerate(world.askers):
-            if asker.round is None:
+        for n, proposer in enumerate(world.proposers):
+            if proposer.round is None:
                 ballot = Ballot(2 + n, "xy"[n], 1)
                 yield (
                     f"{'xy'[n]} asks",
                     world._replace(
-                        askers=put(world.askers, n, Asker(2, Round(ballot, 2))),
+                        proposers=put(world.proposers, n, Proposer(2, Round(ballot, 2))),
                         asked=world.asked | {(2, ballot, None)},
                     ),
                 )
-        for voter in range(len(VOTERS)):
+        for index in range(len(ACCEPTORS)):
             for epoch, ballot, value in world.asked:
                 message = Prepare(epoch, X, ballot) if value is None else Accept(epoch, X, ballot, value)
-                yield from self._voter(world, voter, message)
-            yield from self._voter(world, voter, StopVoting(1, FOLLOWING))
-            yield from self._voter(world, voter, EpochRequest(1))
+                yield from self._acceptor(world, index, message)
+            yield from self._acceptor(world, index, StopVoting(1, FOLLOWING))
+            yield from self._acceptor(world, index, EpochRequest(1))
             for enter in self._enters(world):
-                yield from self._voter(world, voter, enter)
+                yield from self._acceptor(world, index, enter)
 
     def _enters(self, world: World) -> Iterator[EnterEpoch]:
         least = 1 if self.variant == "one seal is enough" else FORMER.quorum_size
-        seals = sorted(world.seals, key=lambda item: item[0])
-        for first in range(len(seals)):
-            for last in range(first + least, len(seals) + 1):
-                some = [seal for _, seal in seals[first:last]]
+        stopped = sorted(world.stopped, key=lambda item: item[0])
+        for first in range(len(stopped)):
+            for last in range(first + least, len(stopped) + 1):
+                some = [seal for _, seal in stopped[first:last]]
                 nothing = self.variant == "nothing is carried over"
                 yield EnterEpoch(FOLLOWING, () if nothing else merge_registers([(slot,) for slot in some]))
-        for slots in world.enters:
+        for slots in world.entered:
             yield EnterEpoch(FOLLOWING, slots)
 
-    def _heard(self, world: World, epoch: int, voter: int, answer: PromiseGranted) -> World:
+    def _on_promise(self, world: World, epoch: int, index: int, answer: PromiseGranted) -> World:
         n = "xy".index(answer.ballot.member)
-        asker, name = world.askers[n], VOTERS[voter][0]
-        assert asker.round is not None
-        round_ = asker.round.on_response(name, answer, lambda value: (value or "") + "xy"[n])
+        proposer, name = world.proposers[n], ACCEPTORS[index][0]
+        assert proposer.round is not None
+        round_ = proposer.round.on_response(name, answer, lambda value: (value or "") + "xy"[n])
         asked = world.asked
-        if round_.phase is Phase.ACCEPTING and asker.round.phase is Phase.PREPARING:
-            asked = asked | {(asker.epoch, round_.ballot, round_.proposed_value)}
-        askers = put(world.askers, n, asker._replace(round=round_))
-        return world._replace(askers=askers, asked=asked)
-
-    def _voter(self, world: World, n: int, message: Message) -> Iterator[tuple[str, World]]:
-        disk, (name, incarnation) = world.disks[n], VOTERS[n]
-        state = RecoveredState("f", incarnation, disk.roll, FOLLOWING if disk.sealed else None, 1)
-        if disk.slot != AcceptorState():
-            state.registers[X] = disk.slot
+        if round_.phase is Phase.ACCEPTING and proposer.round.phase is Phase.PREPARING:
+            asked = asked | {(proposer.epoch, round_.ballot, round_.proposed_value)}
+        proposers = put(world.proposers, n, proposer._replace(round=round_))
+        return world._replace(proposers=proposers, asked=asked)
+
+    def _acceptor(self, world: World, n: int, message: Message) -> Iterator[tuple[str, World]]:
+        disk, (name, incarnation) = world.disks[n], ACCEPTORS[n]
+        state = RecoveredState("f", incarnation, disk.config, FOLLOWING if disk.has_stopped else None, 1)
+        if disk.state != AcceptorState():
+            state.registers[X] = disk.state
         acceptor = Acceptor(name, state, 1, 0.0)
         acceptor.is_confirmed = True
         if self.variant == "votes on after sealing" and isinstance(message, Prepare | Accept):
@@ -179,7 +179,7 @@
             state.config = FOLLOWING
         if self.variant == "the old incarnation votes on" and state.config == FOLLOWING:
             state.disk_incarnation = dict(FOLLOWING.members)[name]
-        actions = acceptor.on_message(Peer("asker", "1", 1), message) + acceptor.on_synced(99)
+        actions = acceptor.on_message(Peer("proposer", "1", 1), message) + acceptor.on_synced(99)
         ever = disk.ever
         for action in actions:
             if isinstance(action, Write) and isinstance(action.record, RegisterWritten | EpochEntered):
@@ -191,22 +191,22 @@
                 for _, _, accepted, value in slots:
                     if accepted != NO_BALLOT:
                         ever = ever | {(state.config.epoch, accepted, value)}
-        sealed = state.next_config is not None or disk.sealed and state.config == disk.roll
-        after = Disk(state.config, sealed, state.registers.get(X, AcceptorState()), ever)
+        has_stopped = state.next_config is not None or disk.has_stopped and state.config == disk.config
+        after = Disk(state.config, has_stopped, state.registers.get(X, AcceptorState()), ever)
         world = world._replace(disks=put(world.disks, n, after))
-        what = f"{VOTERS[n]} is told {message}"
+        what = f"{ACCEPTORS[n]} is told {message}"
         for action in actions:
             if isinstance(action, Send):
-                said = action.message
-                if isinstance(said, VotingStopped):
-                    mine = said.registers[0] if said.registers else (X, NO_BALLOT, NO_BALLOT, None)
-                    world = world._replace(seals=world.seals | {(n, mine)})
-                elif isinstance(said, EnterEpoch):
-                    world = world._replace(enters=world.enters | {said.registers})
-                elif isinstance(said, Promise):
+                response = action.message
+                if isinstance(response, VotingStopped):
+                    mine = response.registers[0] if response.registers else (X, NO_BALLOT, NO_BALLOT, None)
+                    world = world._replace(stopped=world.stopped | {(n, mine)})
+                elif isinstance(response, EnterEpoch):
+                    world = world._replace(entered=world.entered | {response.registers})
+                elif isinstance(response, Promise):
                     yield f"{what}, which is not heard", world
-                    answer = PromiseGranted(said.ballot, said.accepted, said.value)
-                    world = self._heard(world, said.epoch, n, answer)
+                    answer = PromiseGranted(response.ballot, response.accepted, response.value)
+                    world = self._on_promise(world, response.epoch, n, answer)
         yield what, world
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -145,14 +145,14 @@
         self.at(self.random.uniform(5, 40), partial(self.turn, i))
         if self.now < self.paused_until[i]:
             return
-        tenure = self.holders[i].observe(self.clock(i), self.disks[i].value)
-        token = tenure.valid_token(self.clock(i))
+        holder = self.holders[i].observe(self.clock(i), self.disks[i].value)
+        token = holder.valid_token(self.clock(i))
         if token is not None:
             others = (t.valid_token(self.clock(j)) for j, t in enumerate(self.holders) if j != i)
             self.overlaps += any(other is not None for other in others)
             self.acts.append((self.now, token, i, self.fence.admits(token)))
-        tenure, change = tenure.propose(self.clock(i))
-        self.holders[i] = tenure
+        holder, change = holder.propose(self.clock(i))
+        self.holders[i] = holder
         if change is not None:
             ballot = self.ballots[i] = self.ballots[i].next_above(NO_BALLOT)
             self.rounds[i] = Round(ballot, 3)
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Whole members in simulated time: disks that forget, links that cut, processes that stop; and the judge."""
+"""Replicas in simulated time: disks that forget, connections that break, stopped processes; and the judge."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 TERMS = LeaseTerms(term_ms=1000.0, max_clock_drift=0.02, guard_ms=10.0)
 
 
-class Place:
+class Process:
     """One member's process and disk."""
 
     def __init__(self, name: str, rate: float) -> None:
@@ -42,7 +42,7 @@
         self.up = False
         self.lies = False
         self.held_until = 0.0  # stopped until then
-        self.member: Replica
+        self.replica: Replica
 
 
 class World:
@@ -53,15 +53,15 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.history = History()
         self.names = [f"m{n}" for n in range(count)]
-        self.places = {n: Place(n, self.random.uniform(0.991, 1.009)) for n in self.names}
-        self.links: dict[frozenset[str], int] = {}  # those that are up, each with a number
+        self.processes = {n: Process(n, self.random.uniform(0.991, 1.009)) for n in self.names}
+        self.connections: dict[frozenset[str], int] = {}  # those that are up, each with a number
         self.last: dict[tuple[str, str], float] = {}  # when the last message one way arrives
         self.cut: set[tuple[str, str]] = set()
         config = MembershipConfig(1, tuple((name, "0") for name in self.names))
-        for place in self.places.values():
-            place.disk = [IncarnationStarted("f", "0", config)]
-            place.synced = 1
-            self.start(place)
+        for process in self.processes.values():
+            process.disk = [IncarnationStarted("f", "0", config)]
+            process.synced = 1
+            self.start(process)
         self.at(5.0, self.dial)
 
     def at(self, delay: float, what: Callable[[], None]) -> None:
@@ -75,159 +75,164 @@
             what()
         self.now = until
 
-    def clock(self, place: Place) -> float:
-        return self.now * place.rate + 5000.0
+    def clock(self, process: Process) -> float:
+        return self.now * process.rate + 5000.0
 
-    def true(self, place: Place, at: float) -> float:
-        return (at - 5000.0) / place.rate
+    def true(self, process: Process, at: float) -> float:
+        return (at - 5000.0) / process.rate
 
-    def start(self, place: Place, doubt: str = "") -> None:
-        place.epoch += 1
-        place.starts += 1
-        place.up = True
+    def start(self, process: Process, doubt: str = "") -> None:
+        process.epoch += 1
+        process.starts += 1
+        process.up = True
         state = RecoveredState("f")
-        for item in place.disk:
+        for item in process.disk:
             state.apply(decode_record(encode(item)))
-        place.synced, clock = len(place.disk), self.clock(place)
-        place.member = Replica(
-            place.name,
+        process.synced, clock = len(process.disk), self.clock(process)
+        process.replica = Replica(
+            process.name,
             self.names,
             state,
-            len(place.disk),
+            len(process.disk),
             TASKS,
             TERMS,
             random.Random(self.random.random()),
             clock,
         )
-        member = place.member
+        replica = process.replica
         self.carry(
-            place, member.start(clock) if place.disk else member.on_disk_fault(clock, "nothing is there")
+            process,
+            replica.start(clock) if process.disk else replica.on_disk_fault(clock, "nothing is there"),
         )
-        self.at(self.random.uniform(0, 20), partial(self.tick, place, place.starts))
+        self.at(self.random.uniform(0, 20), partial(self.tick, process, process.starts))
 
-    def kill(self, place: Place) -> None:
-        place.up = False
-        for link in [link for link in self.links if place.name in link]:
+    def kill(self, process: Process) -> None:
+        process.up = False
+        for link in [link for link in self.connections if process.name in link]:
             self.unlink(link)
-        del place.disk[place.synced :]
+        del process.disk[process.synced :]
 
-    def tick(self, place: Place, start: int) -> None:
-        if not place.up or place.starts != start:
+    def tick(self, process: Process, start: int) -> None:
+        if not process.up or process.starts != start:
             return
-        if self.now < place.held_until:
-            self.at(place.held_until - self.now, partial(self.tick, place, start))
+        if self.now < process.held_until:
+            self.at(process.held_until - self.now, partial(self.tick, process, start))
             return
-        member, clock = place.member, self.clock(place)
+        replica, clock = process.replica, self.clock(process)
         for task in TASKS:
-            token = member.valid_token(task, clock)
+            token = replica.valid_token(task, clock)
             if token is not None:
-                self.history.acts.append(Act(self.now, task, place.name, token, True))
-        self.carry(place, member.tick(clock))
-        due = member.due_ms(clock) - clock
-        self.at(min(max(1.0, due), 100.0) * self.random.uniform(1.0, 1.2), partial(self.tick, place, start))
+                self.history.acts.append(Act(self.now, task, process.name, token, True))
+        self.carry(process, replica.tick(clock))
+        due = replica.due_ms(clock) - clock
+        self.at(min(max(1.0, due), 100.0) * self.random.uniform(1.0, 1.2), partial(self.tick, process, start))
 
     def dial(self) -> None:
         self.at(60.0, self.dial)
         for a in self.names:
             for b in self.names:
-                link, both = frozenset((a, b)), (self.places[a], self.places[b])
+                link, both = frozenset((a, b)), (self.processes[a], self.processes[b])
                 fit = all(p.up and self.now >= p.held_until for p in both)
-                if a < b and link not in self.links and fit and not {(a, b), (b, a)} & self.cut:
+                if a < b and link not in self.connections and fit and not {(a, b), (b, a)} & self.cut:
                     self.count += 1
-                    self.links[link] = self.count
-                    hellos = [p.member.handshake("f", PROTOCOL_VERSION) for p in both]
-                    for place, hello in zip(both, reversed(hellos), strict=True):
-                        self.carry(place, place.member.on_connected(self.clock(place), hello))
+                    self.connections[link] = self.count
+                    hellos = [p.replica.handshake("f", PROTOCOL_VERSION) for p in both]
+                    for process, hello in zip(both, reversed(hellos), strict=True):
+                        self.carry(process, process.replica.on_connected(self.clock(process), hello))
 
     def unlink(self, link: frozenset[str]) -> None:
-        if self.links.pop(link, None) is not None:
+        if self.connections.pop(link, None) is not None:
             for name in link:
-                place, (other,) = self.places[name], link - {name}
-                if place.up:
-                    self.carry(place, place.member.on_disconnected(self.clock(place), other))
+                process, (other,) = self.processes[name], link - {name}
+                if process.up:
+                    self.carry(process, process.replica.on_disconnected(self.clock(process), other))
 
-    def carry(self, place: Place, actions: list[Action]) -> None:
+    def carry(self, process: Process, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                self.send(place, action.to, action.message)
+                self.send(process, action.to, action.message)
             elif isinstance(action, Write):
-                place.disk.append(action.record)
+                process.disk.append(action.record)
                 delay = self.random.choice((1.0, 5.0, 60.0, 900.0)) * self.random.random()
-                self.at(delay, partial(self.sync, place, place.epoch, len(place.disk)))
+                self.at(delay, partial(self.sync, process, process.epoch, len(process.disk)))
             elif isinstance(action, Disconnect):
-                self.unlink(frozenset((place.name, action.peer)))
+                self.unlink(frozenset((process.name, action.peer)))
             elif isinstance(action, ReplaceDisk):
-                place.epoch += 1
-                self.at(self.random.uniform(5, 50), partial(self.reborn, place, place.epoch))
+                process.epoch += 1
+                self.at(self.random.uniform(5, 50), partial(self.reborn, process, process.epoch))
             elif isinstance(action, LogMessage):
-                self.told(place, action)
+                self.log(process, action)
 
-    def sync(self, place: Place, epoch: int, upto: int) -> None:
-        if place.up and place.epoch == epoch:
-            if not place.lies:
-                place.synced = max(place.synced, upto)
-            self.carry(place, place.member.on_synced(self.clock(place), upto))
+    def sync(self, process: Process, epoch: int, upto: int) -> None:
+        if process.up and process.epoch == epoch:
+            if not process.lies:
+                process.synced = max(process.synced, upto)
+            self.carry(process, process.replica.on_synced(self.clock(process), upto))
 
-    def reborn(self, place: Place, epoch: int) -> None:
-        if place.up and place.epoch == epoch:
-            place.disk, place.synced = [], 0
+    def reborn(self, process: Process, epoch: int) -> None:
+        if process.up and process.epoch == epoch:
+            process.disk, process.synced = [], 0
             incarnation = f"{self.random.getrandbits(40):x}"
-            self.carry(place, place.member.on_disk_replaced(self.clock(place), incarnation))
-            for link in [link for link in self.links if place.name in link]:
+            self.carry(process, process.replica.on_disk_replaced(self.clock(process), incarnation))
+            for link in [link for link in self.connections if process.name in link]:
                 self.unlink(link)
 
-    def send(self, place: Place, to: str, item: Message) -> None:
-        link, key = frozenset((place.name, to)), (place.name, to)
-        if link not in self.links:
+    def send(self, process: Process, to: str, item: Message) -> None:
+        link, key = frozenset((process.name, to)), (process.name, to)
+        if link not in self.connections:
             return
-        data, last, number = encode(item), place.member.acceptor.reported_record, self.links[link]
+        data, last, number = encode(item), process.replica.acceptor.reported_record, self.connections[link]
         delay = self.random.choice((0.2, 2.0, 30.0, 300.0)) * self.random.random()
         arrives = self.last[key] = max(self.now + delay, self.last.get(key, 0.0))
         self.at(arrives - self.now, partial(self.arrive, key, number, last, data))
 
     def arrive(self, key: tuple[str, str], number: int, last: int, data: bytes) -> None:
-        place = self.places[key[1]]
-        if self.links.get(frozenset(key)) != number or key in self.cut or not place.up:
+        process = self.processes[key[1]]
+        if self.connections.get(frozenset(key)) != number or key in self.cut or not process.up:
             return
-        if self.now < place.held_until:
-            self.at(place.held_until - self.now + 0.1, partial(self.arrive, key, number, last, data))
+        if self.now < process.held_until:
+            self.at(process.held_until - self.now + 0.1, partial(self.arrive, key, number, last, data))
             return
-        self.carry(place, place.member.on_message(self.clock(place), key[0], last, decode_message(data)))
+        self.carry(
+            process, process.replica.on_message(self.clock(process), key[0], last, decode_message(data))
+        )
 
-    def told(self, place: Place, action: LogMessage) -> None:
+    def log(self, process: Process, action: LogMessage) -> None:
         kv = action.kv
         if action.event == "lease_held":
-            begin, end = self.true(place, kv["at"]), self.true(place, kv["until"])
-            self.history.held.append(Held(kv["task"], place.name, kv["life"], kv["token"], begin, end))
+            begin, end = self.true(process, kv["at"]), self.true(process, kv["until"])
+            self.history.held.append(Held(kv["task"], process.name, kv["life"], kv["token"], begin, end))
         elif action.event == "lease_lost":
-            self.history.lose(kv["task"], place.name, kv["token"], self.true(place, kv["at"]))
+            self.history.lose(kv["task"], process.name, kv["token"], self.true(process, kv["at"]))
         elif action.event == "fleet_register" and kv["outcome"] == "CHOSEN":
-            times = self.true(place, kv["asked"]), self.true(place, kv["at"])
+            times = self.true(process, kv["asked"]), self.true(process, kv["at"])
             self.history.changes.append(Change(kv["register"], *times, kv["before"], kv["after"]))
 
     def all_vote(self) -> bool:
         return all(
-            p.up and self.now >= p.held_until and p.member.acceptor.may_vote for p in self.places.values()
+            p.up and self.now >= p.held_until and p.replica.acceptor.may_vote for p in self.processes.values()
         )
 
     def settle(self) -> None:
         until = self.now + 15_000.0
         while not self.all_vote():
             self.run(100.0)
-            assert self.now < until, [place.member.acceptor.describe() for place in self.places.values()]
+            assert self.now < until, [
+                process.replica.acceptor.describe() for process in self.processes.values()
+            ]
 
     def harm(self) -> None:
         """One drawn fault. A disk is taken while all others know it, and is back before the next fault:
         what is lost beyond a minority is lost.
         """
-        place = self.places[self.random.choice(self.names)]
-        up = [p for p in self.places.values() if p.up]
+        process = self.processes[self.random.choice(self.names)]
+        up = [p for p in self.processes.values() if p.up]
         most = len(up) > len(self.names) // 2 + 1
         what = self.random.randrange(9)
-        if what == 0 and most and place.up:
-            self.kill(place)
+        if what == 0 and most and process.up:
+            self.kill(process)
         elif what == 1:
-            place.held_until = self.now + self.random.uniform(50, 3000)
+            process.held_until = self.now + self.random.uniform(50, 3000)
         elif what == 2:
             pairs = ((a, b) for a in self.names for b in self.names if a != b)
             self.cut = {pair for pair in pairs if self.random.random() < 0.2}
@@ -238,19 +243,19 @@
             self.run(3000.0)
             if not self.all_vote():
                 return
-            copy = list(place.disk[: place.synced])
+            copy = list(process.disk[: process.synced])
             if what == 4:
-                self.carry(place, place.member.on_disk_fault(self.clock(place), "EIO"))
+                self.carry(process, process.replica.on_disk_fault(self.clock(process), "EIO"))
                 self.settle()
                 return
-            place.lies = what == 5
+            process.lies = what == 5
             self.run(self.random.uniform(50, 800))
-            self.kill(place)
-            place.lies = False
-            place.disk = [] if what == 6 else copy if what == 7 else place.disk
-            self.start(place)
+            self.kill(process)
+            process.lies = False
+            process.disk = [] if what == 6 else copy if what == 7 else process.disk
+            self.start(process)
             self.settle()
-        for other in self.places.values():
+        for other in self.processes.values():
             if not other.up and self.random.random() < 0.5:
                 self.start(other)
 
@@ -266,11 +271,11 @@
         world.run(world.random.uniform(50, 1500))
         assert world.history.wrong() == []
     world.cut = set()
-    for place in world.places.values():
-        place.held_until = 0.0
-        if not place.up:
-            world.start(place)
+    for process in world.processes.values():
+        process.held_until = 0.0
+        if not process.up:
+            world.start(process)
     world.run(12_000.0)
     assert world.history.wrong() == []
-    assert all(place.member.acceptor.may_vote for place in world.places.values())
+    assert all(process.replica.acceptor.may_vote for process in world.processes.values())
     assert {act.task for act in world.history.acts if act.at > world.now - 3000.0} == set(TASKS)
