--- a/grebestack/config_distribution/timeouts.py
+++ b/grebestack/config_distribution/timeouts.py
@@ -45,7 +45,9 @@
 
 # Allowances, no waits of this code's: what is measured stands far below them.
 STORE_MS = 500.0  # a version is written, synced and put in force
-MESH_MS = 1600.0  # two voters are connected again (cluster_io.node.DIAL_MOST_S, a second for the dialling)
+MESH_MS = (
+    1600.0  # two voters are connected again (cluster_io.node.MAX_DIAL_BACKOFF_S, a second for the dialling)
+)
 
 _GOES_OVER = (
     ("pause", PAUSE_MS[1]),
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -33,7 +33,7 @@
 FOLLOWERS = {"f1": "r1/z1", "f2": "r1/z1", "f3": "r1/z2", "f4": "r1/z2", "f5": "r2/z3", "f6": "r2/z4"}
 PLACES = VOTERS | RELAY | FOLLOWERS
 NOTICED_MS = 2100.0  # the mesh ends a silent connection by then (peers.PeerTimes, with a tick's pace)
-MESH_AGAIN_MS = 1600.0  # and has made it anew by then (node.DIAL_MOST_S, link.Dialler)
+MESH_AGAIN_MS = 1600.0  # and has made it anew by then (node.MAX_DIAL_BACKOFF_S, peer_connection.Dialler)
 
 
 @dataclass(frozen=True)
