--- a/grebestack/program/admin_operations.py
+++ b/grebestack/program/admin_operations.py
@@ -29,16 +29,16 @@
     """This dispatcher as a member of a cluster."""
 
     @property
-    def paced(self) -> RollingRestart:
+    def rolling_restart(self) -> RollingRestart:
         """The rolling restart."""
 
-    def shown(self) -> str:
+    def describe(self) -> str:
         """The state of the cluster, for operators."""
 
-    def leases(self) -> str:
+    def describe_leases(self) -> str:
         """The leases, for operators."""
 
-    def drop(self, name: str, /) -> CommandResponse:
+    def remove_member(self, name: str, /) -> CommandResponse:
         """Remove a member."""
 
 
@@ -98,9 +98,9 @@
         if dispatcher.auditor is not None and verb.changes_state:
             dispatcher.auditor.operated(command)
         if verb is Verb.RESTART and dispatcher.fleet is not None:
-            dispatcher.fleet.paced.begin(respond)
+            dispatcher.fleet.rolling_restart.begin(respond)
         elif verb is Verb.HALT and dispatcher.fleet is not None:
-            dispatcher.fleet.paced.halt(respond)
+            dispatcher.fleet.rolling_restart.halt(respond)
         elif verb is Verb.CONFIGURE and dispatcher.configuring is not None:
             dispatcher.configuring.configure(command.target, respond)
         else:
@@ -136,13 +136,15 @@
                 False, "no configuration goes through a fleet here; the file needs [fleet.relays]"
             )
         if command.verb is Verb.FLEET and updates is not None:
-            members = f"{cluster.shown()}; " if cluster is not None else ""
+            members = f"{cluster.describe()}; " if cluster is not None else ""
             return CommandResponse(True, members + updates.shown())
         if cluster is None:
             return CommandResponse(False, "this dispatcher is a member of no fleet")
         if command.verb is Verb.DROP:
-            return cluster.drop(command.target)
-        return CommandResponse(True, cluster.shown() if command.verb is Verb.FLEET else cluster.leases())
+            return cluster.remove_member(command.target)
+        return CommandResponse(
+            True, cluster.describe() if command.verb is Verb.FLEET else cluster.describe_leases()
+        )
 
     def _cordon(self, worker: str, cordoned: bool) -> CommandResponse:
         try:
--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -18,7 +18,7 @@
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.records import OF_OPERATORS
 from grebestack.audit.version_sets import Stamp, Stamps, digest
-from grebestack.cluster_io.log_store import Files, FolderTakenError, take
+from grebestack.cluster_io.log_store import Files, FolderTakenError, lock_folder
 from grebestack.core.api import ListKind, WorkerEntry
 from grebestack.program.audit_segments import RecordBatch, SegmentWriter, next_segment_number, segment_names
 from grebestack.program.config.errors import StartError
@@ -26,7 +26,7 @@
 from grebestack.routing.requests import Session
 
 if TYPE_CHECKING:
-    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.cluster_member import ClusterMember
     from grebestack.program.shared_discovery import Source
     from grebestack.protocol.runners import Runners
     from grebestack.routing.engine import Engine
@@ -58,7 +58,7 @@
     runners: Runners
     table: ServerTable
     worker_source: Source | None
-    fleet: Fleet | None
+    fleet: ClusterMember | None
 
 
 class Auditor:
@@ -68,7 +68,7 @@
         """Open the folder and subscribe to the dispatcher. StartError: the folder can't be used."""
         self.dispatcher = dispatcher
         try:
-            self.lock = take(config.folder)
+            self.lock = lock_folder(config.folder)
             segments = segment_names(config.folder)
         except (OSError, FolderTakenError) as error:
             why = f"{config.folder} can't be used, or is another's: {error}"
@@ -135,8 +135,8 @@
 
     def _on_decision(self, what: str, session: Session, worker: str) -> None:
         fleet = self.dispatcher.fleet
-        if fleet is not None and fleet.node.member.roll.epoch != self.stamps.current.epoch:
-            self._change_stamp(epoch=fleet.node.member.roll.epoch)
+        if fleet is not None and fleet.node.replica.config.epoch != self.stamps.current.epoch:
+            self._change_stamp(epoch=fleet.node.replica.config.epoch)
         self.recorder.act(self._now_ms(), what, session.call_id[:_MAX_CALL_ID_LENGTH], worker)
 
     def operated(self, command: Command) -> None:
--- a/grebestack/program/audit_segments.py
+++ b/grebestack/program/audit_segments.py
@@ -10,7 +10,7 @@
 
 from grebestack.audit.reading import MAGIC
 from grebestack.cluster_io.log_store import Files
-from grebestack.consensus.log_format import frame
+from grebestack.consensus.log_format import encode_record
 
 _PREFIX, _SUFFIX = "acts-", ".log"
 
@@ -82,7 +82,7 @@
             raise OSError("no segment is open")
         self.sequence += 1
         magic = MAGIC if batch.begins_segment else b""
-        self.files.append(self.descriptor, magic + frame(self.sequence, batch.data))
+        self.files.append(self.descriptor, magic + encode_record(self.sequence, batch.data))
         self.files.sync(self.descriptor)
 
     def _remove_oldest(self) -> None:
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -45,7 +45,7 @@
 if TYPE_CHECKING:
     from grebestack.jobs.service import JobService
     from grebestack.program.audit_recording import Auditor
-    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.cluster_member import ClusterMember
     from grebestack.program.config_updates import Configuring
     from grebestack.program.hot_restart import HotRestartRunner
     from grebestack.program.shared_discovery import Source
@@ -100,12 +100,12 @@
 
         return appliance.build_roster(self.config.membership, self.engine)
 
-    def _build_cluster_member(self) -> Fleet | None:
+    def _build_cluster_member(self) -> ClusterMember | None:
         if self.config.cluster is None:
             return None
         from grebestack.program import cluster_member
 
-        return cluster_member.Fleet(self, self.config.cluster)
+        return cluster_member.ClusterMember(self, self.config.cluster)
 
     def _build_config_updates(self) -> Configuring | None:
         if self.config.distribution is None:
--- a/grebestack/program/lifecycle_control.py
+++ b/grebestack/program/lifecycle_control.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from grebestack.jobs.service import JobService
-    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.cluster_member import ClusterMember
     from grebestack.program.hot_restart import HotRestartRunner
 
 log = logging.getLogger(__name__)
@@ -37,7 +37,7 @@
     acceptor: Acceptor
     jobs: JobService | None
     upgrade: HotRestartRunner | None
-    fleet: Fleet | None
+    fleet: ClusterMember | None
 
 
 class LifecycleControl:
@@ -83,7 +83,7 @@
         if dispatcher.upgrade is not None:
             dispatcher.upgrade.stop()
         if dispatcher.fleet is not None:
-            dispatcher.fleet.leave()
+            dispatcher.fleet.release_leases()
         log.info("stopping", extra={"kv": {"open": len(dispatcher.engine.open_by_call_id)}})
         deadline_ms = dispatcher.lifecycle.late_answer_deadline_ms(self._longest_deadline_ms())
         dispatcher.loop.call_later(LATE_MS / 1000.0, dispatcher.front.end_by, deadline_ms)
--- a/grebestack/program/worker_sources.py
+++ b/grebestack/program/worker_sources.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from grebestack.consul.source import ConsulSource
-    from grebestack.program.cluster_member import Fleet
+    from grebestack.program.cluster_member import ClusterMember
     from grebestack.program.shared_discovery import Source
     from grebestack.protocol.membership_adapter import Roster
 
@@ -36,7 +36,7 @@
         engine: Engine,
         reader: ListReader,
         roster: Roster | None,
-        fleet: Fleet | None,
+        fleet: ClusterMember | None,
     ) -> None:
         """Parameters: `roster` checks what sources report, `fleet` may share one member's source."""
         self.loop, self.engine, self.reader = loop, engine, reader
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -63,8 +63,8 @@
     "HotRestartRunner._wait_for_state",
     "Adoption._connect",
     "run.main",
-    "Opening._open",
-    "Fleet.start",
+    "ConnectionAttempt._open",
+    "ClusterMember.start",
     "Configuring.start",
     "RelayServer.start",
 }
