--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -747,8 +747,8 @@
             " for a dispatcher, one push of the difference for a change; voters and relays grow with what"
             " they serve, not with its square."
         )
-    names = ("versions", "feed", "follower", "relay", "configuration", "waits")
-    modules = [f"grebestack/fleet/{name}.py" for name in names]
+    names = ("versions", "messages", "follower", "relay", "configuration", "timeouts")
+    modules = [f"grebestack/config_distribution/{name}.py" for name in names]
     words = ("configur", "follow", "relay", "version", "feed", "scale")
     tests = sorted(
         f"tests/{path.name}"
--- a/benchmarks/scaling/hollow.py
+++ b/benchmarks/scaling/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow followers: many of the product's own `FollowerNode` in a process, no front, engine and runners.
+"""Hollow followers: many of the product's own `FollowerClient` in a process, no front, engine and runners.
 
     PYTHONPATH=benchmarks python -m scaling.hollow FILE.json
 
@@ -22,10 +22,10 @@
 
 import uvloop
 
-from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
+from grebestack.cluster_io.follower_client import FollowerClient, FollowerSettings, RelayAddress
 from grebestack.program import log
 from grebestack.program.config import Config, from_file
-from grebestack.program.config_updates import Laying
+from grebestack.program.config_updates import AppliedConfig
 from grebestack.protocol.settings import unmoved
 from scaling.marks import whole
 
@@ -57,13 +57,13 @@
             name: RelayAddress((relay["host"], int(relay["port"])), relay["place"])
             for name, relay in raw["relays"].items()
         }
-        self.nodes: dict[str, FollowerNode] = {}
+        self.nodes: dict[str, FollowerClient] = {}
         self.past: Counter[str] = Counter()  # counts of those that have been stopped
         self.lines: list[str] = []
         self.acts = os.open(raw["acts"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
         self.rest = b""
         self.base = from_file(raw["base"])
-        self.layings: dict[str, Laying] = {}
+        self.layings: dict[str, AppliedConfig] = {}
 
     def begin(self) -> None:
         """Start them all."""
@@ -75,7 +75,7 @@
 
     def start(self, name: str, life: int) -> None:
         """Start one, anew if it was stopped: it has no disk."""
-        self.layings[name] = Laying(HollowHost(self.base))
+        self.layings[name] = AppliedConfig(HollowHost(self.base))
         settings = FollowerSettings(
             name=name,
             fleet=self.raw["fleet"],
@@ -84,7 +84,7 @@
             folder="",
         )
         take = partial(self._take, name, life)
-        self.nodes[name] = node = FollowerNode(self.loop, settings, take)
+        self.nodes[name] = node = FollowerClient(self.loop, settings, take)
         node.start()
 
     def stop(self, name: str) -> None:
--- a/grebestack/cluster_io/config_store.py
+++ b/grebestack/cluster_io/config_store.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from grebestack.cluster_io.log_store import ASIDE, CLOSE_S, KEPT_ASIDE, Files, sync_folder, take
-from grebestack.config_distribution.versions import Version, check, digest_of
+from grebestack.config_distribution.versions import Version, contents_problem, digest_of
 from grebestack.consensus.log_format import frame, read
 
 MAGIC = b"grebestack configuration 1\n"
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class StoredConfig:
     """What a folder holds; `doubts` says of each file that is not believed why."""
 
     versions: tuple[tuple[Version, bytes], ...] = ()
@@ -37,11 +37,11 @@
     life: int = 1  # which start this is: higher than any before
 
 
-class DoubtError(Exception):
+class CorruptFileError(Exception):
     """A file is not what was written; the text says why."""
 
 
-class Contents:
+class ConfigStore:
     """One process's versions, told of on the loop; the folder is this process's own until `close`."""
 
     def __init__(
@@ -56,7 +56,7 @@
         self.lock = -1
         self.thread = threading.Thread(target=self._work, name="configuration-disk", daemon=True)
 
-    def open(self) -> Held:
+    def open(self) -> StoredConfig:
         """Take the folder and read it. OSError: there is none to be had; FolderTakenError: in use."""
         self.lock = take(self.folder)
         versions, kept, doubts = list[tuple[Version, bytes]](), dict[str, bytes](), list[str]()
@@ -70,14 +70,14 @@
                 elif name.startswith(KEPT):
                     contents = self._payloads(path, 1)[0]
                     if name != KEPT + digest_of(contents):
-                        raise DoubtError(f"its digest is {digest_of(contents)}")
+                        raise CorruptFileError(f"its digest is {digest_of(contents)}")
                     kept[digest_of(contents)] = contents
-            except (OSError, DoubtError) as error:
+            except (OSError, CorruptFileError) as error:
                 doubts.append(f"{name}: {error}")
                 self._put_aside(name)
         life = self._life()
         self.thread.start()
-        return Held(tuple(versions), kept, tuple(doubts), life)
+        return StoredConfig(tuple(versions), kept, tuple(doubts), life)
 
     def store(
         self,
@@ -112,7 +112,7 @@
     def _payloads(self, path: str, count: int) -> tuple[bytes, ...]:
         got = read(self.files.read(path), magic=MAGIC)
         if got.doubt or got.torn or len(got.payloads) != count:
-            raise DoubtError(got.doubt or f"it has {len(got.payloads)} whole records, not {count}")
+            raise CorruptFileError(got.doubt or f"it has {len(got.payloads)} whole records, not {count}")
         return got.payloads
 
     def _version(self, path: str) -> tuple[Version, bytes]:
@@ -120,11 +120,11 @@
         try:
             fleet, version = _head.decode(head)
         except msgspec.DecodeError as error:
-            raise DoubtError(f"it begins with no version: {error}") from error
+            raise CorruptFileError(f"it begins with no version: {error}") from error
         if fleet != self.fleet:
-            raise DoubtError(f"it is of the fleet {fleet!r}, not {self.fleet!r}")
-        if why := check(version, contents):
-            raise DoubtError(why)
+            raise CorruptFileError(f"it is of the fleet {fleet!r}, not {self.fleet!r}")
+        if why := contents_problem(version, contents):
+            raise CorruptFileError(why)
         return version, contents
 
     def _life(self) -> int:
--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -8,25 +8,25 @@
 from functools import partial
 
 from grebestack.cluster_io.action_runner import Turns
-from grebestack.cluster_io.config_store import Contents
-from grebestack.cluster_io.follower_client import OwnRelay, Take
+from grebestack.cluster_io.config_store import ConfigStore
+from grebestack.cluster_io.follower_client import LocalRelay, Take
 from grebestack.cluster_io.log_store import Files
 from grebestack.cluster_io.node import Node
 from grebestack.cluster_io.runtime import tell
 from grebestack.config_distribution.actions import (
     Apply,
+    ChangeRegister,
     ConfigurationAction,
-    Confirmed,
-    Decide,
-    Discard,
-    Keep,
-    Offer,
-    Outcome,
+    DiscardContents,
+    MajorityConfirmed,
+    ProposalResult,
+    PublishVersion,
+    SendToVoter,
     Store,
-    Tell,
+    StoreContents,
 )
-from grebestack.config_distribution.configuration import REGISTER, ConfigurationVoter, View, change
-from grebestack.config_distribution.messages import Tally
+from grebestack.config_distribution.configuration import REGISTER, ConfigurationVoter, View, register_change
+from grebestack.config_distribution.messages import StatusReport
 from grebestack.config_distribution.versions import Version
 from grebestack.consensus.register import Value
 
@@ -43,17 +43,17 @@
     def __init__(self, node: Node, folder: str, take: Take, files: Files | None = None) -> None:
         self.node, self.loop, self.clock, self.take = node, node.loop, node.clock, take
         settings = node.settings
-        self.contents = Contents(node.loop, folder, settings.fleet, files)
+        self.contents = ConfigStore(node.loop, folder, settings.fleet, files)
         self.held = self.contents.open()
         for doubt in self.held.doubts:
             log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
         self.voter = ConfigurationVoter(
             settings.name, settings.fleet, self.held.life, node.random, self.clock()
         )
-        self.relay: OwnRelay | None = None
+        self.relay: LocalRelay | None = None
         self.settled: Callable[[], None] = lambda: None  # called once a version or a majority's word has come
         self.tickets = 0
-        self.asked: dict[int, Callable[[Outcome], None]] = {}  # by ticket
+        self.asked: dict[int, Callable[[ProposalResult], None]] = {}  # by ticket
         self.counted = dict.fromkeys(("messages_in", "messages_out", "bytes_in", "bytes_out"), 0)
         self.turns: Turns[ConfigurationAction] = Turns(
             self.loop, self.clock, self.voter, self._do, lambda: self.voter.tick(self.clock(), self._view())
@@ -83,14 +83,14 @@
         self.turns.stop()
         self.contents.close()
 
-    def propose(self, contents: bytes, ended: Callable[[Outcome], None]) -> None:
+    def propose(self, contents: bytes, ended: Callable[[ProposalResult], None]) -> None:
         """Have contents be in force; `ended` tells how it went, once."""
         self.tickets += 1
         self.asked[self.tickets] = ended
         since_ms = time.time_ns() // 1_000_000
         self.turns.run(self.voter.propose(self.clock(), self.tickets, contents, since_ms, self._view()))
 
-    def tallied(self, tally: Tally) -> None:
+    def tallied(self, tally: StatusReport) -> None:
         """The word of a relay on its followers."""
         if not self.turns.stopped:
             self.turns.run(self.voter.tallied(self.clock(), tally, self._view()))
@@ -116,13 +116,13 @@
             self.turns.run(self.voter.heard(self.clock(), name, body, self._view()))
 
     def _do(self, action: ConfigurationAction) -> None:
-        if isinstance(action, Tell):
+        if isinstance(action, SendToVoter):
             self.counted["messages_out"] += 1
             self.counted["bytes_out"] += len(action.body)
             self.node.say(action.to, TASK, action.body)
-        elif isinstance(action, Keep):
+        elif isinstance(action, StoreContents):
             self.contents.keep(action.digest, action.contents, partial(self._kept, action.digest))
-        elif isinstance(action, Discard):
+        elif isinstance(action, DiscardContents):
             self.contents.discard(action.digest)
         elif isinstance(action, Store):
             stored = partial(self._stored, action.version.number)
@@ -131,16 +131,16 @@
             why = self.take(action.version, action.contents)
             self.turns.run(self.voter.taken(self.clock(), action.version.number, why))
             self.settled()
-        elif isinstance(action, Offer):
+        elif isinstance(action, PublishVersion):
             if self.relay is not None:
                 self.relay.offer(action.version, action.contents)
-        elif isinstance(action, Confirmed):
+        elif isinstance(action, MajorityConfirmed):
             if self.relay is not None:
                 self.relay.confirmed(action.at_ms)
             self.settled()
-        elif isinstance(action, Decide):
-            self.node.change(REGISTER, change(action.version), self._registered)
-        elif isinstance(action, Outcome):
+        elif isinstance(action, ChangeRegister):
+            self.node.change(REGISTER, register_change(action.version), self._registered)
+        elif isinstance(action, ProposalResult):
             if (ended := self.asked.pop(action.ticket, None)) is not None:
                 ended(action)
         else:
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -13,24 +13,24 @@
 from typing import Protocol
 
 from grebestack.cluster_io.action_runner import Turns
-from grebestack.cluster_io.config_store import Contents, Held
+from grebestack.cluster_io.config_store import ConfigStore, StoredConfig
 from grebestack.cluster_io.framing import Opening, Traffic
 from grebestack.cluster_io.log_store import Files
-from grebestack.cluster_io.relay_connection import FeedLink
+from grebestack.cluster_io.relay_connection import RelayConnection
 from grebestack.cluster_io.runtime import monotonic_ms, tell
 from grebestack.config_distribution.actions import (
     Apply,
     Close,
-    Confirmed,
-    Dial,
+    Connect,
     FollowerAction,
-    Gathered,
-    Offer,
-    Say,
+    MajorityConfirmed,
+    PublishVersion,
+    Send,
+    StatusReceived,
     Store,
 )
 from grebestack.config_distribution.follower import Follower
-from grebestack.config_distribution.messages import Said, Tally, encode
+from grebestack.config_distribution.messages import Message, StatusReport, encode
 from grebestack.config_distribution.versions import Version
 
 log = logging.getLogger(__name__)
@@ -56,7 +56,7 @@
     folder: str  # empty: it keeps nothing on a disk
 
 
-class OwnRelay(Protocol):
+class LocalRelay(Protocol):
     """The relay of a process that follows and is followed."""
 
     def offer(self, version: Version, contents: bytes) -> None:
@@ -66,7 +66,7 @@
         """At that instant a majority knew nothing newer."""
 
 
-class FollowerNode:
+class FollowerClient:
     """One follower. `take` is called on the loop for each version that is to be in force.
 
     OSError and FolderTakenError: its folder can't be used.
@@ -83,8 +83,12 @@
         relays: bool = False,
     ) -> None:
         self.loop, self.settings, self.take, self.clock = loop, settings, take, clock
-        self.contents = Contents(loop, settings.folder, settings.fleet, files) if settings.folder else None
-        held = self.contents.open() if self.contents is not None else Held(life=time.time_ns() // 1_000_000)
+        self.contents = ConfigStore(loop, settings.folder, settings.fleet, files) if settings.folder else None
+        held = (
+            self.contents.open()
+            if self.contents is not None
+            else StoredConfig(life=time.time_ns() // 1_000_000)
+        )
         for doubt in held.doubts:
             log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
         self.held = held.versions
@@ -98,11 +102,11 @@
             random or Random(int.from_bytes(os.urandom(8), "big")),
             relays,
         )
-        self.relay: OwnRelay | None = None
+        self.relay: LocalRelay | None = None
         self.settled: Callable[[], None] = lambda: None  # called once a version or a relay's word has come
         self.traffic = Traffic()
         self.dials = 0
-        self.link: FeedLink | None = None
+        self.link: RelayConnection | None = None
         self.opening: Opening | None = None
         self.turns: Turns[FollowerAction] = Turns(
             self.loop, self.clock, self.follower, self._do, lambda: self.follower.tick(self.clock())
@@ -135,23 +139,23 @@
         if self.contents is not None:
             self.contents.close()
 
-    def tallied(self, tally: Tally) -> None:
+    def tallied(self, tally: StatusReport) -> None:
         """The word of this process's own relay, or of one below it, goes upstream."""
         self.turns.run(self.follower.tallied(self.clock(), tally))
 
     # The link's owner.
 
-    def connected(self, link: FeedLink) -> None:
+    def connected(self, link: RelayConnection) -> None:
         """The connection that was dialled is up."""
         if self.link is link:
             self.turns.run(self.follower.connected(self.clock(), link.number))
 
-    def heard(self, link: FeedLink, message: Said) -> None:
+    def heard(self, link: RelayConnection, message: Message) -> None:
         """A message has come."""
         if self.link is link:
             self.turns.run(self.follower.heard(self.clock(), link.number, message))
 
-    def ended(self, link: FeedLink, why: str) -> None:
+    def ended(self, link: RelayConnection, why: str) -> None:
         """The connection has ended, or could not be made."""
         if self.link is link:
             self.link = None
@@ -160,10 +164,10 @@
     # What the pure part asks for.
 
     def _do(self, action: FollowerAction) -> None:
-        if isinstance(action, Say):
+        if isinstance(action, Send):
             if self.link is not None and self.link.number == action.link:
                 self.link.write(encode(action.message))
-        elif isinstance(action, Dial):
+        elif isinstance(action, Connect):
             self._dial(action)
         elif isinstance(action, Close):
             if self.link is not None and self.link.number == action.link:
@@ -175,23 +179,23 @@
             why = self.take(action.version, action.contents)
             self.turns.run(self.follower.taken(self.clock(), action.version.number, why))
             self.settled()
-        elif isinstance(action, Offer):
+        elif isinstance(action, PublishVersion):
             if self.relay is not None:
                 self.relay.offer(action.version, action.contents)
-        elif isinstance(action, Confirmed):
+        elif isinstance(action, MajorityConfirmed):
             if self.relay is not None:
                 self.relay.confirmed(action.at_ms)
             self.settled()
-        elif isinstance(action, Gathered):
+        elif isinstance(action, StatusReceived):
             self.turns.run(self.follower.tallied(self.clock(), action.tally))
         else:
             tell(action)
 
-    def _dial(self, dial: Dial) -> None:
+    def _dial(self, dial: Connect) -> None:
         if self.link is not None:
             self.link.close("another is dialled")
         self.dials += 1
-        self.link = link = FeedLink(self.loop, self, dial.link, self.traffic)
+        self.link = link = RelayConnection(self.loop, self, dial.link, self.traffic)
         address = self.settings.relays[dial.relay].address
         self.opening = Opening(self.loop, link, address, partial(self.ended, link))
 
--- a/grebestack/cluster_io/relay_connection.py
+++ b/grebestack/cluster_io/relay_connection.py
@@ -8,30 +8,30 @@
 import msgspec
 
 from grebestack.cluster_io.framing import Frames, Traffic
-from grebestack.config_distribution.messages import FORM, MOST, Said, decode
-from grebestack.config_distribution.timeouts import GREET_MS
+from grebestack.config_distribution.messages import MAX_MESSAGE_BYTES, PROTOCOL_VERSION, Message, decode
+from grebestack.config_distribution.timeouts import SUBSCRIBE_TIMEOUT_MS
 
 
-class FeedOwner(Protocol):
+class RelayConnectionOwner(Protocol):
     """Who the connections belong to."""
 
-    def connected(self, link: FeedLink) -> None:
+    def connected(self, link: RelayConnection) -> None:
         """The connection is up."""
 
-    def heard(self, link: FeedLink, message: Said) -> None:
+    def heard(self, link: RelayConnection, message: Message) -> None:
         """A message has come."""
 
-    def ended(self, link: FeedLink, why: str) -> None:
+    def ended(self, link: RelayConnection, why: str) -> None:
         """The connection has ended; called once for each that was up."""
 
 
-class FeedLink(Frames):
+class RelayConnection(Frames):
     """Whole messages each way; `number` is what the pure part knows it by."""
 
-    most, most_queued, greet_s = MOST, 2 * MOST, GREET_MS / 1000.0
+    most, most_queued, greet_s = MAX_MESSAGE_BYTES, 2 * MAX_MESSAGE_BYTES, SUBSCRIBE_TIMEOUT_MS / 1000.0
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, owner: FeedOwner, number: int, traffic: Traffic
+        self, loop: asyncio.AbstractEventLoop, owner: RelayConnectionOwner, number: int, traffic: Traffic
     ) -> None:
         super().__init__(loop, traffic)
         self.owner, self.number = owner, number
@@ -45,7 +45,7 @@
         try:
             item = decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.close(f"no message of form {FORM}: {error}")
+            self.close(f"no message of form {PROTOCOL_VERSION}: {error}")
             return
         self.welcome()
         self.owner.heard(self, item)
--- a/grebestack/cluster_io/relay_server.py
+++ b/grebestack/cluster_io/relay_server.py
@@ -8,10 +8,10 @@
 
 from grebestack.cluster_io.action_runner import Turns
 from grebestack.cluster_io.framing import Traffic
-from grebestack.cluster_io.relay_connection import FeedLink
+from grebestack.cluster_io.relay_connection import RelayConnection
 from grebestack.cluster_io.runtime import monotonic_ms, tell
-from grebestack.config_distribution.actions import Close, Gathered, RelayAction, Say
-from grebestack.config_distribution.messages import Said, Tally, encode
+from grebestack.config_distribution.actions import Close, RelayAction, Send, StatusReceived
+from grebestack.config_distribution.messages import Message, StatusReport, encode
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import Version
 
@@ -28,18 +28,18 @@
         loop: asyncio.AbstractEventLoop,
         relay: Relay,
         address: tuple[str, int],
-        gathered: Callable[[Tally], None],
+        gathered: Callable[[StatusReport], None],
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
         self.loop, self.relay, self.address, self.gathered, self.clock = loop, relay, address, gathered, clock
-        self.links: dict[int, FeedLink] = {}
+        self.links: dict[int, RelayConnection] = {}
         self.numbers = 0
         self.traffic = Traffic()
         self.server: asyncio.Server | None = None
         self.turns: Turns[RelayAction] = Turns(
             loop, clock, relay, self._do, lambda: self.relay.tick(self.clock())
         )
-        self.last: tuple[Said | None, bytes] = None, b""  # a push to all is encoded once
+        self.last: tuple[Message | None, bytes] = None, b""  # a push to all is encoded once
 
     @property
     def counts(self) -> dict[str, int]:
@@ -60,10 +60,10 @@
         for link in list(self.links.values()):
             link.close("stopping")
 
-    def accept(self) -> FeedLink:
+    def accept(self) -> RelayConnection:
         """A connection that a follower has made."""
         self.numbers += 1
-        return FeedLink(self.loop, self, self.numbers, self.traffic)
+        return RelayConnection(self.loop, self, self.numbers, self.traffic)
 
     def offer(self, version: Version, contents: bytes) -> None:
         """A decided version, checked: pushed at once if it is newer."""
@@ -75,25 +75,25 @@
 
     # The links' owner.
 
-    def connected(self, link: FeedLink) -> None:
+    def connected(self, link: RelayConnection) -> None:
         """A follower's connection is up; it speaks first."""
         if self.turns.stopped or len(self.links) >= self.relay.most + GREETING:
             link.close("too many connections")
         else:
             self.links[link.number] = link
 
-    def heard(self, link: FeedLink, message: Said) -> None:
+    def heard(self, link: RelayConnection, message: Message) -> None:
         """A message has come."""
         if not self.turns.stopped and self.links.get(link.number) is link:
             self.turns.run(self.relay.heard(self.clock(), link.number, message))
 
-    def ended(self, link: FeedLink, why: str) -> None:
+    def ended(self, link: RelayConnection, why: str) -> None:
         """A connection has ended."""
         if self.links.pop(link.number, None) is not None and not self.turns.stopped:
             self.turns.run(self.relay.lost(self.clock(), link.number, why))
 
     def _do(self, action: RelayAction) -> None:
-        if isinstance(action, Say):
+        if isinstance(action, Send):
             if (link := self.links.get(action.link)) is not None:
                 if self.last[0] is not action.message:
                     self.last = action.message, encode(action.message)
@@ -101,7 +101,7 @@
         elif isinstance(action, Close):
             if (link := self.links.pop(action.link, None)) is not None:
                 link.leave(action.why)  # it may have just been told why
-        elif isinstance(action, Gathered):
+        elif isinstance(action, StatusReceived):
             self.gathered(action.tally)
         else:
             tell(action)
--- a/grebestack/config_distribution/actions.py
+++ b/grebestack/config_distribution/actions.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from grebestack.config_distribution.messages import Said, Tally
+from grebestack.config_distribution.messages import Message, StatusReport
 from grebestack.config_distribution.versions import Version
 from grebestack.consensus.actions import Told
 
 
 @dataclass(frozen=True, slots=True)
-class Dial:
+class Connect:
     """Connect to a relay under this link number; then `connected`, or `lost`. One link at a time."""
 
     link: int
@@ -18,11 +18,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class Send:
     """Say something over a link. One push is one object to all, so that it can be encoded once."""
 
     link: int
-    message: Said
+    message: Message
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
 class Apply:
     """Put a version in force and call `taken` with why it was refused, or nothing.
 
-    On a voter or relay its own Relay is told by `Offer`, not by this.
+    On a voter or relay its own Relay is told by `PublishVersion`, not by this.
     """
 
     version: Version
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class PublishVersion:
     """Checked and decided: for this process's own relay, `Relay.offer`, if it has one."""
 
     version: Version
@@ -70,24 +70,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
+class MajorityConfirmed:
     """At this instant of the own clock a majority knew nothing newer: for `Relay.confirmed`."""
 
     at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Gathered:
+class StatusReceived:
     """A relay's word on its followers, its own or one that came over a link.
 
     On a voter for `ConfigurationVoter.tallied`, on any other relay for `Follower.tallied`.
     """
 
-    tally: Tally
+    tally: StatusReport
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendToVoter:
     """Say this to another voter: Word("configuration", body)."""
 
     to: str
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class StoreContents:
     """Write contents by their digest, synced, then call `ConfigurationVoter.kept`. Not decided yet."""
 
     digest: str
@@ -103,24 +103,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Discard:
+class DiscardContents:
     """Contents that were kept and are not needed any more."""
 
     digest: str
 
 
 @dataclass(frozen=True, slots=True)
-class Decide:
+class ChangeRegister:
     """Change register "configuration" from number `former` to this version, then call `registered`.
 
-    The change is `configuration.change(version)`; with no version it is only read.
+    The change is `configuration.register_change(version)`; with no version it is only read.
     """
 
     version: Version | None
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class ProposalResult:
     """How a proposal ended, for whoever asked under this ticket."""
 
     ticket: int
@@ -130,6 +130,17 @@
     held_by: tuple[str, ...] = ()  # voters that hold the contents
 
 
-FollowerAction = Dial | Say | Close | Store | Apply | Offer | Confirmed | Told
-RelayAction = Say | Close | Gathered | Told
-ConfigurationAction = Tell | Keep | Discard | Store | Apply | Offer | Confirmed | Decide | Outcome | Told
+FollowerAction = Connect | Send | Close | Store | Apply | PublishVersion | MajorityConfirmed | Told
+RelayAction = Send | Close | StatusReceived | Told
+ConfigurationAction = (
+    SendToVoter
+    | StoreContents
+    | DiscardContents
+    | Store
+    | Apply
+    | PublishVersion
+    | MajorityConfirmed
+    | ChangeRegister
+    | ProposalResult
+    | Told
+)
--- a/grebestack/config_distribution/configuration.py
+++ b/grebestack/config_distribution/configuration.py
@@ -19,36 +19,36 @@
 from grebestack.config_distribution import timeouts
 from grebestack.config_distribution.actions import (
     Apply,
+    ChangeRegister,
     ConfigurationAction,
-    Confirmed,
-    Decide,
-    Discard,
-    Keep,
-    Offer,
-    Outcome,
+    DiscardContents,
+    MajorityConfirmed,
+    ProposalResult,
+    PublishVersion,
+    SendToVoter,
     Store,
-    Tell,
+    StoreContents,
 )
-from grebestack.config_distribution.messages import Standing, Tally
+from grebestack.config_distribution.messages import FollowerStatus, StatusReport
 from grebestack.config_distribution.versions import (
-    MOST_CONTENTS,
+    MAX_CONTENTS_BYTES,
     NO_VERSION,
     Version,
-    check,
+    contents_problem,
     digest_of,
-    sound,
-    wrong,
+    invalid_value,
+    version_problem,
 )
 from grebestack.consensus.actions import Told
 from grebestack.consensus.register import Change, Value
 
 REGISTER = "configuration"
-MOST_KEPT, MOST_KEPT_BYTES = 1024, 16 * 1024 * 1024  # contents that are not decided yet
-MOST_BEATS = 16  # signs of life whose answers may still come
-MOST_NAMES = 65_536
+MAX_UNDECIDED, MAX_UNDECIDED_BYTES = 1024, 16 * 1024 * 1024  # contents that are not decided yet
+MAX_HEARTBEATS_OUTSTANDING = 16  # signs of life whose answers may still come
+MAX_NAMES = 65_536
 
 
-def change(version: Version | None) -> Change:
+def register_change(version: Version | None) -> Change:
     """The register's change: compare-and-set on the number; only read where there is no version."""
 
     def changed(value: Value) -> Value:
@@ -68,8 +68,8 @@
     linked: frozenset[str]  # members that are connected
 
 
-class Beat(Struct, frozen=True, array_like=True, tag="beat"):
-    """Asks for `Echo`: what the sender has accepted (see `View`) in which epoch, and knows as decided."""
+class Heartbeat(Struct, frozen=True, array_like=True, tag="beat"):
+    """Asks for a `HeartbeatResponse`; carries what the sender has accepted and knows to be decided."""
 
     sequence: int
     epoch: int
@@ -77,7 +77,7 @@
     decided: Version
 
 
-class Echo(Struct, frozen=True, array_like=True, tag="echo"):
+class HeartbeatResponse(Struct, frozen=True, array_like=True, tag="echo"):
     """The answer to the beat of this sequence."""
 
     sequence: int
@@ -93,28 +93,28 @@
     contents: bytes
 
 
-class Kept(Struct, frozen=True, array_like=True, tag="kept"):
+class StoreAck(Struct, frozen=True, array_like=True, tag="kept"):
     """Contents are on the disk."""
 
     digest: str
 
 
-class Want(Struct, frozen=True, array_like=True, tag="want"):
+class FetchContents(Struct, frozen=True, array_like=True, tag="want"):
     """Contents are asked for."""
 
     digest: str
 
 
-class Have(Struct, frozen=True, array_like=True, tag="have"):
+class Contents(Struct, frozen=True, array_like=True, tag="have"):
     """Contents that were asked for."""
 
     digest: str
     contents: bytes
 
 
-Word = Beat | Echo | Propose | Kept | Want | Have | Tally
+VoterMessage = Heartbeat | HeartbeatResponse | Propose | StoreAck | FetchContents | Contents | StatusReport
 _encoder = msgpack.Encoder()
-_words = msgpack.Decoder(Word)
+_words = msgpack.Decoder(VoterMessage)
 
 
 @dataclass(slots=True)
@@ -153,7 +153,7 @@
 class Entry:
     """A follower, as one relay has told of it."""
 
-    standing: Standing
+    standing: FollowerStatus
     heard_ms: float  # own clock
     behind_ms: float | None
 
@@ -214,7 +214,7 @@
             if digest_of(contents) == digest:
                 self.kept_here[digest] = contents, now_ms
         for version, contents in disk:
-            if why := check(version, contents):
+            if why := contents_problem(version, contents):
                 actions.append(Told("configuration_disk", {"number": version.number, "why": why}))
             else:
                 self.disk += ((version, contents),)
@@ -222,8 +222,8 @@
         if self.disk:
             self.version, self.contents = self.disk[0]
             self.decided = self.version
-            self.start_ms = now_ms + timeouts.START_MS
-            actions.append(Offer(self.version, self.contents))
+            self.start_ms = now_ms + timeouts.STARTUP_GRACE_MS
+            actions.append(PublishVersion(self.version, self.contents))
         return actions
 
     def kept(self, now_ms: float, digest: str, why: str = "") -> list[ConfigurationAction]:
@@ -238,7 +238,7 @@
             told = Told("configuration_not_kept", {"digest": digest, "why": why})
             return [told, *self._end(False, f"the contents are not on this disk: {why}")] if mine else [told]
         self.kept_here[digest] = contents, now_ms
-        actions: list[ConfigurationAction] = [self._say(name, Kept(digest)) for name in sorted(names)]
+        actions: list[ConfigurationAction] = [self._say(name, StoreAck(digest)) for name in sorted(names)]
         if mine and proposal is not None:
             self.proposal = replace(proposal, holders=proposal.holders | {self.name})
             actions += self._propose(now_ms, self.view)
@@ -295,22 +295,22 @@
         old = [
             d
             for d, (_, ms) in self.kept_here.items()
-            if d not in needed and (d == digest or now_ms - ms >= timeouts.KEPT_MS)
+            if d not in needed and (d == digest or now_ms - ms >= timeouts.UNDECIDED_CONTENTS_TTL_MS)
         ]
         for one in old:
             del self.kept_here[one]
-        return [Discard(one) for one in old]
+        return [DiscardContents(one) for one in old]
 
     # Proposing.
 
     def propose(
         self, now_ms: float, ticket: int, contents: bytes, since_ms: int, view: View
     ) -> list[ConfigurationAction]:
-        """Asked at this door to put contents in force; `Outcome` under this ticket tells how it ended."""
+        """Propose contents; a `ProposalResult` with this ticket reports how it ended."""
         why, self.view = "", view
         reached = len(view.linked & view.names | {self.name})
-        if len(contents) > MOST_CONTENTS:
-            why = wrong("contents", f"{len(contents)} bytes", f"up to {MOST_CONTENTS}")
+        if len(contents) > MAX_CONTENTS_BYTES:
+            why = invalid_value("contents", f"{len(contents)} bytes", f"up to {MAX_CONTENTS_BYTES}")
         elif self.proposal is not None:
             why = f"another change is under way at {self.name}"
         elif view.accepted < 0:
@@ -318,16 +318,16 @@
         elif reached < view.majority:
             why = f"{reached} of {len(view.names)} voters are connected; needed: {view.majority}"
         if why:
-            return [Outcome(ticket, False, self.decided, why)]
+            return [ProposalResult(ticket, False, self.decided, why)]
         digest = digest_of(contents)
         version = Version(self.decided.number + 1, digest, len(contents), self.name, since_ms)
-        self.proposal = Proposal(ticket, version, contents, now_ms + timeouts.PROPOSE_MS)
+        self.proposal = Proposal(ticket, version, contents, now_ms + timeouts.PROPOSAL_TIMEOUT_MS)
         keep: list[ConfigurationAction] = []
         if digest in self.kept_here:
             self.proposal = replace(self.proposal, holders=frozenset({self.name}))
         elif digest not in self.keeping:
             self.keeping[digest] = contents, frozenset()
-            keep.append(Keep(digest, contents))
+            keep.append(StoreContents(digest, contents))
         read = [] if self.current or self.deciding else self._read(now_ms)
         return [*keep, *read, *self._propose(now_ms, view)]
 
@@ -353,10 +353,10 @@
                 return []
             self.deciding = True
             self.proposal = replace(proposal, again_ms=now_ms + self._read_pause(), asked=True)
-            return [Decide(proposal.version)]
+            return [ChangeRegister(proposal.version)]
         if now_ms < proposal.again_ms:
             return []
-        self.proposal = replace(proposal, again_ms=now_ms + timeouts.FETCH_MS)
+        self.proposal = replace(proposal, again_ms=now_ms + timeouts.FETCH_RETRY_INTERVAL_MS)
         item = Propose(proposal.version.digest, proposal.contents)
         return [
             self._say(name, item)
@@ -369,10 +369,10 @@
         if proposal is None:
             return []
         version = proposal.version if won else self.decided
-        return [Outcome(proposal.ticket, won, version, why, tuple(sorted(proposal.holders)))]
+        return [ProposalResult(proposal.ticket, won, version, why, tuple(sorted(proposal.holders)))]
 
     def registered(self, now_ms: float, known: bool, value: Value, view: View) -> list[ConfigurationAction]:
-        """A `Decide` has ended; `known`: with this value in force."""
+        """A `ChangeRegister` has ended; `known`: with this value in force."""
         self.deciding, self.view = False, view
         if not known:
             if self.read_ms < inf:
@@ -408,11 +408,11 @@
 
     def _read(self, now_ms: float) -> list[ConfigurationAction]:
         """Ask the register what is in force; again where that is not heard to its end."""
-        self.deciding, self.read_ms = True, now_ms + timeouts.ASK_MS
-        return [Decide(None)]
+        self.deciding, self.read_ms = True, now_ms + timeouts.REGISTER_TIMEOUT_MS
+        return [ChangeRegister(None)]
 
     def _read_pause(self) -> float:
-        return self.random.uniform(*timeouts.READ_MS)
+        return self.random.uniform(*timeouts.REGISTER_READ_DELAY_MS)
 
     # Learning.
 
@@ -420,10 +420,12 @@
         """A version is decided: known from the register, or from a voter that knows."""
         if version == NO_VERSION:
             return []
-        if why := sound(version):
+        if why := version_problem(version):
             return self._wrong(f"version/{by}", by, why)
         if version.number == self.decided.number and version != self.decided:
-            why = wrong("version", version.digest, f"{self.decided.digest} as number {version.number}")
+            why = invalid_value(
+                "version", version.digest, f"{self.decided.digest} as number {version.number}"
+            )
             return self._wrong(f"two/{by}", by, why)
         if version.number <= self.decided.number:
             return []
@@ -447,7 +449,7 @@
         """The decided version's contents are here."""
         self.version, self.contents = self.decided, contents
         self.fetch_ms = inf
-        return [Offer(self.version, contents), *self._begin()]
+        return [PublishVersion(self.version, contents), *self._begin()]
 
     def heard(self, now_ms: float, name: str, body: bytes, view: View) -> list[ConfigurationAction]:
         """Another voter's Word."""
@@ -455,63 +457,67 @@
         try:
             word = _words.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return self._wrong(f"word/{name}", name, wrong("word", str(error), "a word of a voter"))
-        if isinstance(word, Beat):
-            echo = Echo(word.sequence, view.epoch, view.accepted, self.decided)
+            return self._wrong(f"word/{name}", name, invalid_value("word", str(error), "a word of a voter"))
+        if isinstance(word, Heartbeat):
+            echo = HeartbeatResponse(word.sequence, view.epoch, view.accepted, self.decided)
             return [self._say(name, echo), *self._known(now_ms, name, word, view)]
-        if isinstance(word, Echo):
+        if isinstance(word, HeartbeatResponse):
             sent_ms = self.sent.get(word.sequence)
             if sent_ms is not None:
                 former = self.others.get(name)
                 if former is None or former.sent_ms <= sent_ms:
                     self.others[name] = Heard(sent_ms, word.epoch, word.accepted)
             return [*self._known(now_ms, name, word, view), *self._confirm(now_ms, view)]
-        if isinstance(word, Tally):
+        if isinstance(word, StatusReport):
             return self._gather(now_ms, word)
         return self._contents(now_ms, name, word, view)
 
     def _contents(
-        self, now_ms: float, name: str, word: Propose | Kept | Want | Have, view: View
+        self, now_ms: float, name: str, word: Propose | StoreAck | FetchContents | Contents, view: View
     ) -> list[ConfigurationAction]:
-        if isinstance(word, Want):
-            return [self._say(name, Have(word.digest, contents)) for contents in self._here(word.digest)]
-        if isinstance(word, Kept):
+        if isinstance(word, FetchContents):
+            return [self._say(name, Contents(word.digest, contents)) for contents in self._here(word.digest)]
+        if isinstance(word, StoreAck):
             if self.proposal is None or word.digest != self.proposal.version.digest:
                 return []
             self.proposal = replace(self.proposal, holders=self.proposal.holders | {name})
             return self._propose(now_ms, view)
-        if len(word.contents) > MOST_CONTENTS:
-            why = wrong("contents", f"{len(word.contents)} bytes", f"up to {MOST_CONTENTS}")
+        if len(word.contents) > MAX_CONTENTS_BYTES:
+            why = invalid_value("contents", f"{len(word.contents)} bytes", f"up to {MAX_CONTENTS_BYTES}")
             return self._wrong(f"size/{name}", name, why)
         if (digest := digest_of(word.contents)) != word.digest:
-            return self._wrong(f"digest/{name}", name, wrong("digest", word.digest, digest))
-        if isinstance(word, Have):
+            return self._wrong(f"digest/{name}", name, invalid_value("digest", word.digest, digest))
+        if isinstance(word, Contents):
             if digest != self.decided.digest or self.version == self.decided:
                 return []
-            if why := check(self.decided, word.contents):
+            if why := contents_problem(self.decided, word.contents):
                 return self._wrong(f"digest/{name}", name, why)
             return self._have(now_ms, word.contents)
         if digest in self.kept_here:
-            return [self._say(name, Kept(digest))]
+            return [self._say(name, StoreAck(digest))]
         if digest in self.keeping:
             contents, names = self.keeping[digest]
             self.keeping[digest] = contents, names | {name}
             return []
         actions = self._discard(now_ms, "")
         sizes = [len(one) for one, _ in (*self.kept_here.values(), *self.keeping.values())]
-        if len(sizes) >= MOST_KEPT or sum(sizes) + len(word.contents) > MOST_KEPT_BYTES:
+        if len(sizes) >= MAX_UNDECIDED or sum(sizes) + len(word.contents) > MAX_UNDECIDED_BYTES:
             said = f"{len(sizes) + 1} of {sum(sizes) + len(word.contents)} bytes"
-            why = wrong("kept", said, f"up to {MOST_KEPT} undecided of {MOST_KEPT_BYTES} bytes")
+            why = invalid_value(
+                "kept", said, f"up to {MAX_UNDECIDED} undecided of {MAX_UNDECIDED_BYTES} bytes"
+            )
             return [*actions, *self._wrong("kept", name, why)]
         self.keeping[digest] = word.contents, frozenset({name})
-        return [*actions, Keep(digest, word.contents)]
+        return [*actions, StoreContents(digest, word.contents)]
 
-    def _known(self, now_ms: float, name: str, word: Beat | Echo, view: View) -> list[ConfigurationAction]:
+    def _known(
+        self, now_ms: float, name: str, word: Heartbeat | HeartbeatResponse, view: View
+    ) -> list[ConfigurationAction]:
         """What another voter says that it has accepted and knows to be decided."""
         actions: list[ConfigurationAction] = []
         former = self.others_decided.get(name, 0)
-        if word.decided.number < former and isinstance(word, Beat):
-            why = wrong("decided", word.decided.number, f"{former} and more, as it said before")
+        if word.decided.number < former and isinstance(word, Heartbeat):
+            why = invalid_value("decided", word.decided.number, f"{former} and more, as it said before")
             actions += self._wrong(f"less/{name}", name, why)
         self.others_decided[name] = max(former, word.decided.number)
         actions += self._learn(now_ms, word.decided, name)
@@ -543,22 +549,22 @@
             return []
         self.confirmed_ms, self.current = at_ms, True
         first = self._begin() if self.start_ms < inf else []  # what the disk holds is the newest
-        return [Confirmed(at_ms), *first]
+        return [MajorityConfirmed(at_ms), *first]
 
     # Tallies.
 
-    def tallied(self, now_ms: float, tally: Tally, view: View) -> list[ConfigurationAction]:
+    def tallied(self, now_ms: float, tally: StatusReport, view: View) -> list[ConfigurationAction]:
         """The word of this voter's own relay, or of one that follows it."""
         others = sorted((view.names & view.linked) - {self.name})
         return [*(self._say(name, tally) for name in others), *self._gather(now_ms, tally)]
 
-    def _gather(self, now_ms: float, tally: Tally) -> list[ConfigurationAction]:
+    def _gather(self, now_ms: float, tally: StatusReport) -> list[ConfigurationAction]:
         relay = self.relays.get(tally.relay)
         if relay is not None and tally.life < relay.life:
-            why = wrong("life", tally.life, f"{relay.life} and more, as {tally.relay} said before")
+            why = invalid_value("life", tally.life, f"{relay.life} and more, as {tally.relay} said before")
             return self._wrong(f"life/{tally.relay}", tally.relay, why)
         if relay is None or tally.life > relay.life:
-            if len(self.relays) >= MOST_NAMES:
+            if len(self.relays) >= MAX_NAMES:
                 return []
             followers = relay.followers if relay is not None else {}
             relay = self.relays[tally.relay] = Gathering(tally.life, 0, 0, now_ms, now_ms, False)
@@ -568,7 +574,9 @@
         if tally.sequence <= relay.sequence:
             return []  # late, or by two ways
         if tally.number < relay.number:
-            why = wrong("number", tally.number, f"{relay.number} and more, as {tally.relay} said before")
+            why = invalid_value(
+                "number", tally.number, f"{relay.number} and more, as {tally.relay} said before"
+            )
             return self._wrong(f"number/{tally.relay}", tally.relay, why)
         follows = tally.sequence == relay.sequence + 1 and relay.whole
         relay.heard_ms = now_ms
@@ -587,7 +595,7 @@
         return actions
 
     def _stands(
-        self, now_ms: float, relay: Gathering, by: str, standing: Standing
+        self, now_ms: float, relay: Gathering, by: str, standing: FollowerStatus
     ) -> list[ConfigurationAction]:
         actions: list[ConfigurationAction] = []
         former = relay.followers.get(standing.name)
@@ -596,7 +604,9 @@
             and former.standing.life == standing.life
             and (standing.number < former.standing.number)
         ):
-            why = wrong("number", standing.number, f"{former.standing.number} and more of {standing.name}")
+            why = invalid_value(
+                "number", standing.number, f"{former.standing.number} and more of {standing.name}"
+            )
             return self._wrong(f"standing/{by}/{standing.name}", by, why)
         behind = now_ms - standing.behind_ms if standing.behind_ms else None
         if former is not None and former.behind_ms is not None and behind is not None:
@@ -605,7 +615,7 @@
         if standing.number > self.acknowledged.get(standing.name, 0):
             self.acknowledged.pop(standing.name, None)
             self.acknowledged[standing.name] = standing.number
-            if len(self.acknowledged) > MOST_NAMES:
+            if len(self.acknowledged) > MAX_NAMES:
                 del self.acknowledged[next(iter(self.acknowledged))]
         return actions
 
@@ -667,10 +677,10 @@
     def _beat(self, now_ms: float, view: View) -> list[ConfigurationAction]:
         self.beats += 1
         self.sent[self.beats] = now_ms
-        while len(self.sent) > MOST_BEATS:
+        while len(self.sent) > MAX_HEARTBEATS_OUTSTANDING:
             del self.sent[next(iter(self.sent))]
-        self.beat_ms = now_ms + self.random.uniform(*timeouts.BEAT_MS)
-        beat = Beat(self.beats, view.epoch, view.accepted, self.decided)
+        self.beat_ms = now_ms + self.random.uniform(*timeouts.HEARTBEAT_INTERVAL_MS)
+        beat = Heartbeat(self.beats, view.epoch, view.accepted, self.decided)
         return [self._say(name, beat) for name in sorted((view.names & view.linked) - {self.name})]
 
     def tick(self, now_ms: float, view: View) -> list[ConfigurationAction]:
@@ -693,13 +703,13 @@
 
     def _fetch(self, now_ms: float, view: View) -> list[ConfigurationAction]:
         """Ask for the decided contents: who told of them first, then one after the other."""
-        self.fetch_ms = now_ms + timeouts.FETCH_MS
+        self.fetch_ms = now_ms + timeouts.FETCH_RETRY_INTERVAL_MS
         others = sorted((view.names & view.linked) - {self.name})
         if not others:
             return []
         name = self.fetched if self.fetched in others else others[0]
         self.fetched = others[(others.index(name) + 1) % len(others)]
-        return [self._say(name, Want(self.decided.digest))]
+        return [self._say(name, FetchContents(self.decided.digest))]
 
     def due_ms(self, now_ms: float) -> float:
         """When `tick` is to be called at the latest."""
@@ -712,12 +722,12 @@
                 due = min(due, self.proposal.again_ms)
         return max(due, now_ms + 1.0)
 
-    def _say(self, to: str, word: Word) -> Tell:
-        return Tell(to, _encoder.encode(word))
+    def _say(self, to: str, word: VoterMessage) -> SendToVoter:
+        return SendToVoter(to, _encoder.encode(word))
 
     def _wrong(self, key: str, by: str, why: str) -> list[ConfigurationAction]:
         """One line of the log for each thing that is wrong."""
-        if key in self.noted or len(self.noted) >= MOST_NAMES:
+        if key in self.noted or len(self.noted) >= MAX_NAMES:
             return []
         self.noted |= {key}
         return [Told("configuration_wrong", {"voter": by, "why": why})]
--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -18,42 +18,50 @@
 from grebestack.config_distribution.actions import (
     Apply,
     Close,
-    Confirmed,
-    Dial,
+    Connect,
     FollowerAction,
-    Offer,
-    Say,
+    MajorityConfirmed,
+    PublishVersion,
+    Send,
     Store,
 )
 from grebestack.config_distribution.messages import (
-    FORM,
-    NEVER_MS,
-    Fetch,
-    Full,
-    Greeting,
-    News,
+    NEVER_CONFIRMED_MS,
+    PROTOCOL_VERSION,
+    ConfigUpdate,
+    FetchFullContents,
+    Message,
+    NotModified,
     Poll,
-    Said,
-    Still,
-    Tally,
-    Welcome,
+    StatusReport,
+    Subscribe,
+    SubscribeAccepted,
+    SubscribeRejected,
+    tag_of,
+)
+from grebestack.config_distribution.versions import (
+    NO_VERSION,
+    Version,
+    apply_delta,
+    contents_problem,
+    invalid_value,
+    version_problem,
 )
-from grebestack.config_distribution.versions import NO_VERSION, Version, apply_delta, check, sound, wrong
 from grebestack.consensus.actions import Told
 
-Held = tuple[Version, bytes]
+VersionContents = tuple[Version, bytes]
 PAUSED, DIALLING, GREETING, LINKED = "paused", "dialling", "greeting", "linked"
 STORING, APPLYING = "storing", "applying"
-MOST_WHY = 500  # characters
-BASES = 3  # contents that were told to a relay as held
+MAX_REASON_LENGTH = 500  # characters
+MAX_DELTA_BASES = 3  # contents that were told to a relay as held
 
 
-def region(place: str) -> str:
+def region_of(place: str) -> str:
     """The region of "region/zone"."""
     return place.partition("/")[0]
 
 
-def ordered(name: str, place: str, places: Mapping[str, str]) -> tuple[str, ...]:
+def relay_order(name: str, place: str, places: Mapping[str, str]) -> tuple[str, ...]:
     """Relays as a follower goes to them.
 
     By rendezvous hashing (Thaler and Ravishankar 1998) within its own region; the second one stands in
@@ -63,26 +71,26 @@
     def weight(relay: str) -> bytes:
         return hashlib.sha256(f"{name}\0{relay}".encode()).digest()
 
-    near = sorted((r for r in places if region(places[r]) == region(place)), key=weight)
+    near = sorted((r for r in places if region_of(places[r]) == region_of(place)), key=weight)
     far = sorted(places.keys() - set(near), key=weight)
     if near:
         near = near[:1] + sorted(near[1:], key=lambda relay: places[relay] == places[near[0]])
     return (*near, *far)
 
 
-def settled_for(former: int) -> tuple[float, float]:
+def stale_relay_stay_ms(former: int) -> tuple[float, float]:
     """Between which ms a follower stays with a stale relay, after so many times in a row."""
-    factor = 2.0 ** max(0, former + 1 - timeouts.SETTLED_ALIKE)
-    least, most = timeouts.SETTLED_MS
-    top_least, top_most = timeouts.SETTLED_MOST_MS
+    factor = 2.0 ** max(0, former + 1 - timeouts.STALE_RELAY_STAYS_BEFORE_BACKOFF)
+    least, most = timeouts.STALE_RELAY_STAY_MS
+    top_least, top_most = timeouts.MAX_STALE_RELAY_STAY_MS
     return min(least * factor, top_least), min(most * factor, top_most)
 
 
 class Follower:
-    """Events in, actions out. One link at a time, numbered by `Dial`; a former link's events are passed over.
+    """Events in, actions out. One link at a time, numbered by `Connect`; events of earlier links are ignored.
 
     `places`: of each relay its "region/zone". `relays` says whether this follower is itself a relay (it polls
-    at a quicker pace and gives `Offer` and `Confirmed`). Times are monotonic milliseconds.
+    at a quicker pace and gives `PublishVersion` and `MajorityConfirmed`). Times are monotonic milliseconds.
     """
 
     def __init__(
@@ -97,14 +105,16 @@
     ) -> None:
         self.name, self.fleet, self.place, self.life = name, fleet, place, life
         self.random, self.relays = random, relays
-        self.order = ordered(name, place, places)
+        self.order = relay_order(name, place, places)
         self.version: Version = NO_VERSION  # in force
         self.contents = b""
-        self.disk: tuple[Held, ...] = ()  # at a start, until something is in force; the newest first
+        self.disk: tuple[
+            VersionContents, ...
+        ] = ()  # at a start, until something is in force; the newest first
         self.start_ms = 0.0  # until when the disk waits for a relay's word
-        self.pending: Held | None = None  # being stored or applied
+        self.pending: VersionContents | None = None  # being stored or applied
         self.step = ""
-        self.wanted: Held | None = None  # checked, and waits for `pending`
+        self.wanted: VersionContents | None = None  # checked, and waits for `pending`
         self.bases: dict[str, bytes] = {}  # contents that the relay may base a difference on
         self.refused, self.refused_why = 0, ""
         self.floor = 0  # acknowledged in a former life, as a relay knows
@@ -127,21 +137,21 @@
 
     # Events of the process.
 
-    def start(self, now_ms: float, disk: Sequence[Held] = ()) -> list[FollowerAction]:
+    def start(self, now_ms: float, disk: Sequence[VersionContents] = ()) -> list[FollowerAction]:
         """Started, with what the disk holds (unsorted, each whole; one that does not fit is passed over)."""
         actions: list[FollowerAction] = []
         sound_ones = []
         for version, contents in disk:
-            if why := check(version, contents):
+            if why := contents_problem(version, contents):
                 actions.append(Told("configuration_disk", {"number": version.number, "why": why}))
             else:
                 sound_ones.append((version, contents))
         self.disk = tuple(sorted(sound_ones, key=lambda held: -held[0].number))
         if self.relays and self.disk:
-            actions.append(Offer(*self.disk[0]))
+            actions.append(PublishVersion(*self.disk[0]))
         self.began_ms = now_ms
-        self.start_ms = now_ms + timeouts.START_MS
-        self.again_ms = now_ms + self.random.uniform(*timeouts.PAUSE_MS)
+        self.start_ms = now_ms + timeouts.STARTUP_GRACE_MS
+        self.again_ms = now_ms + self.random.uniform(*timeouts.RECONNECT_BACKOFF_MS)
         return actions + self.tick(now_ms)
 
     def stored(self, now_ms: float, number: int, why: str = "") -> list[FollowerAction]:
@@ -161,7 +171,7 @@
         (version, contents), self.pending, self.step = self.pending, None, ""
         actions: list[FollowerAction] = []
         if why:
-            self.refused, self.refused_why = number, why[:MOST_WHY]
+            self.refused, self.refused_why = number, why[:MAX_REASON_LENGTH]
             actions.append(Told("configuration_refused", {"number": number, "why": why}))
             if number >= self.newer:
                 self.newer = 0
@@ -178,9 +188,9 @@
             actions += self._poll(now_ms)
         return actions + self._begin(now_ms)
 
-    def tallied(self, now_ms: float, tally: Tally) -> list[FollowerAction]:
+    def tallied(self, now_ms: float, tally: StatusReport) -> list[FollowerAction]:
         """This process is a relay: its word on its followers, or one that came from below, goes upstream."""
-        return [Say(self.link, tally)] if self.state == LINKED else []
+        return [Send(self.link, tally)] if self.state == LINKED else []
 
     # Events of the link.
 
@@ -188,9 +198,14 @@
         """The connection that was dialled is up."""
         if link != self.link or self.state != DIALLING:
             return []
-        self.state, self.deadline_ms = GREETING, now_ms + timeouts.GREET_MS
+        self.state, self.deadline_ms = GREETING, now_ms + timeouts.SUBSCRIBE_TIMEOUT_MS
         number, digest = self.version.number, self._base()
-        return [Say(link, Greeting(FORM, self.fleet, self.name, self.life, self.place, number, digest))]
+        return [
+            Send(
+                link,
+                Subscribe(PROTOCOL_VERSION, self.fleet, self.name, self.life, self.place, number, digest),
+            )
+        ]
 
     def lost(self, now_ms: float, link: int, why: str) -> list[FollowerAction]:
         """The connection could not be made, has ended, or carried what is no message (`why` says so)."""
@@ -198,33 +213,37 @@
             return []
         return self._leave(now_ms, why, closed=True)
 
-    def heard(self, now_ms: float, link: int, message: Said) -> list[FollowerAction]:
+    def heard(self, now_ms: float, link: int, message: Message) -> list[FollowerAction]:
         """A message has come."""
         if link != self.link or self.state in (PAUSED, DIALLING):
             return []
         self.heard_ms = now_ms
-        if isinstance(message, Full) and self.state == GREETING:
+        if isinstance(message, SubscribeRejected) and self.state == GREETING:
             return self._leave(now_ms, f"not taken: {message.why}")
-        if isinstance(message, Welcome) and self.state == GREETING:
+        if isinstance(message, SubscribeAccepted) and self.state == GREETING:
             return self._welcome(now_ms, message)
-        if self.state == LINKED and isinstance(message, Still):
+        if self.state == LINKED and isinstance(message, NotModified):
             return self._word(now_ms, message.number, message.confirmed_ms)
-        if self.state == LINKED and isinstance(message, News):
+        if self.state == LINKED and isinstance(message, ConfigUpdate):
             return self._news(now_ms, message)
         allowed = "welcome or full" if self.state == GREETING else "news or still"
-        return self._spoilt(now_ms, wrong("message", type(message).__name__.lower(), allowed))
+        return self._spoilt(now_ms, invalid_value("message", tag_of(message), allowed))
 
-    def _welcome(self, now_ms: float, message: Welcome) -> list[FollowerAction]:
+    def _welcome(self, now_ms: float, message: SubscribeAccepted) -> list[FollowerAction]:
         for field, value, allowed in (
-            ("form", message.form, FORM),
+            ("form", message.form, PROTOCOL_VERSION),
             ("fleet", message.fleet, self.fleet),
             ("relay", message.relay, self.relay),
         ):
             if value != allowed:
-                return self._spoilt(now_ms, wrong(field, value, repr(allowed)))
+                return self._spoilt(now_ms, invalid_value(field, value, repr(allowed)))
         self.floor = max(self.floor, message.floor)
-        self.state, self.deadline_ms, self.newer = LINKED, now_ms + timeouts.ANSWER_MS, 0
-        self.home_ms = inf if self.relay == self.order[0] else now_ms + self.random.uniform(*timeouts.HOME_MS)
+        self.state, self.deadline_ms, self.newer = LINKED, now_ms + timeouts.RESPONSE_TIMEOUT_MS, 0
+        self.home_ms = (
+            inf
+            if self.relay == self.order[0]
+            else now_ms + self.random.uniform(*timeouts.PREFERRED_RELAY_RETRY_MS)
+        )
         return [Told("configuration_linked", {"relay": self.relay}, detail=True)]
 
     def _word(self, now_ms: float, number: int, confirmed_ms: int) -> list[FollowerAction]:
@@ -232,22 +251,22 @@
         actions: list[FollowerAction] = []
         if number < 0 or confirmed_ms < 0:
             field, value = ("number", number) if number < 0 else ("confirmed_ms", confirmed_ms)
-            return self._spoilt(now_ms, wrong(field, value, "0 and more"))
+            return self._spoilt(now_ms, invalid_value(field, value, "0 and more"))
         self.deadline_ms = inf
-        confirmed_ms = min(confirmed_ms, NEVER_MS)
+        confirmed_ms = min(confirmed_ms, NEVER_CONFIRMED_MS)
         if number < (former := self.told.get(self.relay, 0)):
             self.poll_ms = now_ms + self._pace()
-            why = wrong("number", number, f"{former} and more, as it said before")
+            why = invalid_value("number", number, f"{former} and more, as it said before")
             noted = self._note(f"less/{self.relay}", why)
-            return [*noted, *self._judge(now_ms, NEVER_MS, "it says less than before")]
+            return [*noted, *self._judge(now_ms, NEVER_CONFIRMED_MS, "it says less than before")]
         self.told[self.relay] = number
         self.newer = number if number > max(self._top(), self.refused) else 0
         at_ms = now_ms - confirmed_ms
-        known = confirmed_ms < NEVER_MS and number >= self.version.number
+        known = confirmed_ms < NEVER_CONFIRMED_MS and number >= self.version.number
         if known and (self.confirmed_ms is None or at_ms > self.confirmed_ms):
             self.confirmed_ms = at_ms
             if self.relays and not self.newer:
-                actions.append(Confirmed(self.confirmed_ms))
+                actions.append(MajorityConfirmed(self.confirmed_ms))
         self.poll_ms = now_ms + self._pace()
         if self.disk and self.disk[0][0].number >= number:
             actions += self._from_disk()
@@ -255,7 +274,7 @@
 
     def _judge(self, now_ms: float, confirmed_ms: int, why: str = "") -> list[FollowerAction]:
         """Whether the relay is good enough to stay with; `why` it is not, if that is another reason."""
-        if confirmed_ms <= timeouts.STALE_MS:
+        if confirmed_ms <= timeouts.STALE_RELAY_MS:
             self.tried, self.tries, self.settled_ms, self.again_round = frozenset(), 0, 0.0, False
             self.settlings = 0
             return []
@@ -267,32 +286,34 @@
         if self.tried | {self.relay} >= set(self.order) and not self.again_round:
             self.tried, self.again_round = frozenset(), True  # one that failed may have been well
         if self.tried | {self.relay} >= set(self.order):
-            self.settled_ms = now_ms + self.random.uniform(*settled_for(self.settlings))
+            self.settled_ms = now_ms + self.random.uniform(*stale_relay_stay_ms(self.settlings))
             self.settlings = min(self.settlings + 1, 10)
             self.poll_ms = min(self.poll_ms, self.settled_ms)
             return []
         never = "it has never known a majority"
         long = f"it has known nothing of a majority for {confirmed_ms / 1000.0:.0f} s"
-        return self._leave(now_ms, why or (never if confirmed_ms >= NEVER_MS else long))
+        return self._leave(now_ms, why or (never if confirmed_ms >= NEVER_CONFIRMED_MS else long))
 
-    def _news(self, now_ms: float, news: News) -> list[FollowerAction]:
+    def _news(self, now_ms: float, news: ConfigUpdate) -> list[FollowerAction]:
         version = news.version
-        if why := sound(version):
+        if why := version_problem(version):
             return self._spoilt(now_ms, why)
         number, former = version.number, self.told.get(self.relay, 0)
         top = self._top()
         if number == self.version.number and version.digest != self.version.digest:
-            why = wrong("digest", version.digest, f"{self.version.digest} in version {number}")
+            why = invalid_value("digest", version.digest, f"{self.version.digest} in version {number}")
             return self._spoilt(now_ms, why)
         on_disk = bool(self.disk) and self.disk[0][0] == version
         if number <= top or number == self.refused or number < max(self.floor, former) or on_disk:
             actions = []
             if number < self.floor and number > top:
-                why = wrong("number", number, f"{self.floor} and more, which this follower had acknowledged")
+                why = invalid_value(
+                    "number", number, f"{self.floor} and more, which this follower had acknowledged"
+                )
                 actions = self._note(f"floor/{self.relay}", why)
             return actions + self._word(now_ms, number, news.confirmed_ms)
         if news.contents is not None:
-            if why := check(version, news.contents):
+            if why := contents_problem(version, news.contents):
                 return self._spoilt(now_ms, why)
             contents = news.contents
         elif news.delta is not None:
@@ -301,13 +322,13 @@
             except ValueError as error:
                 said = self._word(now_ms, number, news.confirmed_ms)
                 if self.state == LINKED:
-                    self.deadline_ms = now_ms + timeouts.ANSWER_MS
-                    said.append(Say(self.link, Fetch(number)))
+                    self.deadline_ms = now_ms + timeouts.RESPONSE_TIMEOUT_MS
+                    said.append(Send(self.link, FetchFullContents(number)))
                 return [*self._wrong(str(error)), *said]
         else:
-            return self._spoilt(now_ms, wrong("contents", None, "whole or by difference"))
+            return self._spoilt(now_ms, invalid_value("contents", None, "whole or by difference"))
         self.wanted = version, contents
-        offer: list[FollowerAction] = [Offer(version, contents)] if self.relays else []
+        offer: list[FollowerAction] = [PublishVersion(version, contents)] if self.relays else []
         begun = self._begin(now_ms)
         return [*offer, *begun, *self._word(now_ms, number, news.confirmed_ms)]
 
@@ -327,7 +348,7 @@
         if version.digest:
             self.bases.pop(version.digest, None)
             self.bases[version.digest] = contents
-            while len(self.bases) > BASES:
+            while len(self.bases) > MAX_DELTA_BASES:
                 del self.bases[next(iter(self.bases))]
         return version.digest
 
@@ -347,7 +368,7 @@
             return []
         number = self.disk[0][0].number
         if number < self.floor:
-            why = wrong("number", number, f"{self.floor} and more, which was acknowledged before")
+            why = invalid_value("number", number, f"{self.floor} and more, which was acknowledged before")
             return self._note("old disk", why)
         self.pending, self.disk, self.step = self.disk[0], self.disk[1:], APPLYING
         return [Apply(*self.pending)]
@@ -355,11 +376,13 @@
     # The link.
 
     def _pace(self) -> float:
-        return self.random.uniform(*(timeouts.SOON_MS if self.newer or self.relays else timeouts.POLL_MS))
+        return self.random.uniform(
+            *(timeouts.FAST_POLL_INTERVAL_MS if self.newer or self.relays else timeouts.POLL_INTERVAL_MS)
+        )
 
     def _poll(self, now_ms: float) -> list[FollowerAction]:
-        self.deadline_ms, self.poll_ms = min(self.deadline_ms, now_ms + timeouts.ANSWER_MS), inf
-        return [Say(self.link, Poll(self.version.number, self._base(), self.refused, self.refused_why))]
+        self.deadline_ms, self.poll_ms = min(self.deadline_ms, now_ms + timeouts.RESPONSE_TIMEOUT_MS), inf
+        return [Send(self.link, Poll(self.version.number, self._base(), self.refused, self.refused_why))]
 
     def _next(self) -> str:
         """The first relay that has not been tried since one was good; after a round from the first again."""
@@ -371,7 +394,7 @@
     def _dial(self) -> list[FollowerAction]:
         self.relay, self.state = self._next(), DIALLING
         self.link += 1
-        return [Dial(self.link, self.relay)]
+        return [Connect(self.link, self.relay)]
 
     def _leave(self, now_ms: float, why: str, closed: bool = False) -> list[FollowerAction]:
         """The relay is no good: another one after a pause."""
@@ -379,8 +402,10 @@
         told = Told("configuration_link_ended", kv, detail=self.state != LINKED)
         actions: list[FollowerAction] = [told] if closed else [told, Close(self.link, why)]
         self.tried |= {self.relay}
-        most = min(timeouts.PAUSE_MS[1] * 2.0 ** min(self.tries, 10), timeouts.PAUSE_MOST_MS)
-        self.again_ms = now_ms + self.random.uniform(timeouts.PAUSE_MS[0], most)
+        most = min(
+            timeouts.RECONNECT_BACKOFF_MS[1] * 2.0 ** min(self.tries, 10), timeouts.MAX_RECONNECT_BACKOFF_MS
+        )
+        self.again_ms = now_ms + self.random.uniform(timeouts.RECONNECT_BACKOFF_MS[0], most)
         self.tries += 1
         self.state, self.deadline_ms, self.poll_ms, self.home_ms = PAUSED, inf, inf, inf
         self.newer = 0
@@ -407,18 +432,20 @@
         if self.disk and now_ms >= self.start_ms:
             actions += self._from_disk()
         if now_ms >= self.deadline_ms:
-            if now_ms - self.deadline_ms > timeouts.LATE_MS:  # it stood still: the answer may be here, unread
-                self.deadline_ms = now_ms + timeouts.LATE_MS
+            if (
+                now_ms - self.deadline_ms > timeouts.STALL_THRESHOLD_MS
+            ):  # it stood still: the answer may be here, unread
+                self.deadline_ms = now_ms + timeouts.STALL_THRESHOLD_MS
             else:
                 return actions + self._leave(
                     now_ms,
                     {
-                        DIALLING: f"no connection within {timeouts.DIAL_MS / 1000.0:g} s",
-                        GREETING: f"no welcome within {timeouts.GREET_MS / 1000.0:g} s",
-                    }.get(self.state, f"no answer within {timeouts.ANSWER_MS / 1000.0:g} s"),
+                        DIALLING: f"no connection within {timeouts.CONNECT_TIMEOUT_MS / 1000.0:g} s",
+                        GREETING: f"no welcome within {timeouts.SUBSCRIBE_TIMEOUT_MS / 1000.0:g} s",
+                    }.get(self.state, f"no answer within {timeouts.RESPONSE_TIMEOUT_MS / 1000.0:g} s"),
                 )
         if self.state == PAUSED and now_ms >= self.again_ms and self.order:
-            self.deadline_ms = now_ms + timeouts.DIAL_MS
+            self.deadline_ms = now_ms + timeouts.CONNECT_TIMEOUT_MS
             actions += self._dial()
         elif self.state == LINKED and now_ms >= self.home_ms and not self.newer and not self.settled_ms:
             actions += self._leave(now_ms, "back to its first relay")
--- a/grebestack/config_distribution/messages.py
+++ b/grebestack/config_distribution/messages.py
@@ -1,20 +1,20 @@
 """What followers and relays say to each other: one internal form, by msgspec, apart from the voters'. Pure.
 
-One connection carries one follower, or a relay that itself follows. The follower speaks first (`Greeting`).
+One connection carries one follower, or a relay that itself follows. The follower speaks first (`Subscribe`).
 """
 
 from __future__ import annotations
 
 from msgspec import Struct, msgpack
 
-from grebestack.config_distribution.versions import MOST_CONTENTS, Delta, Version
+from grebestack.config_distribution.versions import MAX_CONTENTS_BYTES, Delta, Version
 
-FORM = 1
-MOST = MOST_CONTENTS + 64 * 1024  # bytes of a message, its length not counted
-NEVER_MS = 1 << 40  # `confirmed_ms` of a relay that never knew
+PROTOCOL_VERSION = 1
+MAX_MESSAGE_BYTES = MAX_CONTENTS_BYTES + 64 * 1024  # bytes of a message, its length not counted
+NEVER_CONFIRMED_MS = 1 << 40  # `confirmed_ms` of a relay that never knew
 
 
-class Greeting(Struct, frozen=True, array_like=True, tag="greeting"):
+class Subscribe(Struct, frozen=True, array_like=True, tag="greeting"):
     """The follower's first message: who it is and what it has in force."""
 
     form: int
@@ -26,8 +26,8 @@
     digest: str
 
 
-class Welcome(Struct, frozen=True, array_like=True, tag="welcome"):
-    """The relay's first message: taken. `News` or `Still` follows at once."""
+class SubscribeAccepted(Struct, frozen=True, array_like=True, tag="welcome"):
+    """The relay's first message: taken. `ConfigUpdate` or `NotModified` follows at once."""
 
     form: int
     fleet: str
@@ -36,13 +36,13 @@
     floor: int = 0  # the highest number that this follower is known to have acknowledged, in any life
 
 
-class Full(Struct, frozen=True, array_like=True, tag="full"):
+class SubscribeRejected(Struct, frozen=True, array_like=True, tag="full"):
     """The relay's first message: not taken, go to another."""
 
     why: str
 
 
-class News(Struct, frozen=True, array_like=True, tag="news"):
+class ConfigUpdate(Struct, frozen=True, array_like=True, tag="news"):
     """A decided version with its contents, whole or by difference."""
 
     version: Version
@@ -60,20 +60,20 @@
     why: str = ""
 
 
-class Still(Struct, frozen=True, array_like=True, tag="still"):
+class NotModified(Struct, frozen=True, array_like=True, tag="still"):
     """The newest number the relay has, and how long ago a majority of voters knew no newer one."""
 
     number: int
     confirmed_ms: int
 
 
-class Fetch(Struct, frozen=True, array_like=True, tag="fetch"):
+class FetchFullContents(Struct, frozen=True, array_like=True, tag="fetch"):
     """The whole contents are wanted: a difference did not fit."""
 
     number: int
 
 
-class Standing(Struct, frozen=True, array_like=True):
+class FollowerStatus(Struct, frozen=True, array_like=True):
     """What a relay knows of one follower."""
 
     name: str
@@ -86,7 +86,7 @@
     why: str = ""
 
 
-class Tally(Struct, frozen=True, array_like=True, tag="tally"):
+class StatusReport(Struct, frozen=True, array_like=True, tag="tally"):
     """A relay's word on its followers, upstream to the voters."""
 
     relay: str
@@ -94,19 +94,33 @@
     sequence: int
     whole: bool  # else: what has changed since the one before
     number: int  # the newest the relay has
-    standings: tuple[Standing, ...]
-
-
-Said = Greeting | Welcome | Full | News | Poll | Still | Fetch | Tally
+    standings: tuple[FollowerStatus, ...]
+
+
+Message = (
+    Subscribe
+    | SubscribeAccepted
+    | SubscribeRejected
+    | ConfigUpdate
+    | Poll
+    | NotModified
+    | FetchFullContents
+    | StatusReport
+)
 _encoder = msgpack.Encoder()
-_said = msgpack.Decoder(Said)
+_said = msgpack.Decoder(Message)
 
 
-def encode(item: Said) -> bytes:
+def encode(item: Message) -> bytes:
     """A message as bytes."""
     return _encoder.encode(item)
 
 
-def decode(data: bytes) -> Said:
+def decode(data: bytes) -> Message:
     """Read a message; msgspec.DecodeError or ValidationError where it is none."""
     return _said.decode(data)
+
+
+def tag_of(message: Message) -> str:
+    """The tag that names a message on the wire."""
+    return str(message.__struct_config__.tag)
--- a/grebestack/config_distribution/relay.py
+++ b/grebestack/config_distribution/relay.py
@@ -12,44 +12,45 @@
 from random import Random
 
 from grebestack.config_distribution import timeouts
-from grebestack.config_distribution.actions import Close, Gathered, RelayAction, Say
+from grebestack.config_distribution.actions import Close, RelayAction, Send, StatusReceived
 from grebestack.config_distribution.messages import (
-    FORM,
-    NEVER_MS,
-    Fetch,
-    Full,
-    Greeting,
-    News,
+    NEVER_CONFIRMED_MS,
+    PROTOCOL_VERSION,
+    ConfigUpdate,
+    FetchFullContents,
+    FollowerStatus,
+    Message,
+    NotModified,
     Poll,
-    Said,
-    Standing,
-    Still,
-    Tally,
-    Welcome,
+    StatusReport,
+    Subscribe,
+    SubscribeAccepted,
+    SubscribeRejected,
+    tag_of,
 )
 from grebestack.config_distribution.versions import (
-    DIGEST,
+    DIGEST_HEX_DIGITS,
     NO_VERSION,
     Delta,
     Version,
-    check,
+    contents_problem,
     delta_between,
-    wrong,
+    invalid_value,
 )
 from grebestack.consensus.actions import Told
 
-MOST_FOLLOWERS = 2048
-MOST_NAME = 128
-MOST_WHY = 500
-FORMER = 16  # contents of so many former versions are kept for differences
-FORMER_BYTES = 4 * 1024 * 1024
-SMALL = 4096  # bytes that go at once
-SPARE_MS = 500.0  # the same News goes to all that ask within this
-MOST_STANDINGS = 65_536
+MAX_FOLLOWERS = 2048
+MAX_NAME_LENGTH = 128
+MAX_REASON_LENGTH = 500
+MAX_FORMER_CONTENTS = 16  # contents of so many former versions are kept for differences
+MAX_FORMER_CONTENTS_BYTES = 4 * 1024 * 1024
+UNTHROTTLED_BYTES = 4096  # bytes that go at once
+UPDATE_REUSE_MS = 500.0  # the same News goes to all that ask within this
+MAX_STATUSES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class FollowerState:
     """One follower, as it said last."""
 
     name: str
@@ -77,7 +78,7 @@
         fleet: str,
         life: int,
         random: Random,
-        most: int = MOST_FOLLOWERS,
+        most: int = MAX_FOLLOWERS,
         floor: Callable[[str], int] = lambda name: 0,
     ) -> None:
         self.name, self.fleet, self.life, self.most = name, fleet, life, most
@@ -85,15 +86,15 @@
         self.version: Version = NO_VERSION
         self.contents = b""
         self.confirmed_ms: float | None = None
-        self.seats: dict[int, Seat] = {}
+        self.seats: dict[int, FollowerState] = {}
         self.links: dict[str, int] = {}  # by name
-        self.gone: dict[str, Seat] = {}  # not linked any more, the one that left last at the end
+        self.gone: dict[str, FollowerState] = {}  # not linked any more, the one that left last at the end
         self.former: dict[str, bytes] = {}  # contents by digest, the newest last
         self.deltas: dict[str, Delta] = {}  # to the present version, by base
-        self.news: dict[str, tuple[float, News]] = {}  # made lately, by base; "" for whole
+        self.news: dict[str, tuple[float, ConfigUpdate]] = {}  # made lately, by base; "" for whole
         self.queue: dict[int, None] = {}  # links that wait for their turn, in order
         self.bytes, self.bytes_ms = (
-            float(timeouts.WHOLE_BYTES_S),
+            float(timeouts.FULL_CONTENTS_BYTES_PER_S),
             0.0,
         )  # the bucket, and when it was looked at
         self.changed: set[str] = set()  # names, since the last tally
@@ -106,7 +107,7 @@
 
     def offer(self, now_ms: float, version: Version, contents: bytes) -> list[RelayAction]:
         """A decided version, checked: pushed at once if it is newer."""
-        if why := check(version, contents):
+        if why := contents_problem(version, contents):
             return [Told("configuration_wrong", {"relay": self.name, "why": why})]
         if version.number <= self.version.number:
             return []
@@ -114,8 +115,8 @@
         self.deltas, self.news = {}, {}
         self.former.pop(version.digest, None)
         self.former[version.digest] = contents
-        while len(self.former) > FORMER or (
-            len(self.former) > 1 and sum(map(len, self.former.values())) > FORMER_BYTES
+        while len(self.former) > MAX_FORMER_CONTENTS or (
+            len(self.former) > 1 and sum(map(len, self.former.values())) > MAX_FORMER_CONTENTS_BYTES
         ):
             del self.former[next(iter(self.former))]
         actions: list[RelayAction] = []
@@ -134,24 +135,24 @@
 
     def _age(self, now_ms: float) -> int:
         if self.confirmed_ms is None:
-            return NEVER_MS
+            return NEVER_CONFIRMED_MS
         return max(0, int(now_ms - self.confirmed_ms))
 
-    def _still(self, now_ms: float, link: int) -> Say:
-        return Say(link, Still(self.version.number, self._age(now_ms)))
+    def _still(self, now_ms: float, link: int) -> Send:
+        return Send(link, NotModified(self.version.number, self._age(now_ms)))
 
-    def _made(self, now_ms: float, base: str) -> News:
+    def _made(self, now_ms: float, base: str) -> ConfigUpdate:
         """By difference from `base` if its contents are here, else whole; one object for all for a while."""
         base = base if base in self.former else ""
         made = self.news.get(base)
-        if made is not None and now_ms - made[0] < SPARE_MS:
+        if made is not None and now_ms - made[0] < UPDATE_REUSE_MS:
             return made[1]
         delta = None
         if base:
             delta = self.deltas.get(base)
             if delta is None:
                 delta = self.deltas[base] = delta_between(self.former[base], self.contents)
-        news = News(self.version, self._age(now_ms), delta, None if base else self.contents)
+        news = ConfigUpdate(self.version, self._age(now_ms), delta, None if base else self.contents)
         self.news[base] = now_ms, news
         return news
 
@@ -161,19 +162,22 @@
         if seat.refused == self.version.number or seat.number >= self.version.number:
             return []
         news = self._made(now_ms, seat.digest)
-        if _cost(news) > SMALL:
+        if _cost(news) > UNTHROTTLED_BYTES:
             self.queue.setdefault(link)
             return self._serve(now_ms)
         return [self._sent(now_ms, link, news)]
 
-    def _sent(self, now_ms: float, link: int, news: News) -> Say:
+    def _sent(self, now_ms: float, link: int, news: ConfigUpdate) -> Send:
         self.seats[link] = replace(self.seats[link], sent=self.version.number, sent_ms=now_ms)
-        return Say(link, news)
+        return Send(link, news)
 
     def _serve(self, now_ms: float) -> list[RelayAction]:
         """Those whose turn it is."""
-        grown = self.bytes + (now_ms - self.bytes_ms) * timeouts.WHOLE_BYTES_S / 1000.0
-        self.bytes, self.bytes_ms = min(grown, timeouts.WHOLE_BYTES_S * timeouts.BURST_MS / 1000.0), now_ms
+        grown = self.bytes + (now_ms - self.bytes_ms) * timeouts.FULL_CONTENTS_BYTES_PER_S / 1000.0
+        self.bytes, self.bytes_ms = (
+            min(grown, timeouts.FULL_CONTENTS_BYTES_PER_S * timeouts.FULL_CONTENTS_BURST_MS / 1000.0),
+            now_ms,
+        )
         actions: list[RelayAction] = []
         while self.queue and self.bytes > 0.0:
             link = next(iter(self.queue))
@@ -188,39 +192,41 @@
 
     # Followers.
 
-    def heard(self, now_ms: float, link: int, message: Said) -> list[RelayAction]:
-        """A message has come; the first over a link must be a `Greeting`."""
+    def heard(self, now_ms: float, link: int, message: Message) -> list[RelayAction]:
+        """A message has come; the first over a link must be a `Subscribe`."""
         seat = self.seats.get(link)
         if seat is None:
-            if isinstance(message, Greeting):
+            if isinstance(message, Subscribe):
                 return self._greeted(now_ms, link, message)
-            why = wrong("message", type(message).__name__.lower(), "greeting first")
+            why = invalid_value("message", tag_of(message), "greeting first")
             return self._spoilt(link, "", why)
         self.seats[link] = seat = replace(seat, heard_ms=now_ms)
         if isinstance(message, Poll):
             return self._polled(now_ms, link, seat, message)
-        if isinstance(message, Fetch):
+        if isinstance(message, FetchFullContents):
             self.seats[link] = replace(seat, digest="")
             return self._answer(now_ms, link)
-        if isinstance(message, Tally):
-            if len(message.standings) > MOST_STANDINGS:
-                why = wrong("standings", len(message.standings), f"up to {MOST_STANDINGS}")
+        if isinstance(message, StatusReport):
+            if len(message.standings) > MAX_STATUSES:
+                why = invalid_value("standings", len(message.standings), f"up to {MAX_STATUSES}")
                 return self._drop(now_ms, link, why)
-            return [Gathered(message)]
-        why = wrong("message", type(message).__name__.lower(), "poll, fetch or tally")
+            return [StatusReceived(message)]
+        why = invalid_value("message", tag_of(message), "poll, fetch or tally")
         return self._drop(now_ms, link, why)
 
-    def _greeted(self, now_ms: float, link: int, greeting: Greeting) -> list[RelayAction]:
+    def _greeted(self, now_ms: float, link: int, greeting: Subscribe) -> list[RelayAction]:
         name = greeting.name
         if why := self._why_not(greeting):
             return self._spoilt(link, name, why)
         other = self.links.get(name)
         known = self.seats[other] if other is not None else self.gone.get(name)
-        recent = known is not None and now_ms - known.heard_ms < timeouts.OVERDUE_MS
+        recent = known is not None and now_ms - known.heard_ms < timeouts.FOLLOWER_OVERDUE_MS
         if known is not None and recent and known.life > greeting.life:
-            why = wrong("life", greeting.life, f"{known.life} and more: a later start of {name} has come")
+            why = invalid_value(
+                "life", greeting.life, f"{known.life} and more: a later start of {name} has come"
+            )
             noted = self._note(f"twice/{name}/{greeting.life}", name, why)
-            return [*noted, Say(link, Full(why)), Close(link, why)]
+            return [*noted, Send(link, SubscribeRejected(why)), Close(link, why)]
         actions: list[RelayAction] = []
         if other is not None:
             self._leave(now_ms, other)
@@ -228,34 +234,36 @@
         if len(self.seats) >= self.most:
             why = f"{len(self.seats)} followers; allowed: {self.most}"
             actions += self._note("full", name, why)
-            return [*actions, Say(link, Full(why)), Close(link, why)]
+            return [*actions, Send(link, SubscribeRejected(why)), Close(link, why)]
         self.gone.pop(name, None)
         behind = now_ms if greeting.number < self.version.number else None
-        self.seats[link] = Seat(name, greeting.life, greeting.number, greeting.digest, now_ms, behind)
+        self.seats[link] = FollowerState(
+            name, greeting.life, greeting.number, greeting.digest, now_ms, behind
+        )
         self.links[name] = link
         self.changed.add(name)
         floor = max(self.floor(name), known.number if known is not None else 0)
-        welcome = Welcome(FORM, self.fleet, self.name, self.most, floor)
-        return [*actions, Say(link, welcome), *self._answer(now_ms, link)]
+        welcome = SubscribeAccepted(PROTOCOL_VERSION, self.fleet, self.name, self.most, floor)
+        return [*actions, Send(link, welcome), *self._answer(now_ms, link)]
 
-    def _why_not(self, greeting: Greeting) -> str:
+    def _why_not(self, greeting: Subscribe) -> str:
         name = greeting.name
-        if greeting.form != FORM:
-            return wrong("form", greeting.form, FORM)
+        if greeting.form != PROTOCOL_VERSION:
+            return invalid_value("form", greeting.form, PROTOCOL_VERSION)
         if greeting.fleet != self.fleet:
-            return wrong("fleet", greeting.fleet, repr(self.fleet))
-        if not 0 < len(name) <= MOST_NAME or not name.isprintable() or " " in name:
-            return wrong("name", name, f"1 to {MOST_NAME} printable characters without spaces")
+            return invalid_value("fleet", greeting.fleet, repr(self.fleet))
+        if not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable() or " " in name:
+            return invalid_value("name", name, f"1 to {MAX_NAME_LENGTH} printable characters without spaces")
         if greeting.life < 0:
-            return wrong("life", greeting.life, "0 and more")
+            return invalid_value("life", greeting.life, "0 and more")
         return _held_wrong(greeting.number, greeting.digest)
 
-    def _polled(self, now_ms: float, link: int, seat: Seat, poll: Poll) -> list[RelayAction]:
+    def _polled(self, now_ms: float, link: int, seat: FollowerState, poll: Poll) -> list[RelayAction]:
         if why := _held_wrong(poll.number, poll.digest):
             return self._drop(now_ms, link, why)
         actions: list[RelayAction] = []
         if poll.number < seat.number:
-            why = wrong("number", poll.number, f"{seat.number} and more, as {seat.name} said before")
+            why = invalid_value("number", poll.number, f"{seat.number} and more, as {seat.name} said before")
             actions += self._note(f"less/{seat.name}", seat.name, why)
         if (poll.number, poll.refused, poll.why) != (seat.number, seat.refused, seat.why):
             self.changed.add(seat.name)
@@ -270,17 +278,17 @@
             number=poll.number,
             digest=poll.digest,
             refused=poll.refused,
-            why=poll.why[:MOST_WHY],
+            why=poll.why[:MAX_REASON_LENGTH],
             behind_ms=behind,
         )
-        if seat.sent == self.version.number and now_ms - seat.sent_ms < timeouts.RESEND_MS:
+        if seat.sent == self.version.number and now_ms - seat.sent_ms < timeouts.RESEND_INTERVAL_MS:
             return [*actions, self._still(now_ms, link)]  # it may still be on its way
         return actions + self._answer(now_ms, link)
 
     def _answer(self, now_ms: float, link: int) -> list[RelayAction]:
         """The newest if it is newer and may go now; else that there is none, or that it will come."""
         pushed = self._push(now_ms, link)
-        if any(isinstance(action, Say) and action.link == link for action in pushed):
+        if any(isinstance(action, Send) and action.link == link for action in pushed):
             return pushed
         return [*pushed, self._still(now_ms, link)]
 
@@ -291,7 +299,7 @@
             return []
         return [Told("configuration_follower_lost", {"follower": seat.name, "why": why}, detail=True)]
 
-    def _leave(self, now_ms: float, link: int) -> Seat | None:
+    def _leave(self, now_ms: float, link: int) -> FollowerState | None:
         seat = self.seats.pop(link, None)
         if seat is not None:
             self.links.pop(seat.name, None)
@@ -307,20 +315,25 @@
         return self._spoilt(link, seat.name if seat is not None else "", why)
 
     def _spoilt(self, link: int, name: str, why: str) -> list[RelayAction]:
-        return [Told("configuration_wrong", {"follower": name[:MOST_NAME], "why": why}), Close(link, why)]
+        return [
+            Told("configuration_wrong", {"follower": name[:MAX_NAME_LENGTH], "why": why}),
+            Close(link, why),
+        ]
 
     def _note(self, key: str, name: str, why: str) -> list[RelayAction]:
         if key in self.noted:
             return []
-        self.noted = (self.noted if len(self.noted) < MOST_STANDINGS else frozenset()) | {key}
+        self.noted = (self.noted if len(self.noted) < MAX_STATUSES else frozenset()) | {key}
         return [Told("configuration_wrong", {"follower": name, "why": why})]
 
     # Time.
 
-    def _standing(self, now_ms: float, seat: Seat) -> Standing:
+    def _standing(self, now_ms: float, seat: FollowerState) -> FollowerStatus:
         behind = 0 if seat.behind_ms is None else max(1, int(now_ms - seat.behind_ms))
         heard = max(0, int(now_ms - seat.heard_ms))
-        return Standing(seat.name, seat.life, seat.number, heard, seat.linked, behind, seat.refused, seat.why)
+        return FollowerStatus(
+            seat.name, seat.life, seat.number, heard, seat.linked, behind, seat.refused, seat.why
+        )
 
     def _tally(self, now_ms: float) -> list[RelayAction]:
         whole = now_ms >= self.whole_ms
@@ -330,10 +343,14 @@
         standings = tuple(self._standing(now_ms, s) for s in seats if whole or s.name in self.changed)
         self.sequence += 1
         self.changed, self.number_told = set(), self.version.number
-        self.tally_ms = now_ms + self.random.uniform(*timeouts.TALLY_MS)
+        self.tally_ms = now_ms + self.random.uniform(*timeouts.STATUS_REPORT_INTERVAL_MS)
         if whole:
-            self.whole_ms = now_ms + self.random.uniform(*timeouts.TALLY_WHOLE_MS)
-        return [Gathered(Tally(self.name, self.life, self.sequence, whole, self.version.number, standings))]
+            self.whole_ms = now_ms + self.random.uniform(*timeouts.FULL_STATUS_REPORT_INTERVAL_MS)
+        return [
+            StatusReceived(
+                StatusReport(self.name, self.life, self.sequence, whole, self.version.number, standings)
+            )
+        ]
 
     def _unsaid(self) -> bool:
         return bool(self.changed) or self.number_told != self.version.number
@@ -348,17 +365,17 @@
     def _scan(self, now_ms: float) -> list[RelayAction]:
         """Those that have not been heard for long, connected or not."""
         actions: list[RelayAction] = []
-        late_ms, self.scan_ms = now_ms - self.scan_ms, now_ms + timeouts.SCAN_MS
-        if late_ms > timeouts.SCAN_MS:  # it stood still: what they said may be here, unread
+        late_ms, self.scan_ms = now_ms - self.scan_ms, now_ms + timeouts.OVERDUE_SCAN_INTERVAL_MS
+        if late_ms > timeouts.OVERDUE_SCAN_INTERVAL_MS:  # it stood still: what they said may be here, unread
             return []
-        why = f"not heard for {timeouts.OVERDUE_MS / 1000.0:g} s"
+        why = f"not heard for {timeouts.FOLLOWER_OVERDUE_MS / 1000.0:g} s"
         for link, seat in list(self.seats.items()):
-            if now_ms - seat.heard_ms >= timeouts.OVERDUE_MS:
+            if now_ms - seat.heard_ms >= timeouts.FOLLOWER_OVERDUE_MS:
                 self._leave(now_ms, link)
                 told = Told("configuration_follower_lost", {"follower": seat.name, "why": why})
                 actions += [told, Close(link, why)]
         for name, seat in list(self.gone.items()):
-            if now_ms - seat.heard_ms >= timeouts.FORGET_MS:
+            if now_ms - seat.heard_ms >= timeouts.FORGET_FOLLOWER_MS:
                 del self.gone[name]
         return actions
 
@@ -368,7 +385,7 @@
         if self._unsaid():
             due = min(due, self.tally_ms)
         if self.queue:
-            due = min(due, now_ms + max(1.0, -self.bytes * 1000.0 / timeouts.WHOLE_BYTES_S + 1.0))
+            due = min(due, now_ms + max(1.0, -self.bytes * 1000.0 / timeouts.FULL_CONTENTS_BYTES_PER_S + 1.0))
         return max(due, now_ms + 1.0)
 
     def shown(self, now_ms: float) -> str:
@@ -380,14 +397,14 @@
         return text
 
 
-def _cost(news: News) -> int:
+def _cost(news: ConfigUpdate) -> int:
     """Bytes, but for a few."""
     return len(news.contents or b"") + (len(news.delta.middle) if news.delta is not None else 0)
 
 
 def _held_wrong(number: int, digest: str) -> str:
     if number < 0:
-        return wrong("number", number, "0 and more")
-    if digest and (len(digest) != DIGEST or set(digest) - set("0123456789abcdef")):
-        return wrong("digest", digest, f"{DIGEST} hexadecimal digits")
+        return invalid_value("number", number, "0 and more")
+    if digest and (len(digest) != DIGEST_HEX_DIGITS or set(digest) - set("0123456789abcdef")):
+        return invalid_value("digest", digest, f"{DIGEST_HEX_DIGITS} hexadecimal digits")
     return ""
--- a/grebestack/config_distribution/versions.py
+++ b/grebestack/config_distribution/versions.py
@@ -11,8 +11,8 @@
 
 from msgspec import Struct
 
-MOST_CONTENTS = 512 * 1024  # bytes of a version's contents
-DIGEST = 64  # hexadecimal digits
+MAX_CONTENTS_BYTES = 512 * 1024  # bytes of a version's contents
+DIGEST_HEX_DIGITS = 64  # hexadecimal digits
 
 
 class Version(Struct, frozen=True, array_like=True, tag="version"):
@@ -37,7 +37,7 @@
     middle: bytes  # deflated (zlib, RFC 1950)
 
 
-def wrong(field: str, value: object, allowed: object) -> str:
+def invalid_value(field: str, value: object, allowed: object) -> str:
     """One way to say what is wrong with a value."""
     shown = repr(value)
     return f"{field} is {shown if len(shown) <= 80 else shown[:77] + '...'}; allowed: {allowed}"
@@ -48,25 +48,25 @@
     return hashlib.sha256(contents).hexdigest()
 
 
-def sound(version: Version) -> str:
+def version_problem(version: Version) -> str:
     """Why this can't be a decided version, by field, value and what is allowed; or nothing."""
     if version.number < 1:
-        return wrong("number", version.number, "1 and more")
-    if len(version.digest) != DIGEST or set(version.digest) - set("0123456789abcdef"):
-        return wrong("digest", version.digest, f"{DIGEST} hexadecimal digits")
-    if not 0 <= version.size <= MOST_CONTENTS:
-        return wrong("size", version.size, f"0 to {MOST_CONTENTS}")
+        return invalid_value("number", version.number, "1 and more")
+    if len(version.digest) != DIGEST_HEX_DIGITS or set(version.digest) - set("0123456789abcdef"):
+        return invalid_value("digest", version.digest, f"{DIGEST_HEX_DIGITS} hexadecimal digits")
+    if not 0 <= version.size <= MAX_CONTENTS_BYTES:
+        return invalid_value("size", version.size, f"0 to {MAX_CONTENTS_BYTES}")
     return ""
 
 
-def check(version: Version, contents: bytes) -> str:
+def contents_problem(version: Version, contents: bytes) -> str:
     """Why these are not the contents of this version, by field, value and what is allowed; or nothing."""
-    if why := sound(version):
+    if why := version_problem(version):
         return why
     if len(contents) != version.size:
-        return wrong("size", len(contents), f"{version.size} in version {version.number}")
+        return invalid_value("size", len(contents), f"{version.size} in version {version.number}")
     if (digest := digest_of(contents)) != version.digest:
-        return wrong("digest", digest, f"{version.digest} in version {version.number}")
+        return invalid_value("digest", digest, f"{version.digest} in version {version.number}")
     return ""
 
 
@@ -92,23 +92,23 @@
 
 def apply_delta(old: bytes, delta: Delta, version: Version) -> bytes:
     """The version's contents; ValueError by field, value and what is allowed where they do not come out."""
-    if why := sound(version):
+    if why := version_problem(version):
         raise ValueError(why)
     if (digest := digest_of(old)) != delta.base:
-        raise ValueError(wrong("base", delta.base, f"{digest}, which is held"))
+        raise ValueError(invalid_value("base", delta.base, f"{digest}, which is held"))
     if delta.prefix < 0:
-        raise ValueError(wrong("prefix", delta.prefix, f"0 to {len(old)}"))
+        raise ValueError(invalid_value("prefix", delta.prefix, f"0 to {len(old)}"))
     if delta.suffix < 0 or delta.prefix + delta.suffix > len(old):
-        raise ValueError(wrong("suffix", delta.suffix, f"0 to {len(old) - delta.prefix}"))
+        raise ValueError(invalid_value("suffix", delta.suffix, f"0 to {len(old) - delta.prefix}"))
     room = version.size - delta.prefix - delta.suffix
     inflating = zlib.decompressobj()
     try:
         middle = inflating.decompress(delta.middle, max(room, 0) + 1)
     except zlib.error as error:
-        raise ValueError(wrong("middle", str(error), "what zlib made")) from None
+        raise ValueError(invalid_value("middle", str(error), "what zlib made")) from None
     if len(middle) != room or not inflating.eof or inflating.unused_data:
-        raise ValueError(wrong("middle", f"{len(middle)} bytes", f"{room} bytes, whole"))
+        raise ValueError(invalid_value("middle", f"{len(middle)} bytes", f"{room} bytes, whole"))
     contents = old[: delta.prefix] + middle + old[len(old) - delta.suffix :]
-    if why := check(version, contents):
+    if why := contents_problem(version, contents):
         raise ValueError(why)
     return contents
--- a/grebestack/program/admin_operations.py
+++ b/grebestack/program/admin_operations.py
@@ -11,7 +11,7 @@
     from grebestack.admin.server import Reply
     from grebestack.program.audit_recording import Auditor
     from grebestack.program.cluster_member import Fleet
-    from grebestack.program.config_updates import Configuring
+    from grebestack.program.config_updates import ConfigUpdates
     from grebestack.routing.interfaces import Clock
     from grebestack.routing.worker_table import ServerTable
 
@@ -21,7 +21,7 @@
 
     life: Life
     fleet: Fleet | None
-    configuring: Configuring | None
+    configuring: ConfigUpdates | None
     auditor: Auditor | None
     table: ServerTable
 
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -17,15 +17,15 @@
 from grebestack.admin.commands import Answer
 from grebestack.audit.version_sets import digest
 from grebestack.cluster_io.configuration_node import ConfigurationNode
-from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
+from grebestack.cluster_io.follower_client import FollowerClient, FollowerSettings, RelayAddress
 from grebestack.cluster_io.log_store import Files, FolderTakenError
 from grebestack.cluster_io.node import Node
 from grebestack.cluster_io.relay_server import RelayServer
 from grebestack.cluster_io.runtime import monotonic_ms
-from grebestack.config_distribution.actions import Outcome
+from grebestack.config_distribution.actions import ProposalResult
 from grebestack.config_distribution.relay import Relay
-from grebestack.config_distribution.timeouts import START_MS
-from grebestack.config_distribution.versions import MOST_CONTENTS, Version
+from grebestack.config_distribution.timeouts import STARTUP_GRACE_MS
+from grebestack.config_distribution.versions import MAX_CONTENTS_BYTES, Version
 from grebestack.program.config import Config, ConfigError, ForceConfig, StartError, check, from_text, read
 
 log = logging.getLogger(__name__)
@@ -64,15 +64,15 @@
 
     `former`: the configuration in force, if any.
     """
-    if len(contents) > MOST_CONTENTS:
-        raise ConfigError(f"the size is {len(contents)} bytes; allowed: {MOST_CONTENTS}")
+    if len(contents) > MAX_CONTENTS_BYTES:
+        raise ConfigError(f"the size is {len(contents)} bytes; allowed: {MAX_CONTENTS_BYTES}")
     config = from_text(path, text, contents)
     if former is not None:
         check(config, former)
     return config
 
 
-class Laying:
+class AppliedConfig:
     """What is in force here: the local file as it was last read, and the version laid over it."""
 
     def __init__(self, host: Host) -> None:
@@ -124,23 +124,23 @@
         return ""
 
 
-class Configuring:
+class ConfigUpdates:
     """What a dispatcher has where a configuration in force reaches it: a voter's part, or a follower's."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, host: Host, config: ForceConfig, name: str, node: Node | None
     ) -> None:
         self.loop, self.config, self.name = loop, config, name
-        self.laying = Laying(host)
+        self.laying = AppliedConfig(host)
         self.reread = self.laying.reread
         folder = os.path.join(config.folder, FOLDER)
         self.voter: ConfigurationNode | None = None
-        self.follower: FollowerNode | None = None
+        self.follower: FollowerClient | None = None
         try:
             if node is not None:
                 self.voter = ConfigurationNode(node, folder, self.laying.take, FILES())
             else:
-                self.follower = FollowerNode(
+                self.follower = FollowerClient(
                     loop,
                     self._settings(folder),
                     self.laying.take,
@@ -183,7 +183,7 @@
         part = self.voter or self.follower
         assert part is not None
         part.settled = self._settled
-        self.loop.call_later(START_MS / 1000.0 + SPARE_S, self._settled)
+        self.loop.call_later(STARTUP_GRACE_MS / 1000.0 + SPARE_S, self._settled)
         part.start()
         await self.started
 
@@ -226,7 +226,7 @@
             reply(Answer(False, f"{path}: {why}"))
             return
 
-        def ended(outcome: Outcome) -> None:
+        def ended(outcome: ProposalResult) -> None:
             version = outcome.version
             if outcome.won:
                 held = ", ".join(outcome.held_by)
@@ -249,9 +249,9 @@
         if not stat.S_ISREG(os.stat(path).st_mode):
             raise ConfigError("no regular file")
         with open(path, "rb") as file:
-            contents = file.read(MOST_CONTENTS + 1)
+            contents = file.read(MAX_CONTENTS_BYTES + 1)
     except OSError as error:
         raise ConfigError(str(error.strerror)) from error
-    if len(contents) > MOST_CONTENTS:
-        raise ConfigError(f"the size is {os.path.getsize(path)} bytes; allowed: {MOST_CONTENTS}")
+    if len(contents) > MAX_CONTENTS_BYTES:
+        raise ConfigError(f"the size is {os.path.getsize(path)} bytes; allowed: {MAX_CONTENTS_BYTES}")
     return contents
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -36,7 +36,7 @@
     from grebestack.jobs.service import JobService
     from grebestack.program.audit_recording import Auditor
     from grebestack.program.cluster_member import Fleet
-    from grebestack.program.config_updates import Configuring
+    from grebestack.program.config_updates import ConfigUpdates
     from grebestack.program.hot_restart import Upgrade
     from grebestack.program.shared_discovery import Source
     from grebestack.protocol.membership_adapter import Roster
@@ -102,12 +102,12 @@
             )
 
             self.fleet = cluster_member.Fleet(self, config.fleet)
-        self.configuring: Configuring | None = None
+        self.configuring: ConfigUpdates | None = None
         if config.force is not None:
             from grebestack.program import config_updates  # only here: nothing of it is on the platform
 
             node = self.fleet.node if self.fleet is not None else None
-            self.configuring = config_updates.Configuring(loop, self, config.force, config.name, node)
+            self.configuring = config_updates.ConfigUpdates(loop, self, config.force, config.name, node)
             self.reread = self.configuring.reread
         self.auditor: Auditor | None = None
         if config.audit is not None:
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -19,9 +19,9 @@
 
 from grebestack.config_distribution import actions as act
 from grebestack.config_distribution import timeouts
-from grebestack.config_distribution.configuration import ConfigurationVoter, View, change
-from grebestack.config_distribution.follower import Follower, region
-from grebestack.config_distribution.messages import News, decode, encode
+from grebestack.config_distribution.configuration import ConfigurationVoter, View, register_change
+from grebestack.config_distribution.follower import Follower, region_of
+from grebestack.config_distribution.messages import ConfigUpdate, decode, encode
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.consensus.actions import Told
@@ -67,7 +67,7 @@
     acts: Iterable[InForce],
     owed: Iterable[Owed],
     until_ms: float,
-    bound_ms: float = timeouts.BOUND_MS,
+    bound_ms: float = timeouts.PROPAGATION_BOUND_MS,
 ) -> list[str]:
     """What in a history is not as it should be."""
     found: list[str] = []
@@ -167,7 +167,7 @@
         self.mesh_at: dict[tuple[str, str], float] = {}  # when the last message of a way arrives
         self.chosen: list[Chosen] = []
         self.acts: list[InForce] = []
-        self.outcomes: dict[int, act.Outcome] = {}
+        self.outcomes: dict[int, act.ProposalResult] = {}
         self.told: list[tuple[float, str, Told]] = []
         self.lose_news: dict[str, int] = {}  # so many pushes to a follower are lost
         self.dials: list[tuple[float, str, str]] = []
@@ -187,7 +187,7 @@
         self.now = until_ms
 
     def way_ms(self, a: str, b: str) -> float:
-        far = region(PLACES[a]) != region(PLACES[b])
+        far = region_of(PLACES[a]) != region_of(PLACES[b])
         return self.random.uniform(20.0, 60.0) if far else self.random.uniform(0.2, 3.0)
 
     # Processes.
@@ -285,9 +285,9 @@
         if self.trace is not None:
             self.trace.append(f"{self.now:.0f} {p.name}: {str(action)[:160]}")
         links: dict[int, Any]
-        if isinstance(action, act.Dial):
+        if isinstance(action, act.Connect):
             self.dial(p, action)
-        elif isinstance(action, act.Say):
+        elif isinstance(action, act.Send):
             links = p.links if action.link > LINKS else p.dialled
             connection = links.get(action.link)
             if connection is not None and connection.open:
@@ -303,26 +303,26 @@
             self.write(p, partial(self._stored, p, action, kept))
         elif isinstance(action, act.Apply):
             self.apply(p, action)
-        elif isinstance(action, act.Offer):
+        elif isinstance(action, act.PublishVersion):
             if p.relay is not None:
                 self.do(p, p.relay.offer(self.now, action.version, action.contents))
-        elif isinstance(action, act.Confirmed):
+        elif isinstance(action, act.MajorityConfirmed):
             if p.relay is not None:
                 self.do(p, p.relay.confirmed(self.now, action.at_ms))
-        elif isinstance(action, act.Gathered):
+        elif isinstance(action, act.StatusReceived):
             if p.voter is not None:
                 self.do(p, p.voter.tallied(self.now, action.tally, self.view(p)))
             elif p.follower is not None:
                 self.do(p, p.follower.tallied(self.now, action.tally))
-        elif isinstance(action, act.Tell):
+        elif isinstance(action, act.SendToVoter):
             self.word(p.name, action.to, action.body)
-        elif isinstance(action, act.Keep):
+        elif isinstance(action, act.StoreContents):
             self.write(p, partial(self._kept, p, action))
-        elif isinstance(action, act.Discard):
+        elif isinstance(action, act.DiscardContents):
             p.kept.pop(action.digest, None)
-        elif isinstance(action, act.Decide):
+        elif isinstance(action, act.ChangeRegister):
             self.ask(p, action.version)
-        elif isinstance(action, act.Outcome):
+        elif isinstance(action, act.ProposalResult):
             self.outcomes[action.ticket] = action
         elif isinstance(action, Told):
             self.told.append((self.now, p.name, action))
@@ -339,7 +339,7 @@
         assert part is not None
         self.do(p, part.stored(self.now, action.version.number))
 
-    def _kept(self, p: Process, action: act.Keep) -> None:
+    def _kept(self, p: Process, action: act.StoreContents) -> None:
         p.kept[action.digest] = action.contents
         assert p.voter is not None
         self.do(p, p.voter.kept(self.now, action.digest))
@@ -360,7 +360,7 @@
 
     # Connections of followers.
 
-    def dial(self, p: Process, action: act.Dial) -> None:
+    def dial(self, p: Process, action: act.Connect) -> None:
         self.dials.append((self.now, p.name, action.relay))
         p.dialled[action.link] = None
         server = self.processes[action.relay]
@@ -390,7 +390,7 @@
 
     def say(self, sender: str, connection: Connection, data: bytes) -> None:
         to = connection.client if connection.server == sender else connection.server
-        if isinstance(decode(data), News) and self.lose_news.get(to, 0) > 0:
+        if isinstance(decode(data), ConfigUpdate) and self.lose_news.get(to, 0) > 0:
             self.lose_news[to] -= 1
             return
         self.after(sender, connection, partial(self.arrive, connection, to, data))
@@ -494,10 +494,13 @@
     def ask(self, p: Process, version: Version | None) -> None:
         p.ballot = max(p.ballot, p.slot.promised.number) + 1
         ballot = Ballot(p.ballot, p.name, p.life)
-        p.asking = Asking(Round(ballot, len(VOTERS) // 2 + 1), change(version), p.life)
+        p.asking = Asking(Round(ballot, len(VOTERS) // 2 + 1), register_change(version), p.life)
         for name in VOTERS:
             self.to_slot(p, name, ballot, None)
-        self.at(timeouts.ASK_MS, partial(self.alive, p.name, p.life, partial(self.given_up, p, ballot)))
+        self.at(
+            timeouts.REGISTER_TIMEOUT_MS,
+            partial(self.alive, p.name, p.life, partial(self.given_up, p, ballot)),
+        )
 
     def to_slot(self, p: Process, name: str, ballot: Ballot, value: Any) -> None:
         def there() -> None:
@@ -714,7 +717,7 @@
         sever({way for s in SERVERS for way in ((s, follower), (follower, s))}, True)
         cuts = {follower: ((at, at + long),)}
     elif fault == "regions cut and met again":
-        near = {n for n in world.processes if region(PLACES[n]) == "r1"}
+        near = {n for n in world.processes if region_of(PLACES[n]) == "r1"}
         far = set(world.processes) - near
         sever({way for a in near for b in far for way in ((a, b), (b, a))}, True)
         cuts = {name: ((at, at + long),) for name in far}
@@ -759,7 +762,7 @@
         for one in played.world.chosen:
             owed_ms = one.at_ms
             for since, until in sorted(owes.cut):
-                if since < owed_ms + timeouts.BOUND_MS:
+                if since < owed_ms + timeouts.PROPAGATION_BOUND_MS:
                     owed_ms = max(owed_ms, until)
             came = [a.at_ms for a in acts if a.name == owes.name and a.number >= one.version.number]
             worst = max(worst, min(came, default=0.0) - owed_ms)
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -19,8 +19,8 @@
 from grebestack.config_distribution import actions as act
 from grebestack.config_distribution import timeouts
 from grebestack.config_distribution.follower import Follower
-from grebestack.config_distribution.messages import News, Said, Still
-from grebestack.config_distribution.relay import Relay, Seat
+from grebestack.config_distribution.messages import ConfigUpdate, Message, NotModified
+from grebestack.config_distribution.relay import FollowerState, Relay
 from grebestack.config_distribution.versions import Version, digest_of
 from tests import state_exploration
 from tests.state_exploration import Found, put
@@ -68,7 +68,7 @@
 
     variant = ""
 
-    def _news(self, now_ms: float, news: News) -> list[act.FollowerAction]:
+    def _news(self, now_ms: float, news: ConfigUpdate) -> list[act.FollowerAction]:
         if self.variant == "goes back" and news.contents is not None and self.pending is None:
             self.wanted = news.version, news.contents
             return [*self._begin(now_ms), *self._word(now_ms, news.version.number, news.confirmed_ms)]
@@ -133,7 +133,7 @@
 def _frozen(value: Any) -> Any:
     if isinstance(value, dict):
         return tuple((k, _frozen(v)) for k, v in value.items())
-    if isinstance(value, Seat):  # when it was heard decides nothing here
+    if isinstance(value, FollowerState):  # when it was heard decides nothing here
         return value.name, value.life, value.number, value.digest, value.refused, value.sent, value.sent_ms
     return None if callable(value) else value
 
@@ -152,7 +152,7 @@
         new.confirmed_ms = shift(new.confirmed_ms, -10_000.0)
     if isinstance(new, Relay):
         for link, seat in new.seats.items():
-            new.seats[link] = replace(seat, sent_ms=shift(seat.sent_ms, -timeouts.RESEND_MS))
+            new.seats[link] = replace(seat, sent_ms=shift(seat.sent_ms, -timeouts.RESEND_INTERVAL_MS))
         return Part(new)
     for name in ("deadline_ms", "poll_ms", "again_ms", "start_ms", "home_ms"):
         setattr(new, name, shift(getattr(new, name), -1.0))
@@ -186,7 +186,7 @@
 
     line: Line
     down: bool  # from the relay
-    item: Said | str
+    item: Message | str
 
 
 class Disk(NamedTuple):
@@ -299,7 +299,7 @@
 
     def steps(self, world: World) -> Iterator[tuple[str, World]]:
         """What may happen next."""
-        if world.now - world.since > timeouts.BOUND_MS:
+        if world.now - world.since > timeouts.PROPAGATION_BOUND_MS:
             return
         budget = world.budget
         if budget.decide:
@@ -433,7 +433,7 @@
                     f"twice {what}",
                     world._replace(wire=(*wire, sent), budget=budget._replace(twice=budget.twice - 1)),
                 )
-            if budget.spoil and isinstance(sent.item, News):
+            if budget.spoil and isinstance(sent.item, ConfigUpdate):
                 spoilt = sent._replace(item=_spoil(sent.item))
                 yield (
                     f"spoilt {what}",
@@ -486,7 +486,7 @@
             budget = budget._replace(late=budget.late - 1)
             world = world._replace(since=world.now)
         due = min(part.of.due_ms(world.now) for part in world.followers)
-        passed = min(due, timeouts.BOUND_MS + 1.0) - world.now
+        passed = min(due, timeouts.PROPAGATION_BOUND_MS + 1.0) - world.now
         world = world._replace(
             since=world.since - passed,
             budget=budget,
@@ -509,11 +509,11 @@
         lines = {line.link: line for line in world.lines if line.follower == index and line.life == made.life}
         while queue:
             action = queue.pop(0)
-            if isinstance(action, act.Dial):
+            if isinstance(action, act.Connect):
                 relay = RELAYS.index(action.relay)
                 line = Line(index, made.life, action.link, relay, 0)
                 world = world._replace(wire=(*world.wire, Sent(line, False, "dial")))
-            elif isinstance(action, act.Say) and action.link in lines:
+            elif isinstance(action, act.Send) and action.link in lines:
                 sent = Sent(lines[action.link], False, action.message)
                 world = world._replace(wire=(*world.wire, sent))
             elif isinstance(action, act.Close) and action.link in lines:
@@ -545,7 +545,7 @@
     def _relay_did(self, world: World, index: int, relay: Relay, actions: list[act.RelayAction]) -> World:
         lines = {line.number: line for line in world.lines if line.relay == index}
         for action in actions:
-            if isinstance(action, act.Say) and action.link in lines:
+            if isinstance(action, act.Send) and action.link in lines:
                 world = world._replace(wire=(*world.wire, Sent(lines[action.link], True, action.message)))
             elif isinstance(action, act.Close) and action.link in lines:
                 line = lines[action.link]
@@ -559,30 +559,30 @@
         """Nothing goes back or is half, and within the bound everybody has what is decided."""
         if world.fault:
             return world.fault
-        if world.now - world.since > timeouts.BOUND_MS and "up" in world.up:
+        if world.now - world.since > timeouts.PROPAGATION_BOUND_MS and "up" in world.up:
             for index, part in enumerate(world.followers):
                 if part.of.version.number < world.decided:
                     has = f"f{index} has {part.of.version.number} and not {world.decided}"
-                    return f"{has} after {timeouts.BOUND_MS} ms"
+                    return f"{has} after {timeouts.PROPAGATION_BOUND_MS} ms"
         return ""
 
 
-def _short(item: Said | str) -> str:
+def _short(item: Message | str) -> str:
     if isinstance(item, str):
         return item
-    if isinstance(item, News):
+    if isinstance(item, ConfigUpdate):
         return f"news {item.version.number}"
-    if isinstance(item, Still):
+    if isinstance(item, NotModified):
         return f"still {item.number}"
     return f"{type(item).__name__.lower()} {getattr(item, 'number', '')}".rstrip()
 
 
-def _spoil(news: News) -> News:
+def _spoil(news: ConfigUpdate) -> ConfigUpdate:
     half = None if news.contents is None else news.contents[: len(news.contents) // 2]
     delta = news.delta
     if delta is not None:
         delta = type(delta)(delta.base, delta.prefix, delta.suffix, delta.middle[: len(delta.middle) // 2])
-    return News(news.version, news.confirmed_ms, delta, half)
+    return ConfigUpdate(news.version, news.confirmed_ms, delta, half)
 
 
 def explore(model: Model, most: int) -> Found:
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -17,7 +17,7 @@
 from typing import Any, NamedTuple
 
 from grebestack.config_distribution import actions as act
-from grebestack.config_distribution.configuration import ConfigurationVoter, View, change
+from grebestack.config_distribution.configuration import ConfigurationVoter, View, register_change
 from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.consensus.register import Ballot, Phase, Promised, Round, Slot, accept, prepare
 from tests import state_exploration
@@ -46,9 +46,9 @@
         actions = super()._propose(now_ms, view)
         if self.variant == "offers before the register says so" and self.proposal is not None:
             actions += [
-                act.Offer(self.proposal.version, self.proposal.contents)
+                act.PublishVersion(self.proposal.version, self.proposal.contents)
                 for a in actions
-                if isinstance(a, act.Decide) and a.version is not None
+                if isinstance(a, act.ChangeRegister) and a.version is not None
             ]
         return actions
 
@@ -57,7 +57,9 @@
             view = view._replace(majority=1)
         actions = super()._confirm(now_ms, view)
         if self.variant == "confirms from when the answer came":
-            return [act.Confirmed(now_ms) if isinstance(a, act.Confirmed) else a for a in actions]
+            return [
+                act.MajorityConfirmed(now_ms) if isinstance(a, act.MajorityConfirmed) else a for a in actions
+            ]
         return actions
 
     def _look(self, now_ms: float, accepted: int) -> None:
@@ -238,7 +240,7 @@
                 for place in pair:
                     slots[place], answer = prepare(slots[place], round_.ballot)
                     if isinstance(answer, Promised):
-                        after = after.answered(NAMES[place], answer, change(asking.version))
+                        after = after.answered(NAMES[place], answer, register_change(asking.version))
                 if after.phase is Phase.ACCEPTING:
                     moved = world._replace(
                         slots=tuple(slots), askings=put(world.askings, index, asking._replace(round=after))
@@ -285,10 +287,10 @@
         queue = list(actions)
         while queue:
             action = queue.pop(0)
-            if isinstance(action, act.Tell):
+            if isinstance(action, act.SendToVoter):
                 to = NAMES.index(action.to)
                 world = world._replace(wire=world.wire | {(index, to, world.lives[to], action.body)})
-            elif isinstance(action, act.Keep):
+            elif isinstance(action, act.StoreContents):
                 world = world._replace(kept=put(world.kept, index, world.kept[index] | {action.contents}))
                 queue = voter.kept(world.now, action.digest) + queue
             elif isinstance(action, act.Store):
@@ -301,13 +303,13 @@
             elif isinstance(action, act.Apply):
                 queue = voter.taken(world.now, action.version.number) + queue
                 world = self._only_chosen(world, index, action.version, "acts under")
-            elif isinstance(action, act.Offer):
+            elif isinstance(action, act.PublishVersion):
                 world = self._only_chosen(world, index, action.version, "offers")
-            elif isinstance(action, act.Decide):
+            elif isinstance(action, act.ChangeRegister):
                 ballot = Ballot(world.numbers + 1, NAMES[index], world.lives[index])
                 asking = Asking(Round(ballot, 2), action.version)
                 world = world._replace(numbers=world.numbers + 1, askings=put(world.askings, index, asking))
-            elif isinstance(action, act.Confirmed):
+            elif isinstance(action, act.MajorityConfirmed):
                 newer = [
                     v
                     for v, at in zip(world.chosen, world.when, strict=True)
@@ -317,7 +319,7 @@
                     world = world._replace(
                         fault=f"{NAMES[index]} confirms {voter.version.number}, {newer[0].number} is decided"
                     )
-            elif isinstance(action, act.Outcome):
+            elif isinstance(action, act.ProposalResult):
                 ours = [v for v in world.chosen if v == action.version]
                 if action.won and not ours:
                     world = world._replace(fault=f"{NAMES[index]} says it won with {action.version.number}")
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -14,7 +14,7 @@
 
 from grebestack.audit.recorder import Limits, Recorder
 from grebestack.audit.version_sets import Stamps
-from grebestack.cluster_io.config_store import Contents
+from grebestack.cluster_io.config_store import ConfigStore
 from grebestack.cluster_io.log_store import Files, Store, found
 from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.consensus.log_format import frame
@@ -82,7 +82,7 @@
 async def _version_files(folder: str) -> dict[str, str]:
     """The folder of a configuration with two versions and contents that are not decided."""
     Path(folder, "life").write_text(str(LIFE), encoding="ascii")
-    contents = Contents(asyncio.get_running_loop(), folder, "fleet-a")
+    contents = ConfigStore(asyncio.get_running_loop(), folder, "fleet-a")
     contents.open()
     await _wait_for(lambda done: contents.store(OLD_VERSION, OLD_CONTENTS, 0, done))
     await _wait_for(lambda done: contents.store(VERSION, CONTENTS, 16, done))
--- a/tests/golden_links.py
+++ b/tests/golden_links.py
@@ -8,8 +8,9 @@
 
 from grebestack.cluster_io.framing import Frames, Traffic
 from grebestack.cluster_io.peer_connection import Link
-from grebestack.cluster_io.relay_connection import FeedLink
-from grebestack.config_distribution.messages import Said, encode
+from grebestack.cluster_io.relay_connection import RelayConnection
+from grebestack.config_distribution.messages import Message as RelayMessage
+from grebestack.config_distribution.messages import encode
 from grebestack.consensus.messages import Hello, Message
 from grebestack.program.cluster_member import Post
 from grebestack.program.config import TalliesConfig
@@ -77,14 +78,14 @@
     def __init__(self) -> None:
         self.items: list[object] = []
 
-    def connected(self, link: FeedLink) -> None:
+    def connected(self, link: RelayConnection) -> None:
         """Nothing is said unasked."""
 
-    def heard(self, link: FeedLink, message: Said) -> None:
+    def heard(self, link: RelayConnection, message: RelayMessage) -> None:
         """Keep a message."""
         self.items.append(message)
 
-    def ended(self, link: FeedLink, why: str) -> None:
+    def ended(self, link: RelayConnection, why: str) -> None:
         """Keep why it ended."""
         self.items.append(why)
 
@@ -96,10 +97,10 @@
     link = Link(loop, MemberOwner())
     link.connection_made(member)
     link.send(cast(Message, MEMBER["prepare"]))
-    feed_link = FeedLink(loop, FeedEnd(), 1, Traffic())
+    feed_link = RelayConnection(loop, FeedEnd(), 1, Traffic())
     feed_link.connection_made(feed)
-    feed_link.write(encode(cast(Said, FEED["greeting"])))
-    feed_link.write(encode(cast(Said, FEED["poll"])))
+    feed_link.write(encode(cast(RelayMessage, FEED["greeting"])))
+    feed_link.write(encode(cast(RelayMessage, FEED["poll"])))
     loop.close()
     return {"member": member.data.hex(), "feed": feed.data.hex()}
 
@@ -108,7 +109,10 @@
     """What each kind of connection reads of bytes that come in two pieces."""
     loop = asyncio.new_event_loop()
     member, feed = MemberOwner(), FeedEnd()
-    links: dict[str, Frames] = {"member": Link(loop, member), "feed": FeedLink(loop, feed, 1, Traffic())}
+    links: dict[str, Frames] = {
+        "member": Link(loop, member),
+        "feed": RelayConnection(loop, feed, 1, Traffic()),
+    }
     for name, link in links.items():
         data = bytes.fromhex(frames[name])
         link.connection_made(RecordingTransport())
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -100,33 +100,37 @@
     "entered": consensus.Entered(ROLL, SLOTS),
     "entered with defaults": consensus.Entered(consensus.Roll(), ()),
 }
-STANDING = distribution.Standing("d-1", 14, 16, 250, True, 350, 15, "names no class")
-TALLY = distribution.Tally("m-2", 3, 41, True, 17, (STANDING, distribution.Standing("d-2", 1, 17, 0, False)))
+STANDING = distribution.FollowerStatus("d-1", 14, 16, 250, True, 350, 15, "names no class")
+TALLY = distribution.StatusReport(
+    "m-2", 3, 41, True, 17, (STANDING, distribution.FollowerStatus("d-2", 1, 17, 0, False))
+)
 CONFIGURATION = {
-    "beat": configuration.Beat(31, 9, 17, VERSION),
-    "beat that knows no version": configuration.Beat(1, 9, -1, Version(0, "", 0, "", 0)),
-    "echo": configuration.Echo(31, 9, 16, VERSION),
+    "beat": configuration.Heartbeat(31, 9, 17, VERSION),
+    "beat that knows no version": configuration.Heartbeat(1, 9, -1, Version(0, "", 0, "", 0)),
+    "echo": configuration.HeartbeatResponse(31, 9, 16, VERSION),
     "propose": configuration.Propose(DIGEST, b"[settings]\n"),
-    "kept": configuration.Kept(DIGEST),
-    "want": configuration.Want(DIGEST),
-    "have": configuration.Have(DIGEST, b"[servers]\n"),
+    "kept": configuration.StoreAck(DIGEST),
+    "want": configuration.FetchContents(DIGEST),
+    "have": configuration.Contents(DIGEST, b"[servers]\n"),
     "tally": TALLY,
 }
 FEED = {
-    "greeting": distribution.Greeting(1, "fleet-a", "d-1", 14, "east/e1", 16, DIGEST),
-    "welcome": distribution.Welcome(1, "fleet-a", "m-2", 500, 15),
-    "welcome with defaults": distribution.Welcome(1, "fleet-a", "m-2", 500),
-    "full": distribution.Full("500 followers; allowed: 500"),
-    "news by difference": distribution.News(VERSION, 120, Delta(DIGEST, 10, 20, b"\x78\x01middle"), None),
-    "news with contents": distribution.News(VERSION, 120, None, b"[settings]\n"),
-    "news with defaults": distribution.News(VERSION, 120),
+    "greeting": distribution.Subscribe(1, "fleet-a", "d-1", 14, "east/e1", 16, DIGEST),
+    "welcome": distribution.SubscribeAccepted(1, "fleet-a", "m-2", 500, 15),
+    "welcome with defaults": distribution.SubscribeAccepted(1, "fleet-a", "m-2", 500),
+    "full": distribution.SubscribeRejected("500 followers; allowed: 500"),
+    "news by difference": distribution.ConfigUpdate(
+        VERSION, 120, Delta(DIGEST, 10, 20, b"\x78\x01middle"), None
+    ),
+    "news with contents": distribution.ConfigUpdate(VERSION, 120, None, b"[settings]\n"),
+    "news with defaults": distribution.ConfigUpdate(VERSION, 120),
     "poll": distribution.Poll(16, DIGEST, 17, "names no class"),
     "poll with defaults": distribution.Poll(16, DIGEST),
-    "still": distribution.Still(17, 130),
-    "still of a relay that never knew": distribution.Still(0, distribution.NEVER_MS),
-    "fetch": distribution.Fetch(17),
+    "still": distribution.NotModified(17, 130),
+    "still of a relay that never knew": distribution.NotModified(0, distribution.NEVER_CONFIRMED_MS),
+    "fetch": distribution.FetchFullContents(17),
     "tally": TALLY,
-    "tally with no standings": distribution.Tally("m-2", 3, 42, False, 17, ()),
+    "tally with no standings": distribution.StatusReport("m-2", 3, 42, False, 17, ()),
 }
 PACING = {"state": rolling_restart.State(8, True), "go": rolling_restart.Go(4, 345, 7)}
 LINES = (shared_discovery.Line("runner-1", b"rest"), shared_discovery.Line("runner-2", b""))
@@ -168,11 +172,11 @@
     "records": Codec(consensus.encode, consensus.record, RECORDS, get_args(consensus.Record)),
     "configuration": Codec(
         msgpack.encode,
-        msgpack.Decoder(configuration.Word).decode,
+        msgpack.Decoder(configuration.VoterMessage).decode,
         CONFIGURATION,
-        get_args(configuration.Word),
+        get_args(configuration.VoterMessage),
     ),
-    "feed": Codec(distribution.encode, distribution.decode, FEED, get_args(distribution.Said)),
+    "feed": Codec(distribution.encode, distribution.decode, FEED, get_args(distribution.Message)),
     "pacing": Codec(
         msgpack.encode, rolling_restart.said, PACING, (rolling_restart.State, rolling_restart.Go)
     ),
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -13,9 +13,9 @@
 from grebestack.audit.reading import assemble
 from grebestack.config_distribution.actions import Close
 from grebestack.config_distribution.follower import Follower
-from grebestack.config_distribution.messages import Greeting, Said
+from grebestack.config_distribution.messages import Message, Subscribe
 from grebestack.config_distribution.relay import Relay
-from grebestack.config_distribution.versions import Version, check, sound
+from grebestack.config_distribution.versions import Version, contents_problem, version_problem
 from grebestack.core.api import Effect, Group, ListKind, Outcome, WorkerState
 from grebestack.drmaa.template import schema
 from grebestack.job_queue.interface import Condition
@@ -37,10 +37,10 @@
     refusals = {}
     for name, message in FEED.items():
         relay = Relay("m-2", "fleet-a", 3, Random(1))
-        first = relay.heard(0.0, LINK, cast(Said, message))
+        first = relay.heard(0.0, LINK, cast(Message, message))
         relay = Relay("m-2", "fleet-a", 3, Random(1))
-        relay.heard(0.0, LINK, Greeting(1, "fleet-a", "d-1", 14, "east/e1", 0, ""))
-        second = relay.heard(1.0, LINK, cast(Said, message))
+        relay.heard(0.0, LINK, Subscribe(1, "fleet-a", "d-1", 14, "east/e1", 0, ""))
+        second = relay.heard(1.0, LINK, cast(Message, message))
         refusals[name] = _reasons(list(first)) + _reasons(list(second))
     return refusals
 
@@ -48,12 +48,12 @@
 def greetings_refusals() -> dict[str, list[str]]:
     """Why a relay does not take a greeting."""
     greetings = {
-        "form": Greeting(2, "fleet-a", "d-1", 14, "east/e1", 0, ""),
-        "fleet": Greeting(1, "fleet-b", "d-1", 14, "east/e1", 0, ""),
-        "name": Greeting(1, "fleet-a", "d 1", 14, "east/e1", 0, ""),
-        "life": Greeting(1, "fleet-a", "d-1", -1, "east/e1", 0, ""),
-        "number": Greeting(1, "fleet-a", "d-1", 14, "east/e1", -1, DIGEST),
-        "digest": Greeting(1, "fleet-a", "d-1", 14, "east/e1", 16, "ab"),
+        "form": Subscribe(2, "fleet-a", "d-1", 14, "east/e1", 0, ""),
+        "fleet": Subscribe(1, "fleet-b", "d-1", 14, "east/e1", 0, ""),
+        "name": Subscribe(1, "fleet-a", "d 1", 14, "east/e1", 0, ""),
+        "life": Subscribe(1, "fleet-a", "d-1", -1, "east/e1", 0, ""),
+        "number": Subscribe(1, "fleet-a", "d-1", 14, "east/e1", -1, DIGEST),
+        "digest": Subscribe(1, "fleet-a", "d-1", 14, "east/e1", 16, "ab"),
     }
     relay = Relay("m-2", "fleet-a", 3, Random(1))
     return {name: _reasons(list(relay.heard(0.0, LINK, one))) for name, one in greetings.items()}
@@ -68,19 +68,19 @@
         now_ms = follower.due_ms(0.0)
         follower.tick(now_ms)
         follower.connected(now_ms, LINK)
-        refusals[name] = _reasons(list(follower.heard(now_ms, LINK, cast(Said, message))))
+        refusals[name] = _reasons(list(follower.heard(now_ms, LINK, cast(Message, message))))
     return refusals
 
 
 def versions_faults() -> dict[str, str]:
     """What is said of versions that can't be, and of contents that are not a version's."""
     return {
-        "none": sound(VERSION),
-        "number": sound(Version(0, DIGEST, 1, "m-1", 2)),
-        "digest": sound(Version(1, "AB", 1, "m-1", 2)),
-        "size": sound(Version(1, DIGEST, -1, "m-1", 2)),
-        "size of contents": check(Version(1, DIGEST, 1, "m-1", 2), b""),
-        "digest of contents": check(Version(1, DIGEST, 1, "m-1", 2), b"x"),
+        "none": version_problem(VERSION),
+        "number": version_problem(Version(0, DIGEST, 1, "m-1", 2)),
+        "digest": version_problem(Version(1, "AB", 1, "m-1", 2)),
+        "size": version_problem(Version(1, DIGEST, -1, "m-1", 2)),
+        "size of contents": contents_problem(Version(1, DIGEST, 1, "m-1", 2), b""),
+        "digest of contents": contents_problem(Version(1, DIGEST, 1, "m-1", 2), b"x"),
     }
 
 
--- a/tests/test_config_distribution.py
+++ b/tests/test_config_distribution.py
@@ -16,7 +16,7 @@
 from grebestack.config_distribution import timeouts
 from grebestack.config_distribution.configuration import ConfigurationVoter, View
 from grebestack.config_distribution.follower import Follower
-from grebestack.config_distribution.messages import News
+from grebestack.config_distribution.messages import ConfigUpdate
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import Version
 from grebestack.consensus import replica
@@ -61,12 +61,15 @@
 
 
 def test_a_first_settling_that_is_long_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(timeouts, "SETTLED_MS", timeouts.SETTLED_MOST_MS)
+    monkeypatch.setattr(timeouts, "STALE_RELAY_STAY_MS", timeouts.MAX_STALE_RELAY_STAY_MS)
     assert [text for seed in range(12) for text in play(seed, COLD).wrong() if text.startswith("f")]
 
 
 def test_who_has_settled_twice_looks_round_once_voters_that_start_with_it_are_heard() -> None:
-    assert timeouts.SETTLED_MS[0] * timeouts.SETTLED_ALIKE >= timeouts.MESH_MS + timeouts.BEAT_MS[1]
+    assert (
+        timeouts.STALE_RELAY_STAY_MS[0] * timeouts.STALE_RELAY_STAYS_BEFORE_BACKOFF
+        >= timeouts.VOTER_RECONNECT_ALLOWANCE_MS + timeouts.HEARTBEAT_INTERVAL_MS[1]
+    )
 
 
 def test_the_same_seed_plays_the_same() -> None:
@@ -150,7 +153,7 @@
     assert far is not None and far.version.number == 1
     assert "a majority known 60" in far.shown(world.now) or "a majority known 59" in far.shown(world.now)
     world.heal(ways)
-    world.run(66_000.0 + timeouts.BOUND_MS)
+    world.run(66_000.0 + timeouts.PROPAGATION_BOUND_MS)
     assert {v.number for v in world.in_force().values()} == {2}
 
 
@@ -198,13 +201,13 @@
 def test_all_waits_of_one_fault_come_to_9_s_at_most(
     fault: str, waited: tuple[tuple[str, float], ...]
 ) -> None:
-    assert sum(ms for _, ms in waited) <= timeouts.BOUND_MS == 9000.0, fault
+    assert sum(ms for _, ms in waited) <= timeouts.PROPAGATION_BOUND_MS == 9000.0, fault
 
 
 def test_a_sound_relay_is_never_stale() -> None:
-    hop = timeouts.BEAT_MS[1] + timeouts.SOON_MS[1]
-    assert hop + timeouts.ANSWER_MS < timeouts.STALE_MS
-    assert timeouts.ASK_MS == replica.ASK_MS
+    hop = timeouts.HEARTBEAT_INTERVAL_MS[1] + timeouts.FAST_POLL_INTERVAL_MS[1]
+    assert hop + timeouts.RESPONSE_TIMEOUT_MS < timeouts.STALE_RELAY_MS
+    assert timeouts.REGISTER_TIMEOUT_MS == replica.ASK_MS
 
 
 # The checker, and what it must find.
@@ -270,7 +273,7 @@
 class Credulous(Follower):
     """It takes any number."""
 
-    def _news(self, now_ms: float, news: News) -> list[act.FollowerAction]:
+    def _news(self, now_ms: float, news: ConfigUpdate) -> list[act.FollowerAction]:
         if news.contents is not None and self.pending is None:
             self.wanted = news.version, news.contents
             return [*self._begin(now_ms), *self._word(now_ms, news.version.number, news.confirmed_ms)]
@@ -285,7 +288,7 @@
     ) -> list[act.ConfigurationAction]:
         actions = super().propose(now_ms, ticket, contents, since_ms, view)
         if self.proposal is not None:
-            actions.append(act.Offer(self.proposal.version, contents))
+            actions.append(act.PublishVersion(self.proposal.version, contents))
         return actions
 
 
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from grebestack.cluster_io.config_store import MAGIC, Contents, Held
+from grebestack.cluster_io.config_store import MAGIC, ConfigStore, StoredConfig
 from grebestack.cluster_io.log_store import FolderTakenError
 from grebestack.config_distribution.versions import Version, digest_of
 from tests.test_log_store import Failing
@@ -37,8 +37,8 @@
 
     def __init__(self, folder: Path, how: str = "", fleet: str = "farm") -> None:
         self.loop = asyncio.new_event_loop()
-        self.contents = Contents(self.loop, str(folder), fleet, FailingSync(how, errno.EIO))
-        self.held: Held = self.contents.open()
+        self.contents = ConfigStore(self.loop, str(folder), fleet, FailingSync(how, errno.EIO))
+        self.held: StoredConfig = self.contents.open()
 
     def _wait(self, ask: Callable[[Callable[[str], None]], None]) -> str:
         ended: asyncio.Future[str] = self.loop.create_future()
@@ -56,7 +56,7 @@
         self.loop.close()
 
 
-def held(folder: Path, fleet: str = "farm") -> Held:
+def held(folder: Path, fleet: str = "farm") -> StoredConfig:
     disk = Disk(folder, fleet=fleet)
     disk.close()
     return disk.held
--- a/tests/test_configuration_versions.py
+++ b/tests/test_configuration_versions.py
@@ -11,31 +11,31 @@
 from msgspec import DecodeError, structs
 
 from grebestack.config_distribution.messages import (
-    FORM,
-    MOST,
-    Fetch,
-    Full,
-    Greeting,
-    News,
+    MAX_MESSAGE_BYTES,
+    PROTOCOL_VERSION,
+    ConfigUpdate,
+    FetchFullContents,
+    FollowerStatus,
+    Message,
+    NotModified,
     Poll,
-    Said,
-    Standing,
-    Still,
-    Tally,
-    Welcome,
+    StatusReport,
+    Subscribe,
+    SubscribeAccepted,
+    SubscribeRejected,
     decode,
     encode,
 )
 from grebestack.config_distribution.versions import (
-    MOST_CONTENTS,
+    MAX_CONTENTS_BYTES,
     NO_VERSION,
     Delta,
     Version,
     apply_delta,
-    check,
+    contents_problem,
     delta_between,
     digest_of,
-    sound,
+    version_problem,
 )
 from grebestack.consensus.messages import Kept, record
 from grebestack.consensus.messages import encode as encoded
@@ -63,7 +63,7 @@
 
 
 def test_a_small_change_of_large_contents_is_small() -> None:
-    before = random.Random(1).randbytes(MOST_CONTENTS)
+    before = random.Random(1).randbytes(MAX_CONTENTS_BYTES)
     after = before[:200_000] + b"weight = 3" + before[200_010:]
     delta = delta_between(before, after)
     assert len(delta.middle) < 40 and apply_delta(before, delta, version_of(after)) == after
@@ -94,7 +94,7 @@
         (GOOD, structs.replace(FITS, digest="0" * 64), "digest"),
         (GOOD, structs.replace(FITS, digest="short"), "digest"),
         (GOOD, structs.replace(FITS, size=FITS.size + 1), "middle"),
-        (GOOD, structs.replace(FITS, size=MOST_CONTENTS + 1), "size"),
+        (GOOD, structs.replace(FITS, size=MAX_CONTENTS_BYTES + 1), "size"),
         (GOOD, structs.replace(FITS, number=0), "number"),
     ],
 )
@@ -116,28 +116,30 @@
 
 
 def test_contents_are_checked_by_number_digest_and_size() -> None:
-    assert check(FITS, AFTER) == ""
-    assert check(FITS, AFTER[:-1]) == f"size is {len(AFTER) - 1}; allowed: {len(AFTER)} in version 1"
-    assert check(FITS, BEFORE[: len(AFTER)]).startswith("digest is ")
-    assert sound(NO_VERSION) == "number is 0; allowed: 1 and more"
-    assert sound(structs.replace(FITS, digest=FITS.digest.upper())).startswith("digest is ")
+    assert contents_problem(FITS, AFTER) == ""
+    assert (
+        contents_problem(FITS, AFTER[:-1]) == f"size is {len(AFTER) - 1}; allowed: {len(AFTER)} in version 1"
+    )
+    assert contents_problem(FITS, BEFORE[: len(AFTER)]).startswith("digest is ")
+    assert version_problem(NO_VERSION) == "number is 0; allowed: 1 and more"
+    assert version_problem(structs.replace(FITS, digest=FITS.digest.upper())).startswith("digest is ")
 
 
 @pytest.mark.parametrize(
     "item",
     [
-        Greeting(FORM, "f", "d1", 3, "r/z", 7, FITS.digest),
-        Welcome(FORM, "f", "v1", 2048, 7),
-        Full("2048 followers"),
-        News(FITS, 1200, GOOD),
-        News(FITS, 1200, None, AFTER),
+        Subscribe(PROTOCOL_VERSION, "f", "d1", 3, "r/z", 7, FITS.digest),
+        SubscribeAccepted(PROTOCOL_VERSION, "f", "v1", 2048, 7),
+        SubscribeRejected("2048 followers"),
+        ConfigUpdate(FITS, 1200, GOOD),
+        ConfigUpdate(FITS, 1200, None, AFTER),
         Poll(7, FITS.digest, 8, "servers is 3"),
-        Still(7, 900),
-        Fetch(7),
-        Tally("v1", 3, 1, True, 7, (Standing("d1", 3, 7, 200, True, 0, 8, "why"),)),
+        NotModified(7, 900),
+        FetchFullContents(7),
+        StatusReport("v1", 3, 1, True, 7, (FollowerStatus("d1", 3, 7, 200, True, 0, 8, "why"),)),
     ],
 )
-def test_what_followers_and_relays_say_is_read_as_it_was_said(item: Said) -> None:
+def test_what_followers_and_relays_say_is_read_as_it_was_said(item: Message) -> None:
     assert decode(encode(item)) == item
 
 
@@ -145,9 +147,9 @@
     with pytest.raises(DecodeError):
         decode(b"\xc1")
     with pytest.raises(DecodeError):
-        decode(encode(Still(7, 900))[:-1])
-    whole = random.Random(1).randbytes(MOST_CONTENTS)
-    assert len(encode(News(version_of(whole), 0, None, whole))) < MOST
+        decode(encode(NotModified(7, 900))[:-1])
+    whole = random.Random(1).randbytes(MAX_CONTENTS_BYTES)
+    assert len(encode(ConfigUpdate(version_of(whole), 0, None, whole))) < MAX_MESSAGE_BYTES
 
 
 def test_a_version_can_be_the_value_of_a_register() -> None:
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -14,18 +14,25 @@
 import pytest
 
 from grebestack.cluster_io.configuration_node import ConfigurationNode
-from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
+from grebestack.cluster_io.follower_client import FollowerClient, FollowerSettings, RelayAddress
 from grebestack.cluster_io.framing import Traffic
 from grebestack.cluster_io.node import Node
-from grebestack.cluster_io.relay_connection import FeedLink
+from grebestack.cluster_io.relay_connection import RelayConnection
 from grebestack.cluster_io.relay_server import RelayServer
 from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.config_distribution.actions import Store
-from grebestack.config_distribution.messages import MOST, Greeting, Poll, Said, Still, encode
+from grebestack.config_distribution.messages import (
+    MAX_MESSAGE_BYTES,
+    Message,
+    NotModified,
+    Poll,
+    Subscribe,
+    encode,
+)
 from grebestack.config_distribution.relay import Relay
-from grebestack.config_distribution.versions import MOST_CONTENTS, Version, digest_of
+from grebestack.config_distribution.versions import MAX_CONTENTS_BYTES, Version, digest_of
 from grebestack.program.config import Config, ConfigError, from_file
-from grebestack.program.config_updates import Laying, read_contents
+from grebestack.program.config_updates import AppliedConfig, read_contents
 from tests.follower_cluster import contents
 from tests.standins import APPLIANCE_SETTINGS
 
@@ -73,31 +80,31 @@
     """Owns one link and keeps what it heard."""
 
     def __init__(self) -> None:
-        self.messages: list[Said] = []
+        self.messages: list[Message] = []
         self.why = ""
 
-    def connected(self, link: FeedLink) -> None:
+    def connected(self, link: RelayConnection) -> None:
         """Nothing."""
 
-    def heard(self, link: FeedLink, message: Said) -> None:
+    def heard(self, link: RelayConnection, message: Message) -> None:
         self.messages.append(message)
 
-    def ended(self, link: FeedLink, why: str) -> None:
+    def ended(self, link: RelayConnection, why: str) -> None:
         self.why = why
 
 
-def linked() -> tuple[FeedLink, Ear, Wire]:
+def linked() -> tuple[RelayConnection, Ear, Wire]:
     ear, wire = Ear(), Wire()
-    link = FeedLink(cast(asyncio.AbstractEventLoop, Loop()), ear, 1, Traffic())
+    link = RelayConnection(cast(asyncio.AbstractEventLoop, Loop()), ear, 1, Traffic())
     link.connection_made(cast(asyncio.Transport, wire))
     return link, ear, wire
 
 
-def framed(*items: Said) -> bytes:
+def framed(*items: Message) -> bytes:
     return b"".join(struct.pack(">I", len(encode(item))) + encode(item) for item in items)
 
 
-SAID: list[Said] = [Greeting(1, "farm", "f0", 3, PLACE, 0, ""), Poll(4, "d" * 64), Still(5, 7)]
+SAID: list[Message] = [Subscribe(1, "farm", "f0", 3, PLACE, 0, ""), Poll(4, "d" * 64), NotModified(5, 7)]
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -114,7 +121,10 @@
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (struct.pack(">I", MOST + 1), f"a message of {MOST + 1} bytes; allowed: {MOST}"),
+        (
+            struct.pack(">I", MAX_MESSAGE_BYTES + 1),
+            f"a message of {MAX_MESSAGE_BYTES + 1} bytes; allowed: {MAX_MESSAGE_BYTES}",
+        ),
         (struct.pack(">I", 3) + b"\xc1\xc1\xc1", "no message of form 1"),
         (struct.pack(">I", 1) + b"\x01", "no message of form 1"),
     ],
@@ -129,7 +139,7 @@
 
 def test_who_does_not_read_is_cut_off_and_nothing_more_is_kept_for_it() -> None:
     link, _, wire = linked()
-    wire.unread = 2 * MOST
+    wire.unread = 2 * MAX_MESSAGE_BYTES
     link.write(b"x")
     assert wire.aborted and link.why == "it does not read" and not wire.written
 
@@ -146,7 +156,7 @@
 
 def test_one_given_up_while_it_was_opened_ends_as_it_comes_up() -> None:
     ear, wire = Ear(), Wire()
-    link = FeedLink(cast(asyncio.AbstractEventLoop, Loop()), ear, 1, Traffic())
+    link = RelayConnection(cast(asyncio.AbstractEventLoop, Loop()), ear, 1, Traffic())
     link.close("another is dialled")
     link.connection_made(cast(asyncio.Transport, wire))
     assert wire.aborted
@@ -161,7 +171,7 @@
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.tallies = 0
-        self.nodes: list[FollowerNode] = []
+        self.nodes: list[FollowerClient] = []
         self.relays: dict[str, RelayServer] = {}
 
     async def relay(self, name: str = "m0", fleet: str = "farm", most: int = 2048) -> RelayServer:
@@ -179,10 +189,10 @@
 
     def follower(
         self, name: str, take: Callable[[Version, bytes], str] | None = None, folder: str = ""
-    ) -> FollowerNode:
+    ) -> FollowerClient:
         relays = {name: RelayAddress(server.address, PLACE) for name, server in self.relays.items()}
         settings = FollowerSettings(name, "farm", PLACE, relays, folder)
-        node = FollowerNode(self.loop, settings, take or (lambda version, data: ""))
+        node = FollowerClient(self.loop, settings, take or (lambda version, data: ""))
         self.nodes.append(node)
         node.start()
         return node
@@ -447,8 +457,8 @@
         return self.why
 
 
-def laying(tmp_path: Path, **kv: Any) -> Laying:
-    return Laying(Fake(load(tmp_path, f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}'), **kv))
+def laying(tmp_path: Path, **kv: Any) -> AppliedConfig:
+    return AppliedConfig(Fake(load(tmp_path, f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}'), **kv))
 
 
 def test_a_version_stands_in_place_of_the_files_sections_and_stays_over_a_file_read_again(
@@ -513,6 +523,8 @@
         with pytest.raises(ConfigError, match=why):
             read_contents(str(path))
     with tempfile.NamedTemporaryFile(dir=tmp_path) as file:
-        file.truncate(MOST_CONTENTS + 1)
-        with pytest.raises(ConfigError, match=f"{MOST_CONTENTS + 1} bytes; allowed: {MOST_CONTENTS}"):
+        file.truncate(MAX_CONTENTS_BYTES + 1)
+        with pytest.raises(
+            ConfigError, match=f"{MAX_CONTENTS_BYTES + 1} bytes; allowed: {MAX_CONTENTS_BYTES}"
+        ):
             read_contents(file.name)
--- a/tests/test_follower_cluster.py
+++ b/tests/test_follower_cluster.py
@@ -15,7 +15,7 @@
 import pytest
 
 from grebestack.cluster_io.runtime import monotonic_ms
-from grebestack.config_distribution.versions import MOST_CONTENTS
+from grebestack.config_distribution.versions import MAX_CONTENTS_BYTES
 from grebestack.program.audit_command import record_of
 from tests.follower_cluster import LATE_MS, FollowerCluster, Lateness, contents
 from tests.standins import wait_until
@@ -302,9 +302,9 @@
         wait_until(lambda: "no version" in cluster.shown("f0"), 30)
         large = cluster.folder / "large.toml"
         with large.open("wb") as file:
-            file.truncate(MOST_CONTENTS + 1)
+            file.truncate(MAX_CONTENTS_BYTES + 1)
         for answer, why in (
-            (cluster.shown("m0", f"configure {large}"), f"{MOST_CONTENTS + 1} bytes; allowed"),
+            (cluster.shown("m0", f"configure {large}"), f"{MAX_CONTENTS_BYTES + 1} bytes; allowed"),
             (cluster.shown("m0", "configure none.toml"), "No such file"),
             (cluster.shown("m0", "configure"), "configure takes one ID"),
             (cluster.ask("m0", contents(6, zones='["x"]')), "settings.zones is ['x'], which can't change"),
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -9,7 +9,7 @@
 
 from grebestack.audit import records
 from grebestack.audit.reading import MAGIC
-from grebestack.cluster_io.config_store import Contents
+from grebestack.cluster_io.config_store import ConfigStore
 from grebestack.cluster_io.log_store import Store
 from grebestack.consensus.log_format import read
 from grebestack.hot_restart.framing import read_note
@@ -66,7 +66,7 @@
 def test_a_golden_configuration_is_read(tmp_path: Path) -> None:
     write_golden(tmp_path, "configuration")
     loop = asyncio.new_event_loop()
-    contents = Contents(loop, str(tmp_path), "fleet-a")
+    contents = ConfigStore(loop, str(tmp_path), "fleet-a")
     held = contents.open()
     contents.close()
     loop.close()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -62,7 +62,7 @@
     "run.main",
     "Opening._open",
     "Fleet.start",
-    "Configuring.start",
+    "ConfigUpdates.start",
     "RelayServer.start",
 }
 
