--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -747,7 +747,23 @@
             " for a dispatcher, one push of the difference for a change; voters and relays grow with what"
             " they serve, not with its square."
         )
-    names = ("versions", "messages", "follower", "relay", "configuration", "timeouts")
+    names = (
+        "versions",
+        "messages",
+        "follower",
+        "relay",
+        "voter",
+        "voter_messages",
+        "voter_state",
+        "register_access",
+        "proposing",
+        "learning",
+        "undecided",
+        "fetching",
+        "activation",
+        "status",
+        "timeouts",
+    )
     modules = [f"grebestack/config_distribution/{name}.py" for name in names]
     words = ("configur", "follow", "relay", "version", "feed", "scale")
     tests = sorted(
--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -25,9 +25,11 @@
     Store,
     StoreContents,
 )
-from grebestack.config_distribution.configuration import REGISTER, ConfigurationVoter, View, register_change
 from grebestack.config_distribution.messages import StatusReport
+from grebestack.config_distribution.register_access import REGISTER, register_change
 from grebestack.config_distribution.versions import Version
+from grebestack.config_distribution.voter import ConfigurationVoter
+from grebestack.config_distribution.voter_state import VoterView
 from grebestack.consensus.register import Value
 
 log = logging.getLogger(__name__)
@@ -95,13 +97,13 @@
         if not self.turns.stopped:
             self.turns.run(self.voter.tallied(self.clock(), tally, self._view()))
 
-    def _view(self) -> View:
+    def _view(self) -> VoterView:
         """This voter's disk and set, at this moment."""
         member = self.node.member
         slot = member.voter.shelf.slots.get(REGISTER)
         accepted = slot.value.number if slot is not None and isinstance(slot.value, Version) else 0
         roll = member.roll
-        return View(
+        return VoterView(
             accepted if member.voter.votes else -1,
             roll.epoch,
             roll.names(),
--- /dev/null
+++ b/grebestack/config_distribution/activation.py
@@ -0,0 +1,86 @@
+"""Puts the newest decided version in force on the voter itself. Pure."""
+
+from __future__ import annotations
+
+from math import inf
+
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.actions import Apply, ConfigurationAction, PublishVersion, Store
+from grebestack.config_distribution.undecided import UndecidedContents
+from grebestack.config_distribution.versions import NO_VERSION, Version, contents_problem
+from grebestack.config_distribution.voter_state import VoterState
+from grebestack.consensus.actions import Told
+
+STORING, APPLYING = "storing", "applying"
+
+
+class VersionActivation:
+    """Stores and then applies one version at a time."""
+
+    def __init__(self, state: VoterState, undecided: UndecidedContents) -> None:
+        self.state, self.undecided = state, undecided
+        self.in_force: Version = NO_VERSION
+        self.refused, self.refused_why = 0, ""
+        self.pending: tuple[Version, bytes] | None = None
+        self.step = ""  # what `pending` waits for
+        self.start_ms = inf  # until when the disk's version waits for the other voters
+        self.disk: tuple[tuple[Version, bytes], ...] = ()  # newest first; until a version is in force
+
+    def start(self, now_ms: float, disk: list[tuple[Version, bytes]]) -> list[ConfigurationAction]:
+        """Take the decided versions that the disk holds."""
+        actions: list[ConfigurationAction] = []
+        for version, contents in disk:
+            if why := contents_problem(version, contents):
+                actions.append(Told("configuration_disk", {"number": version.number, "why": why}))
+            else:
+                self.disk += ((version, contents),)
+        self.disk = tuple(sorted(self.disk, key=lambda held: -held[0].number))
+        if self.disk:
+            state = self.state
+            state.version, state.contents = self.disk[0]
+            state.decided = state.version
+            self.start_ms = now_ms + timeouts.STARTUP_GRACE_MS
+            actions.append(PublishVersion(state.version, state.contents))
+        return actions
+
+    def begin(self) -> list[ConfigurationAction]:
+        """Store and apply the newest version, unless it is in force, refused, or another is pending."""
+        version, contents = self.state.version, self.state.contents
+        if self.pending is not None or version.number <= max(self.in_force.number, self.refused):
+            return []
+        self.pending, self.step, self.start_ms = (version, contents), STORING, inf
+        numbers = [held.number for held, _ in self.disk] or [self.in_force.number]
+        if version.number in numbers:  # already on the disk
+            self.step = APPLYING
+            return [Apply(version, contents)]
+        return [Store(version, contents, numbers[0], tuple(numbers[1:]))]
+
+    def stored(self, now_ms: float, number: int, why: str) -> list[ConfigurationAction]:
+        """Apply the version that was stored; one that could not be stored is applied as well."""
+        if self.pending is None or self.step != STORING or self.pending[0].number != number:
+            return []
+        actions: list[ConfigurationAction] = []
+        if why:
+            actions.append(Told("configuration_not_stored", {"number": number, "why": why}))
+        else:
+            actions += self.undecided.discard(now_ms, self.pending[0].digest)
+        self.step = APPLYING
+        return [*actions, Apply(*self.pending)]
+
+    def taken(self, number: int, why: str) -> list[ConfigurationAction]:
+        """Record that a version is in force or was refused, and begin with the next."""
+        if self.pending is None or self.step != APPLYING or self.pending[0].number != number:
+            return []
+        (version, _), self.pending, self.step = self.pending, None, ""
+        if why:
+            self.refused, self.refused_why = number, why
+            event = Told("configuration_refused", {"number": number, "why": why})
+            self.disk = tuple(held for held in self.disk if held[0].number != number)
+            if self.disk and self.state.version.number <= number:  # what was in force before the start
+                self.pending, self.step = self.disk[0], APPLYING
+                return [event, Apply(*self.pending)]
+        else:
+            self.in_force, self.disk = version, ()
+            kv = {"number": number, "digest": version.digest, "by": version.by, "relay": ""}
+            event = Told("configuration_in_force", kv)
+        return [event, *self.begin()]
--- /dev/null
+++ b/grebestack/config_distribution/fetching.py
@@ -0,0 +1,57 @@
+"""Fetching the contents of the decided version from other voters. Pure."""
+
+from __future__ import annotations
+
+from math import inf
+
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.actions import ConfigurationAction, PublishVersion
+from grebestack.config_distribution.activation import VersionActivation
+from grebestack.config_distribution.versions import contents_problem
+from grebestack.config_distribution.voter_messages import Contents, FetchContents
+from grebestack.config_distribution.voter_state import VoterState, VoterView
+
+
+class ContentsFetching:
+    """Fetches the contents of the decided version from one voter after the other."""
+
+    def __init__(self, state: VoterState, activation: VersionActivation) -> None:
+        self.state, self.activation = state, activation
+        self.fetch_ms = inf
+        self.fetched = ""  # the voter to ask next
+
+    def begin(self, now_ms: float, name: str) -> None:
+        """Fetch at the next tick, first from this voter."""
+        self.fetch_ms, self.fetched = now_ms, name
+
+    def fetch(self, now_ms: float, view: VoterView) -> list[ConfigurationAction]:
+        """Ask the next voter."""
+        self.fetch_ms = now_ms + timeouts.FETCH_RETRY_INTERVAL_MS
+        others = self.state.peers(view)
+        if not others:
+            return []
+        name = self.fetched if self.fetched in others else others[0]
+        self.fetched = others[(others.index(name) + 1) % len(others)]
+        return [self.state.send(name, FetchContents(self.state.decided.digest))]
+
+    def received(self, name: str, message: Contents) -> list[ConfigurationAction]:
+        """Take the decided version's contents from another voter; their digest has been checked."""
+        state = self.state
+        if message.digest != state.decided.digest or state.version == state.decided:
+            return []
+        if why := contents_problem(state.decided, message.contents):
+            return state.report_invalid(f"digest/{name}", name, why)
+        return self.complete(message.contents)
+
+    def stored(self, digest: str, contents: bytes) -> list[ConfigurationAction]:
+        """Take contents that were stored as a proposal, if they have been decided since."""
+        if digest != self.state.decided.digest or self.state.version == self.state.decided:
+            return []
+        return self.complete(contents)
+
+    def complete(self, contents: bytes) -> list[ConfigurationAction]:
+        """Publish the decided version with its contents and put it in force."""
+        state = self.state
+        state.version, state.contents = state.decided, contents
+        self.fetch_ms = inf
+        return [PublishVersion(state.version, contents), *self.activation.begin()]
--- /dev/null
+++ b/grebestack/config_distribution/learning.py
@@ -0,0 +1,136 @@
+"""Learning what is decided: from the register, from other voters, and since when a majority agrees. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from math import inf
+
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.actions import ConfigurationAction, MajorityConfirmed
+from grebestack.config_distribution.activation import VersionActivation
+from grebestack.config_distribution.fetching import ContentsFetching
+from grebestack.config_distribution.proposing import Proposing
+from grebestack.config_distribution.register_access import RegisterAccess
+from grebestack.config_distribution.undecided import UndecidedContents
+from grebestack.config_distribution.versions import NO_VERSION, Version, invalid_value, version_problem
+from grebestack.config_distribution.voter_messages import Heartbeat, HeartbeatResponse
+from grebestack.config_distribution.voter_state import VoterState, VoterView
+
+MAX_HEARTBEATS_OUTSTANDING = 16
+
+
+class DecidedVersions:
+    """Learns decided versions from the register and from voters that know of them."""
+
+    def __init__(
+        self,
+        state: VoterState,
+        register: RegisterAccess,
+        undecided: UndecidedContents,
+        fetching: ContentsFetching,
+        proposing: Proposing,
+    ) -> None:
+        self.state, self.register, self.undecided = state, register, undecided
+        self.fetching, self.proposing = fetching, proposing
+        self.others_decided: dict[str, int] = {}  # of each voter the highest number that it reported
+
+    def learn(self, now_ms: float, version: Version, by: str) -> list[ConfigurationAction]:
+        """Take a version that is decided, as the register or the voter `by` says."""
+        state = self.state
+        if version == NO_VERSION:
+            return []
+        if why := version_problem(version):
+            return state.report_invalid(f"version/{by}", by, why)
+        if version.number == state.decided.number and version != state.decided:
+            allowed = f"{state.decided.digest} as number {version.number}"
+            return state.report_invalid(f"two/{by}", by, invalid_value("version", version.digest, allowed))
+        if version.number <= state.decided.number:
+            return []
+        state.decided = version
+        contents = self.undecided.find(version.digest)
+        if contents is not None:
+            return [*self.fetching.complete(contents), *self.proposing.settle(version)]
+        self.fetching.begin(now_ms, by)
+        return self.proposing.settle(version)
+
+    def reported(
+        self, now_ms: float, name: str, message: Heartbeat | HeartbeatResponse
+    ) -> list[ConfigurationAction]:
+        """Take what another voter has accepted and knows to be decided."""
+        actions: list[ConfigurationAction] = []
+        former = self.others_decided.get(name, 0)
+        number = message.decided.number
+        if number < former and isinstance(message, Heartbeat):
+            why = invalid_value("decided", number, f"{former} and more, as it said before")
+            actions += self.state.report_invalid(f"less/{name}", name, why)
+        self.others_decided[name] = max(former, number)
+        actions += self.learn(now_ms, message.decided, name)
+        self.compare_accepted(now_ms, message.accepted)
+        return actions
+
+    def compare_accepted(self, now_ms: float, accepted: int) -> None:
+        """Have the register read if a voter has accepted a newer number than is known to be decided."""
+        if accepted > self.state.decided.number and self.register.read_ms == inf:
+            self.register.read_ms = now_ms + self.state.register_read_delay_ms()
+
+
+@dataclass(frozen=True, slots=True)
+class PeerReport:
+    """The last heartbeat response of another voter."""
+
+    sent_ms: float  # when the heartbeat was sent
+    epoch: int
+    accepted: int
+
+
+class MajorityConfirmation:
+    """Heartbeats to the other voters, and the time of the last confirmation by a majority."""
+
+    def __init__(self, state: VoterState, activation: VersionActivation, now_ms: float) -> None:
+        self.state, self.activation = state, activation
+        self.beat_ms, self.beats = now_ms, 0  # when the next heartbeat is due, and how many were sent
+        self.sent: dict[int, float] = {}  # by sequence: when
+        self.others: dict[str, PeerReport] = {}
+        self.confirmed_ms: float | None = None
+
+    def send_heartbeat(self, now_ms: float, view: VoterView) -> list[ConfigurationAction]:
+        """Send a heartbeat to each connected voter."""
+        self.beats += 1
+        self.sent[self.beats] = now_ms
+        while len(self.sent) > MAX_HEARTBEATS_OUTSTANDING:
+            del self.sent[next(iter(self.sent))]
+        self.beat_ms = now_ms + self.state.random.uniform(*timeouts.HEARTBEAT_INTERVAL_MS)
+        heartbeat = Heartbeat(self.beats, view.epoch, view.accepted, self.state.decided)
+        return [self.state.send(name, heartbeat) for name in self.state.peers(view)]
+
+    def received(self, name: str, response: HeartbeatResponse) -> None:
+        """Record a response; one to a heartbeat that is forgotten is ignored."""
+        sent_ms = self.sent.get(response.sequence)
+        if sent_ms is None:
+            return
+        former = self.others.get(name)
+        if former is None or former.sent_ms <= sent_ms:
+            self.others[name] = PeerReport(sent_ms, response.epoch, response.accepted)
+
+    def confirm(self, now_ms: float, view: VoterView) -> list[ConfigurationAction]:
+        """Find the last time at which a majority had accepted nothing newer than what is held here.
+
+        Whatever was decided before then was accepted by a majority, and any two majorities share a voter.
+        """
+        held = self.state.version.number
+        times = [
+            report.sent_ms
+            for name, report in self.others.items()
+            if name in view.names and report.epoch == view.epoch and 0 <= report.accepted <= held
+        ]
+        if self.state.name in view.names and 0 <= view.accepted <= held:
+            times.append(now_ms)
+        times.sort(reverse=True)
+        if not view.epoch or len(times) < view.majority:
+            return []
+        at_ms = times[view.majority - 1]
+        if self.confirmed_ms is not None and at_ms <= self.confirmed_ms:
+            return []
+        self.confirmed_ms, self.state.current = at_ms, True
+        begun = self.activation.begin() if self.activation.start_ms < inf else []  # the disk's is the newest
+        return [MajorityConfirmed(at_ms), *begun]
--- /dev/null
+++ b/grebestack/config_distribution/proposing.py
@@ -0,0 +1,142 @@
+"""Proposing a version: contents to a majority of voters, then the change of the register. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import msgspec
+
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.actions import (
+    ChangeRegister,
+    ConfigurationAction,
+    ProposalResult,
+    StoreContents,
+)
+from grebestack.config_distribution.register_access import RegisterAccess
+from grebestack.config_distribution.undecided import UndecidedContents
+from grebestack.config_distribution.versions import MAX_CONTENTS_BYTES, Version, digest_of, invalid_value
+from grebestack.config_distribution.voter_messages import Propose
+from grebestack.config_distribution.voter_state import Proposal, VoterState, VoterView
+
+
+class Proposing:
+    """One proposal at a time; a `ProposalResult` ends it."""
+
+    def __init__(self, state: VoterState, undecided: UndecidedContents, register: RegisterAccess) -> None:
+        self.state, self.undecided, self.register = state, undecided, register
+
+    def propose(
+        self, now_ms: float, ticket: int, contents: bytes, since_ms: int, view: VoterView
+    ) -> list[ConfigurationAction]:
+        """Begin a proposal, or reject it."""
+        state = self.state
+        state.view = view
+        if why := self._why_rejected(contents, view):
+            return [ProposalResult(ticket, False, state.decided, why)]
+        digest = digest_of(contents)
+        version = Version(state.decided.number + 1, digest, len(contents), state.name, since_ms)
+        proposal = Proposal(ticket, version, contents, now_ms + timeouts.PROPOSAL_TIMEOUT_MS)
+        state.proposal = proposal
+        store: list[ConfigurationAction] = []
+        if digest in self.undecided.on_disk:
+            state.proposal = replace(proposal, holders=frozenset({state.name}))
+        elif digest not in self.undecided.writing:
+            self.undecided.writing[digest] = contents, frozenset()
+            store.append(StoreContents(digest, contents))
+        read = [] if state.current or self.register.deciding else self.register.read(now_ms)
+        return [*store, *read, *self.advance(now_ms, view)]
+
+    def _why_rejected(self, contents: bytes, view: VoterView) -> str:
+        """Say why contents can't be proposed here now; empty where they can."""
+        name = self.state.name
+        reached = len(view.linked & view.names | {name})
+        if len(contents) > MAX_CONTENTS_BYTES:
+            return invalid_value("contents", f"{len(contents)} bytes", f"up to {MAX_CONTENTS_BYTES}")
+        if self.state.proposal is not None:
+            return f"another change is under way at {name}"
+        if view.accepted < 0:
+            return f"the vote of {name} does not count now"
+        if reached < view.majority:
+            return f"{reached} of {len(view.names)} voters are connected; needed: {view.majority}"
+        return ""
+
+    def advance(self, now_ms: float, view: VoterView) -> list[ConfigurationAction]:
+        """Take the proposal's next step, if one is due."""
+        proposal = self.state.proposal
+        if proposal is None:
+            return []
+        if now_ms >= proposal.until_ms:
+            return self._end(False, self._why_timed_out(proposal, view))
+        enough = len(proposal.holders & view.names) >= view.majority
+        if enough and self.state.name in proposal.holders:
+            return self._change_register(now_ms, proposal)
+        if now_ms < proposal.again_ms:
+            return []
+        self.state.proposal = replace(proposal, again_ms=now_ms + timeouts.FETCH_RETRY_INTERVAL_MS)
+        message = Propose(proposal.version.digest, proposal.contents)
+        return [
+            self.state.send(name, message)
+            for name in sorted((view.names & view.linked) - proposal.holders)
+            if name != self.state.name
+        ]
+
+    def _why_timed_out(self, proposal: Proposal, view: VoterView) -> str:
+        held = ", ".join(sorted(proposal.holders)) or "nobody"
+        if proposal.asked:
+            return "not known whether it is in force"
+        if not self.state.current:
+            return f"the register can't be read: no majority of the voters has answered; held by {held}"
+        return f"its contents are held by {held}; needed: {view.majority} voters"
+
+    def _change_register(self, now_ms: float, proposal: Proposal) -> list[ConfigurationAction]:
+        state = self.state
+        if not state.current:  # the number to propose is not known yet
+            state.proposal = replace(proposal, again_ms=self.register.read_ms)
+            return []
+        if self.register.deciding or (proposal.asked and now_ms < proposal.again_ms):
+            return []
+        self.register.deciding = True
+        again_ms = now_ms + state.register_read_delay_ms()
+        state.proposal = replace(proposal, again_ms=again_ms, asked=True)
+        return [ChangeRegister(proposal.version)]
+
+    def contents_held(
+        self, now_ms: float, digest: str, holder: str, view: VoterView
+    ) -> list[ConfigurationAction]:
+        """Count a voter that has stored the contents."""
+        proposal = self.state.proposal
+        if proposal is None or digest != proposal.version.digest:
+            return []
+        self.state.proposal = replace(proposal, holders=proposal.holders | {holder})
+        return self.advance(now_ms, view)
+
+    def contents_not_stored(self, digest: str, why: str) -> list[ConfigurationAction]:
+        """End the proposal whose contents this voter's disk did not take."""
+        proposal = self.state.proposal
+        if proposal is None or digest != proposal.version.digest:
+            return []
+        return self._end(False, f"the contents are not on this disk: {why}")
+
+    def settle(self, decided: Version) -> list[ConfigurationAction]:
+        """End the proposal if the decided version settles it."""
+        state, proposal = self.state, self.state.proposal
+        if proposal is None or decided.number < proposal.version.number:
+            return []
+        if not state.current:  # decided before the proposal as far as is known, which comes next
+            version = msgspec.structs.replace(proposal.version, number=decided.number + 1)
+            state.proposal = replace(proposal, version=version)
+            return []
+        if decided == proposal.version:
+            return self._end(True, "")
+        why = f"{decided.by or 'another voter'} won with number {decided.number}"
+        if decided.number > proposal.version.number and proposal.asked:
+            why += "; whether this one was in force before is not known"
+        return self._end(False, why)
+
+    def _end(self, won: bool, why: str) -> list[ConfigurationAction]:
+        proposal, self.state.proposal = self.state.proposal, None
+        if proposal is None:
+            return []
+        version = proposal.version if won else self.state.decided
+        return [ProposalResult(proposal.ticket, won, version, why, tuple(sorted(proposal.holders)))]
--- /dev/null
+++ b/grebestack/config_distribution/status.py
@@ -0,0 +1,170 @@
+"""Which follower has which version in force, as all relays report it to a voter. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+import msgspec
+
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.actions import ConfigurationAction
+from grebestack.config_distribution.messages import FollowerStatus, StatusReport
+from grebestack.config_distribution.versions import invalid_value
+from grebestack.config_distribution.voter_state import MAX_NAMES, VoterState
+
+
+@dataclass(slots=True)
+class FollowerCounts:
+    """The followers of all relays, each counted once. Times are of the voter's own clock."""
+
+    in_force: dict[int, int] = field(default_factory=dict)  # by number: connected followers
+    behind: dict[str, tuple[int, float]] = field(default_factory=dict)  # number, and since when
+    refused: dict[str, tuple[int, str]] = field(default_factory=dict)  # the refused number and why
+    unknown: dict[str, tuple[int, float]] = field(default_factory=dict)  # the last number, and since when
+
+
+@dataclass(frozen=True, slots=True)
+class FollowerEntry:
+    """A follower as one relay has reported it. Times are of the voter's own clock."""
+
+    status: FollowerStatus
+    heard_ms: float
+    behind_ms: float | None
+
+
+@dataclass(slots=True)
+class RelayEntry:
+    """What one relay has reported so far. Times are of the voter's own clock."""
+
+    life: int  # the relay's process incarnation
+    sequence: int
+    number: int
+    number_ms: float
+    heard_ms: float
+    complete: bool  # no report has been missed since the last full one
+    followers: dict[str, FollowerEntry] = field(default_factory=dict)
+
+
+class StatusTable:
+    """The reports of all relays."""
+
+    def __init__(self, state: VoterState) -> None:
+        self.state = state
+        self.relays: dict[str, RelayEntry] = {}
+        self.acknowledged: dict[str, int] = {}  # by follower: the highest number
+
+    def receive(self, now_ms: float, report: StatusReport) -> list[ConfigurationAction]:
+        """Take a relay's report; a late or repeated one is ignored."""
+        name, relay = report.relay, self.relays.get(report.relay)
+        if relay is not None and report.life < relay.life:
+            why = invalid_value("life", report.life, f"{relay.life} and more, as {name} said before")
+            return self.state.report_invalid(f"life/{name}", name, why)
+        if relay is None or report.life > relay.life:
+            if len(self.relays) >= MAX_NAMES:
+                return []
+            relay = self._new_incarnation(now_ms, report, relay)
+        if report.sequence <= relay.sequence:
+            return []
+        if report.number < relay.number:
+            why = invalid_value("number", report.number, f"{relay.number} and more, as {name} said before")
+            return self.state.report_invalid(f"number/{name}", name, why)
+        if not self._advance(now_ms, relay, report):
+            return []
+        actions: list[ConfigurationAction] = []
+        for status in report.standings:
+            actions += self._update_follower(now_ms, relay, name, status)
+        return actions
+
+    def _new_incarnation(self, now_ms: float, report: StatusReport, former: RelayEntry | None) -> RelayEntry:
+        """Begin an entry; the former one's followers are unknown until a relay reports them."""
+        relay = RelayEntry(report.life, 0, 0, now_ms, now_ms, False)
+        self.relays[report.relay] = relay
+        for name, entry in (former.followers if former is not None else {}).items():
+            away = msgspec.structs.replace(entry.status, linked=False)
+            relay.followers[name] = FollowerEntry(away, entry.heard_ms, None)
+        return relay
+
+    @staticmethod
+    def _advance(now_ms: float, relay: RelayEntry, report: StatusReport) -> bool:
+        """Update the relay's own entry; false where a report is missing before this one."""
+        follows = report.sequence == relay.sequence + 1 and relay.complete
+        relay.heard_ms = now_ms
+        if report.number > relay.number:
+            relay.number, relay.number_ms = report.number, now_ms
+        if not report.whole and not follows:
+            relay.complete = False  # until the next full report
+            return False
+        relay.sequence, relay.complete = report.sequence, True
+        if report.whole:
+            reported = {status.name for status in report.standings}
+            relay.followers = {name: one for name, one in relay.followers.items() if name in reported}
+        return True
+
+    def _update_follower(
+        self, now_ms: float, relay: RelayEntry, by: str, status: FollowerStatus
+    ) -> list[ConfigurationAction]:
+        name, former = status.name, relay.followers.get(status.name)
+        if former is not None and former.status.life == status.life and status.number < former.status.number:
+            why = invalid_value("number", status.number, f"{former.status.number} and more of {name}")
+            return self.state.report_invalid(f"standing/{by}/{name}", by, why)
+        behind = now_ms - status.behind_ms if status.behind_ms else None
+        if former is not None and former.behind_ms is not None and behind is not None:
+            behind = min(behind, former.behind_ms) if status.number == former.status.number else behind
+        relay.followers[name] = FollowerEntry(status, now_ms - status.heard_ms, behind)
+        if status.number > self.acknowledged.get(name, 0):
+            self.acknowledged.pop(name, None)
+            self.acknowledged[name] = status.number
+            if len(self.acknowledged) > MAX_NAMES:
+                del self.acknowledged[next(iter(self.acknowledged))]
+        return []
+
+    def floor(self, name: str) -> int:
+        """Return the highest number that a follower has acknowledged to any relay, 0 for none."""
+        return self.acknowledged.get(name, 0)
+
+    def _best(self, now_ms: float) -> dict[str, tuple[FollowerEntry, RelayEntry, bool]]:
+        """Find the entry that counts of each follower, its relay, and whether it is connected there."""
+        best: dict[str, tuple[FollowerEntry, RelayEntry, bool]] = {}
+        for relay in self.relays.values():
+            silent = now_ms - relay.heard_ms > timeouts.RELAY_SILENT_MS
+            for name, entry in relay.followers.items():
+                linked = entry.status.linked and not silent
+                other = best.get(name)
+                if other is None or _rank(entry, linked) > _rank(other[0], other[2]):
+                    best[name] = entry, relay, linked
+        return best
+
+    def counts(self, now_ms: float) -> FollowerCounts:
+        """Count what is in force, and who is behind, has refused, or is unknown."""
+        counts = FollowerCounts()
+        for name, (entry, relay, linked) in self._best(now_ms).items():
+            status = entry.status
+            if status.refused and linked:
+                counts.refused[name] = status.refused, status.why
+            if not linked:
+                counts.unknown[name] = status.number, entry.heard_ms
+                continue
+            counts.in_force[status.number] = counts.in_force.get(status.number, 0) + 1
+            if status.number < relay.number and status.refused < relay.number:
+                since_ms = entry.behind_ms if entry.behind_ms is not None else relay.number_ms
+                counts.behind[name] = status.number, since_ms
+        return counts
+
+    def shown(self, now_ms: float) -> list[str]:
+        """Describe the counts to operators, a line for each."""
+        counts = self.counts(now_ms)
+        lines = []
+        for number, count in sorted(counts.in_force.items(), reverse=True):
+            lines.append(f"in force: {number}: {count}")
+        for name, (number, since_ms) in sorted(counts.behind.items()):
+            lines.append(f"behind: {name}: {number} for {(now_ms - since_ms) / 1000.0:.1f} s")
+        for name, (number, why) in sorted(counts.refused.items()):
+            lines.append(f"refused: {name}: {number}: {why}")
+        for name, (number, since_ms) in sorted(counts.unknown.items()):
+            lines.append(f"not known: {name}: {number} {(now_ms - since_ms) / 1000.0:.1f} s ago")
+        return lines
+
+
+def _rank(entry: FollowerEntry, linked: bool) -> tuple[bool, int, float]:
+    """Of several relays' entries for one follower the highest rank counts."""
+    return linked, entry.status.life, entry.heard_ms
--- /dev/null
+++ b/grebestack/config_distribution/voter_state.py
@@ -0,0 +1,79 @@
+"""State shared by the parts of a configuration voter. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+from typing import NamedTuple
+
+from grebestack.config_distribution import timeouts
+from grebestack.config_distribution.actions import ConfigurationAction, SendToVoter
+from grebestack.config_distribution.versions import NO_VERSION, Version
+from grebestack.config_distribution.voter_messages import VoterMessage, encode
+from grebestack.consensus.actions import Told
+
+MAX_NAMES = 65_536  # relays, followers and reported faults that are remembered
+
+
+class VoterView(NamedTuple):
+    """The voter's disk and membership as its consensus member has them at this moment."""
+
+    accepted: int  # number in its own slot of the register, 0 for none; -1 while its vote does not count
+    epoch: int
+    names: frozenset[str]  # all members, this one included
+    majority: int
+    linked: frozenset[str]  # members that are connected
+
+
+@dataclass(frozen=True, slots=True)
+class Proposal:
+    """A change that was requested at this voter."""
+
+    ticket: int
+    version: Version
+    contents: bytes
+    until_ms: float
+    holders: frozenset[str] = frozenset()  # voters that have the contents on their disks
+    again_ms: float = 0.0  # when to send the contents, or to change the register, again
+    asked: bool = False  # the register has been asked to change: it may be decided despite any error
+
+
+class VoterState:
+    """What the parts of one voter share.
+
+    Parameters
+    ----------
+    name
+        This voter.
+    random
+        Draws the waits.
+    """
+
+    def __init__(self, name: str, random: Random) -> None:
+        self.name, self.random = name, random
+        self.decided: Version = NO_VERSION  # the newest that is known to be decided
+        self.version: Version = NO_VERSION  # the newest decided version whose contents are here
+        self.contents = b""  # of `version`
+        self.current = False  # the decided number has been learned from a majority since the start
+        self.proposal: Proposal | None = None
+        self.view = VoterView(-1, 0, frozenset(), 1, frozenset())  # the last one given
+        self.noted: frozenset[str] = frozenset()  # faults that were reported
+
+    def peers(self, view: VoterView) -> list[str]:
+        """List the other members that are connected, in order of name."""
+        return sorted((view.names & view.linked) - {self.name})
+
+    def send(self, to: str, message: VoterMessage) -> SendToVoter:
+        """Send a message to another voter."""
+        return SendToVoter(to, encode(message))
+
+    def register_read_delay_ms(self) -> float:
+        """Draw the delay before the register is accessed again."""
+        return self.random.uniform(*timeouts.REGISTER_READ_DELAY_MS)
+
+    def report_invalid(self, key: str, by: str, why: str) -> list[ConfigurationAction]:
+        """Log a fault of another process, once for each key."""
+        if key in self.noted or len(self.noted) >= MAX_NAMES:
+            return []
+        self.noted |= {key}
+        return [Told("configuration_wrong", {"voter": by, "why": why})]
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -19,11 +19,13 @@
 
 from grebestack.config_distribution import actions as act
 from grebestack.config_distribution import timeouts
-from grebestack.config_distribution.configuration import ConfigurationVoter, View, register_change
 from grebestack.config_distribution.follower import Follower, region_of
 from grebestack.config_distribution.messages import ConfigUpdate, decode, encode
+from grebestack.config_distribution.register_access import register_change
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import Version, digest_of
+from grebestack.config_distribution.voter import ConfigurationVoter
+from grebestack.config_distribution.voter_state import VoterView
 from grebestack.consensus.actions import Told
 from grebestack.consensus.register import Accepted, Ballot, Phase, Round, Slot, accept, prepare
 
@@ -452,10 +454,10 @@
 
     # The voters' mesh.
 
-    def view(self, p: Process) -> View:
+    def view(self, p: Process) -> VoterView:
         linked = frozenset(o for o in VOTERS if o != p.name and frozenset((o, p.name)) not in self.mesh_down)
         number = p.slot.value.number if isinstance(p.slot.value, Version) else 0
-        return View(number, 1, frozenset(VOTERS), len(VOTERS) // 2 + 1, linked)
+        return VoterView(number, 1, frozenset(VOTERS), len(VOTERS) // 2 + 1, linked)
 
     def mesh_lost(self, a: str, b: str) -> None:
         if (
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -113,7 +113,7 @@
 
     def __init__(self, of: Any) -> None:
         self.of = of
-        self.key = tuple(_frozen(v) for k, v in of.__dict__.items() if k not in UNTOLD)
+        self.key = tuple(frozen(v) for k, v in of.__dict__.items() if k not in UNTOLD)
         self.hash = hash(self.key)
 
     def __hash__(self) -> int:
@@ -130,9 +130,10 @@
         return new
 
 
-def _frozen(value: Any) -> Any:
+def frozen(value: Any) -> Any:
+    """A value in a form that can be hashed."""
     if isinstance(value, dict):
-        return tuple((k, _frozen(v)) for k, v in value.items())
+        return tuple((k, frozen(v)) for k, v in value.items())
     if isinstance(value, FollowerState):  # when it was heard decides nothing here
         return value.name, value.life, value.number, value.digest, value.refused, value.sent, value.sent_ms
     return None if callable(value) else value
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -14,14 +14,19 @@
 import sys
 from collections.abc import Iterator
 from itertools import combinations
+from random import Random
 from typing import Any, NamedTuple
 
 from grebestack.config_distribution import actions as act
-from grebestack.config_distribution.configuration import ConfigurationVoter, View, register_change
+from grebestack.config_distribution.learning import DecidedVersions, MajorityConfirmation
+from grebestack.config_distribution.proposing import Proposing
+from grebestack.config_distribution.register_access import register_change
 from grebestack.config_distribution.versions import Version, digest_of
+from grebestack.config_distribution.voter import ConfigurationVoter
+from grebestack.config_distribution.voter_state import VoterView
 from grebestack.consensus.register import Ballot, Phase, Promised, Round, Slot, accept, prepare
 from tests import state_exploration
-from tests.configuration_states import Longest, Part
+from tests.configuration_states import UNTOLD, Longest, Part, frozen
 from tests.state_exploration import Found, put
 
 NAMES = ("v1", "v2", "v3")
@@ -35,38 +40,96 @@
 )
 
 
-class Hasty(ConfigurationVoter):
-    """It does one thing wrong."""
+class HastyProposing(Proposing):
+    """It does one thing wrong, or none."""
 
     variant = ""
 
-    def _propose(self, now_ms: float, view: View) -> list[act.ConfigurationAction]:
+    def advance(self, now_ms: float, view: VoterView) -> list[act.ConfigurationAction]:
         if self.variant == "asks before a majority holds the contents":
             view = view._replace(majority=1)
-        actions = super()._propose(now_ms, view)
-        if self.variant == "offers before the register says so" and self.proposal is not None:
+        actions = super().advance(now_ms, view)
+        proposal = self.state.proposal
+        if self.variant == "offers before the register says so" and proposal is not None:
             actions += [
-                act.PublishVersion(self.proposal.version, self.proposal.contents)
+                act.PublishVersion(proposal.version, proposal.contents)
                 for a in actions
                 if isinstance(a, act.ChangeRegister) and a.version is not None
             ]
         return actions
 
-    def _confirm(self, now_ms: float, view: View) -> list[act.ConfigurationAction]:
+
+class HastyConfirmation(MajorityConfirmation):
+    """It does one thing wrong, or none."""
+
+    variant = ""
+
+    def confirm(self, now_ms: float, view: VoterView) -> list[act.ConfigurationAction]:
         if self.variant == "confirms what one other says":
             view = view._replace(majority=1)
-        actions = super()._confirm(now_ms, view)
+        actions = super().confirm(now_ms, view)
         if self.variant == "confirms from when the answer came":
             return [
                 act.MajorityConfirmed(now_ms) if isinstance(a, act.MajorityConfirmed) else a for a in actions
             ]
         return actions
 
-    def _look(self, now_ms: float, accepted: int) -> None:
-        if self.variant == "takes an accepted number for decided" and accepted > self.decided.number:
-            for digest, (contents, _) in self.kept_here.items():
-                self.decided = self.version = Version(accepted, digest, len(contents), "", 0)
-        super()._look(now_ms, accepted)
+
+class HastyDecidedVersions(DecidedVersions):
+    """It does one thing wrong, or none."""
+
+    variant = ""
+
+    def compare_accepted(self, now_ms: float, accepted: int) -> None:
+        state = self.state
+        if self.variant == "takes an accepted number for decided" and accepted > state.decided.number:
+            for digest, (contents, _) in self.undecided.on_disk.items():
+                state.decided = state.version = Version(accepted, digest, len(contents), "", 0)
+        super().compare_accepted(now_ms, accepted)
+
+
+class Hasty(ConfigurationVoter):
+    """A voter one of whose parts does one thing wrong, or none."""
+
+    def __init__(
+        self, name: str, fleet: str, life: int, random: Random, now_ms: float, variant: str = ""
+    ) -> None:
+        super().__init__(name, fleet, life, random, now_ms)
+        proposing = HastyProposing(self.state, self.undecided, self.register)
+        confirmation = HastyConfirmation(self.state, self.activation, now_ms)
+        decided_versions = HastyDecidedVersions(
+            self.state, self.register, self.undecided, self.fetching, proposing
+        )
+        proposing.variant = confirmation.variant = decided_versions.variant = variant
+        self.proposing, self.majority, self.decided_versions = proposing, confirmation, decided_versions
+
+
+class VoterPart(Part):
+    """A voter as it stands, which is not changed: it is copied with its parts first."""
+
+    __slots__ = ()
+
+    def __init__(self, of: ConfigurationVoter) -> None:
+        self.of = of
+        parts = [part for part in vars(of).values() if hasattr(part, "__dict__")]
+        self.key = tuple(
+            (name, frozen(value))
+            for part in (of, *parts)
+            for name, value in vars(part).items()
+            if name not in UNTOLD and not any(value is other for other in parts)
+        )
+        self.hash = hash(self.key)
+
+    def copy(self) -> Any:
+        """Copy the voter; its parts' references to each other go to the copies."""
+        parts = [part for part in vars(self.of).values() if hasattr(part, "__dict__")]
+        copies = {id(part): object.__new__(type(part)) for part in (self.of, *parts)}
+        for part in (self.of, *parts):
+            for name, value in vars(part).items():
+                if isinstance(value, dict | set | list):
+                    value = value.copy()
+                copies[id(part)].__dict__[name] = copies.get(id(value), value)
+        return copies[id(self.of)]
 
 
 class Asking(NamedTuple):
@@ -129,16 +192,14 @@
         self.variant, self.start = variant, start
 
     def _voter(self, index: int, life: int, now: float) -> Hasty:
-        made = Hasty(NAMES[index], "f", life, Longest(), now)  # type: ignore[arg-type]
-        made.variant = self.variant
-        return made
+        return Hasty(NAMES[index], "f", life, Longest(), now, self.variant)  # type: ignore[arg-type]
 
     def first(self) -> World:
         """Nothing is decided."""
         made = [self._voter(i, 1, 0.0) for i in range(3)]
         for one in made:  # else each reads the register before it asks for anything
-            one.current = "just started" not in self.start
-        voters = tuple(Part(one) for one in made)
+            one.state.current = "just started" not in self.start
+        voters = tuple(VoterPart(one) for one in made)
         empty: frozenset[bytes] = frozenset()
         world = World(
             voters,
@@ -166,11 +227,11 @@
                 world = self._did(world._replace(wire=frozenset()), to, voter, actions)
         return world
 
-    def view(self, world: World, index: int) -> View:
+    def view(self, world: World, index: int) -> VoterView:
         value = world.slots[index].value
         number = value.number if isinstance(value, Version) else 0
         names = frozenset(NAMES)
-        return View(number, 1, names, 2, names - {NAMES[index]})
+        return VoterView(number, 1, names, 2, names - {NAMES[index]})
 
     def steps(self, world: World) -> Iterator[tuple[str, World]]:
         """What may happen next."""
@@ -323,7 +384,7 @@
                 ours = [v for v in world.chosen if v == action.version]
                 if action.won and not ours:
                     world = world._replace(fault=f"{NAMES[index]} says it won with {action.version.number}")
-        return world._replace(voters=put(world.voters, index, Part(voter)))
+        return world._replace(voters=put(world.voters, index, VoterPart(voter)))
 
     def _only_chosen(self, world: World, index: int, version: Version, does: str) -> World:
         if version in world.chosen:
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -14,8 +14,8 @@
 from grebestack.audit import records
 from grebestack.audit.version_sets import Stamp
 from grebestack.cluster_tasks import metrics_export, rolling_restart, shared_discovery
-from grebestack.config_distribution import configuration
 from grebestack.config_distribution import messages as distribution
+from grebestack.config_distribution import voter_messages as configuration
 from grebestack.config_distribution.versions import Delta, Version
 from grebestack.consensus import messages as consensus
 from grebestack.consensus.lease import Lease
--- a/tests/test_config_distribution.py
+++ b/tests/test_config_distribution.py
@@ -14,11 +14,12 @@
 
 from grebestack.config_distribution import actions as act
 from grebestack.config_distribution import timeouts
-from grebestack.config_distribution.configuration import ConfigurationVoter, View
 from grebestack.config_distribution.follower import Follower
 from grebestack.config_distribution.messages import ConfigUpdate
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import Version
+from grebestack.config_distribution.voter import ConfigurationVoter
+from grebestack.config_distribution.voter_state import VoterView
 from grebestack.consensus import replica
 from tests.configuration_model import (
     COLD,
@@ -284,11 +285,11 @@
     """It offers what it has only proposed."""
 
     def propose(
-        self, now_ms: float, ticket: int, contents: bytes, since_ms: int, view: View
+        self, now_ms: float, ticket: int, contents: bytes, since_ms: int, view: VoterView
     ) -> list[act.ConfigurationAction]:
         actions = super().propose(now_ms, ticket, contents, since_ms, view)
-        if self.proposal is not None:
-            actions.append(act.PublishVersion(self.proposal.version, contents))
+        if self.state.proposal is not None:
+            actions.append(act.PublishVersion(self.state.proposal.version, contents))
         return actions
 
 
