--- /dev/null
+++ b/grebestack/config_distribution/follower_versions.py
@@ -0,0 +1,113 @@
+"""The versions that a follower holds: in force, on their way to be, and on the disk at a start. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from grebestack.config_distribution.actions import Apply, FollowerAction, PublishVersion, Store
+from grebestack.config_distribution.versions import NO_VERSION, Version, contents_problem, invalid_value
+from grebestack.consensus.actions import Told
+
+VersionContents = tuple[Version, bytes]
+STORING, APPLYING = "storing", "applying"
+MAX_DELTA_BASES = 3
+
+
+class FollowerVersions:
+    """What a follower holds; a version is stored and then applied, one at a time.
+
+    Parameters
+    ----------
+    relays
+        The follower is a relay itself.
+    """
+
+    def __init__(self, relays: bool) -> None:
+        self.relays = relays
+        self.relay = ""  # the relay that is followed
+        self.noted: frozenset[str] = frozenset()  # faults that were logged
+        self.version: Version = NO_VERSION  # in force
+        self.contents = b""
+        self.disk: tuple[VersionContents, ...] = ()  # newest first; until a version is in force
+        self.start_ms = 0.0  # until when the disk's version waits for a relay
+        self.pending: VersionContents | None = None  # being stored or applied
+        self.step = ""
+        self.next_version: VersionContents | None = None  # checked, waits for `pending`
+        self.bases: dict[str, bytes] = {}  # contents by digest that the relay may base a delta on
+        self.refused, self.refused_why = 0, ""
+        self.floor = 0  # acknowledged before the start, as a relay says
+
+    def _load_disk(self, disk: Sequence[VersionContents]) -> list[FollowerAction]:
+        """Take what the disk holds at a start; versions that are not valid are ignored."""
+        actions: list[FollowerAction] = []
+        valid = []
+        for version, contents in disk:
+            if why := contents_problem(version, contents):
+                actions.append(Told("configuration_disk", {"number": version.number, "why": why}))
+            else:
+                valid.append((version, contents))
+        self.disk = tuple(sorted(valid, key=lambda held: -held[0].number))
+        if self.relays and self.disk:
+            actions.append(PublishVersion(*self.disk[0]))
+        return actions
+
+    def stored(self, now_ms: float, number: int, why: str = "") -> list[FollowerAction]:
+        """`Store` has ended; `why` it failed, or empty."""
+        if self.pending is None or self.step != STORING or self.pending[0].number != number:
+            return []
+        actions: list[FollowerAction] = []
+        if why:  # it is applied all the same
+            actions.append(Told("configuration_not_stored", {"number": number, "why": why}))
+        self.step = APPLYING
+        return [*actions, Apply(*self.pending)]
+
+    def _highest_number(self) -> int:
+        """The highest number that is in force or on its way to be."""
+        return max(
+            [self.version.number, *(held[0].number for held in (self.pending, self.next_version) if held)]
+        )
+
+    def _base_contents(self, digest: str) -> bytes:
+        """Contents by digest, of those that a difference may be based on; else those in force."""
+        return self.bases.get(digest, self.contents)
+
+    def _remember_base(self) -> str:
+        """The digest of what a difference is best based on; it is told to the relay, and kept for a while."""
+        version, contents = self.disk[0] if self.disk else (self.version, self.contents)
+        if version.digest:
+            self.bases.pop(version.digest, None)
+            self.bases[version.digest] = contents
+            while len(self.bases) > MAX_DELTA_BASES:
+                del self.bases[next(iter(self.bases))]
+        return version.digest
+
+    def _begin_next(self, now_ms: float) -> list[FollowerAction]:
+        """Bring what waits into force, one at a time."""
+        if self.pending is not None:
+            return []
+        if self.next_version is None:
+            return self._apply_from_disk() if self.disk and self.refused else []
+        self.pending, self.next_version, self.step = self.next_version, None, STORING
+        former = [version.number for version, _ in self.disk] or [self.version.number]
+        return [Store(*self.pending, former[0], tuple(former[1:]))]
+
+    def _apply_from_disk(self) -> list[FollowerAction]:
+        """What the disk holds, at a start, unless a later one was acknowledged or is on its way."""
+        if not self.disk or self.pending is not None or self.next_version is not None:
+            return []
+        number = self.disk[0][0].number
+        if number < self.floor:
+            why = invalid_value("number", number, f"{self.floor} and more, which was acknowledged before")
+            return self._log_invalid_once("old disk", why)
+        self.pending, self.disk, self.step = self.disk[0], self.disk[1:], APPLYING
+        return [Apply(*self.pending)]
+
+    def _log_invalid(self, why: str) -> list[FollowerAction]:
+        return [Told("configuration_wrong", {"relay": self.relay, "why": why})]
+
+    def _log_invalid_once(self, key: str, why: str) -> list[FollowerAction]:
+        """As `_log_invalid`, once for each key."""
+        if key in self.noted:
+            return []
+        self.noted |= {key}
+        return self._log_invalid(why)
--- /dev/null
+++ b/grebestack/config_distribution/subscription.py
@@ -0,0 +1,31 @@
+"""Validation of what a follower says of itself. Pure."""
+
+from __future__ import annotations
+
+from grebestack.config_distribution.messages import PROTOCOL_VERSION, Subscribe
+from grebestack.config_distribution.versions import DIGEST_HEX_DIGITS, invalid_value
+
+MAX_NAME_LENGTH = 128
+
+
+def subscribe_problem(request: Subscribe, fleet: str) -> str:
+    """Say why a relay of this cluster can't accept a request: field, value and what is allowed; or empty."""
+    name = request.name
+    if request.form != PROTOCOL_VERSION:
+        return invalid_value("form", request.form, PROTOCOL_VERSION)
+    if request.fleet != fleet:
+        return invalid_value("fleet", request.fleet, repr(fleet))
+    if not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable() or " " in name:
+        return invalid_value("name", name, f"1 to {MAX_NAME_LENGTH} printable characters without spaces")
+    if request.life < 0:
+        return invalid_value("life", request.life, "0 and more")
+    return held_version_problem(request.number, request.digest)
+
+
+def held_version_problem(number: int, digest: str) -> str:
+    """Say why a follower can't hold this version, by field, value and what is allowed; or empty."""
+    if number < 0:
+        return invalid_value("number", number, "0 and more")
+    if digest and (len(digest) != DIGEST_HEX_DIGITS or set(digest) - set("0123456789abcdef")):
+        return invalid_value("digest", digest, f"{DIGEST_HEX_DIGITS} hexadecimal digits")
+    return ""
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -19,10 +19,11 @@
 
 from grebestack.config_distribution import actions as act
 from grebestack.config_distribution import timeouts
-from grebestack.config_distribution.follower import Follower, region_of
+from grebestack.config_distribution.follower import Follower
 from grebestack.config_distribution.messages import ConfigUpdate, decode, encode
 from grebestack.config_distribution.register_access import register_change
 from grebestack.config_distribution.relay import Relay
+from grebestack.config_distribution.relay_selection import region_of
 from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.config_distribution.voter import ConfigurationVoter
 from grebestack.config_distribution.voter_state import VoterView
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -42,14 +42,14 @@
     "noted",
     "began_ms",
     "sequence",
-    "number_told",
-    "changed",
-    "tally_ms",
-    "whole_ms",
-    "scan_ms",
-    "bytes",
-    "bytes_ms",
-    "news",
+    "reported_number",
+    "changed_names",
+    "report_ms",
+    "full_report_ms",
+    "next_scan_ms",
+    "tokens",
+    "tokens_ms",
+    "updates",
     "random",
     "floor_of",
     "seats_told",
@@ -68,36 +68,46 @@
 
     variant = ""
 
-    def _news(self, now_ms: float, news: ConfigUpdate) -> list[act.FollowerAction]:
+    def _on_update(self, now_ms: float, news: ConfigUpdate) -> list[act.FollowerAction]:
         if self.variant == "goes back" and news.contents is not None and self.pending is None:
-            self.wanted = news.version, news.contents
-            return [*self._begin(now_ms), *self._word(now_ms, news.version.number, news.confirmed_ms)]
+            self.next_version = news.version, news.contents
+            return [
+                *self._begin_next(now_ms),
+                *self._on_relay_number(now_ms, news.version.number, news.confirmed_ms),
+            ]
         if (
             self.variant == "half in force"
             and news.contents is not None
-            and (news.version.number > self._top() and self.pending is None)
+            and (news.version.number > self._highest_number() and self.pending is None)
         ):
-            self.wanted = news.version, news.contents
-            return [*self._begin(now_ms), *self._word(now_ms, news.version.number, news.confirmed_ms)]
-        return super()._news(now_ms, news)
-
-    def _word(self, now_ms: float, number: int, confirmed_ms: int) -> list[act.FollowerAction]:
-        actions = super()._word(now_ms, number, confirmed_ms)
+            self.next_version = news.version, news.contents
+            return [
+                *self._begin_next(now_ms),
+                *self._on_relay_number(now_ms, news.version.number, news.confirmed_ms),
+            ]
+        return super()._on_update(now_ms, news)
+
+    def _on_relay_number(self, now_ms: float, number: int, confirmed_ms: int) -> list[act.FollowerAction]:
+        actions = super()._on_relay_number(now_ms, number, confirmed_ms)
         if self.variant == "a lost push is never asked for again":
             self.poll_ms = float("inf")
         return actions
 
-    def _judge(self, now_ms: float, confirmed_ms: int, why: str = "") -> list[act.FollowerAction]:
-        return [] if self.variant == "stays with a stale relay" else super()._judge(now_ms, confirmed_ms, why)
+    def _assess_relay(self, now_ms: float, confirmed_ms: int, why: str = "") -> list[act.FollowerAction]:
+        return (
+            []
+            if self.variant == "stays with a stale relay"
+            else super()._assess_relay(now_ms, confirmed_ms, why)
+        )
 
-    def _poll(self, now_ms: float) -> list[act.FollowerAction]:
-        actions = super()._poll(now_ms)
+    def _send_poll(self, now_ms: float) -> list[act.FollowerAction]:
+        actions = super()._send_poll(now_ms)
         if self.variant == "stays with a silent relay":
             self.deadline_ms, self.poll_ms = float("inf"), now_ms + 1000.0
         return actions
 
-    def _begin(self, now_ms: float) -> list[act.FollowerAction]:
-        actions = super()._begin(now_ms)
+    def _begin_next(self, now_ms: float) -> list[act.FollowerAction]:
+        actions = super()._begin_next(now_ms)
         if self.variant == "applies before it stores":
             stores = [a for a in actions if isinstance(a, act.Store)]
             if stores:
@@ -152,15 +162,15 @@
     if new.confirmed_ms is not None:
         new.confirmed_ms = shift(new.confirmed_ms, -10_000.0)
     if isinstance(new, Relay):
-        for link, seat in new.seats.items():
-            new.seats[link] = replace(seat, sent_ms=shift(seat.sent_ms, -timeouts.RESEND_INTERVAL_MS))
+        for link, seat in new.followers.items():
+            new.followers[link] = replace(seat, sent_ms=shift(seat.sent_ms, -timeouts.RESEND_INTERVAL_MS))
         return Part(new)
-    for name in ("deadline_ms", "poll_ms", "again_ms", "start_ms", "home_ms"):
+    for name in ("deadline_ms", "poll_ms", "reconnect_ms", "start_ms", "preferred_retry_ms"):
         setattr(new, name, shift(getattr(new, name), -1.0))
-    if new.settled_ms:
-        new.settled_ms = shift(new.settled_ms, -1.0)
+    if new.stay_until_ms:
+        new.stay_until_ms = shift(new.stay_until_ms, -1.0)
     if new.state != "paused":
-        new.again_ms = 0.0
+        new.reconnect_ms = 0.0
     if not new.disk:
         new.start_ms = 0.0
     return Part(new)
--- a/tests/test_config_distribution.py
+++ b/tests/test_config_distribution.py
@@ -244,7 +244,7 @@
 class Deaf(Follower):
     """It never asks again."""
 
-    def _pace(self) -> float:
+    def _poll_delay_ms(self) -> float:
         return 1e9
 
 
@@ -259,7 +259,7 @@
 class Loyal(Follower):
     """It never leaves a relay that hears no majority."""
 
-    def _judge(self, now_ms: float, confirmed_ms: int, why: str = "") -> list[act.FollowerAction]:
+    def _assess_relay(self, now_ms: float, confirmed_ms: int, why: str = "") -> list[act.FollowerAction]:
         return []
 
 
@@ -268,17 +268,20 @@
 
     def start(self, now_ms: float, disk: Any = ()) -> list[act.FollowerAction]:
         actions = super().start(now_ms, disk)
-        return actions + self._from_disk()
+        return actions + self._apply_from_disk()
 
 
 class Credulous(Follower):
     """It takes any number."""
 
-    def _news(self, now_ms: float, news: ConfigUpdate) -> list[act.FollowerAction]:
+    def _on_update(self, now_ms: float, news: ConfigUpdate) -> list[act.FollowerAction]:
         if news.contents is not None and self.pending is None:
-            self.wanted = news.version, news.contents
-            return [*self._begin(now_ms), *self._word(now_ms, news.version.number, news.confirmed_ms)]
-        return super()._news(now_ms, news)
+            self.next_version = news.version, news.contents
+            return [
+                *self._begin_next(now_ms),
+                *self._on_relay_number(now_ms, news.version.number, news.confirmed_ms),
+            ]
+        return super()._on_update(now_ms, news)
 
 
 class Hasty(ConfigurationVoter):
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -16,7 +16,7 @@
     PublishVersion,
     Store,
 )
-from grebestack.config_distribution.follower import Follower, relay_order, stale_relay_stay_ms
+from grebestack.config_distribution.follower import Follower
 from grebestack.config_distribution.messages import (
     NEVER_CONFIRMED_MS,
     PROTOCOL_VERSION,
@@ -29,6 +29,7 @@
     SubscribeAccepted,
     SubscribeRejected,
 )
+from grebestack.config_distribution.relay_selection import relay_order, stale_relay_stay_ms
 from grebestack.config_distribution.versions import (
     MAX_CONTENTS_BYTES,
     NO_VERSION,
@@ -189,7 +190,7 @@
     why = "servers[2].weight is -1; allowed: 0 and more"
     actions = list(fed.follower.taken(fed.now, 2, why))
     assert said(actions) == [Poll(1, version(1).digest, 2, why)] and fed.follower.version == version(1)
-    assert kinds(fed.hear(whole(2))) == [] and not fed.follower.newer
+    assert kinds(fed.hear(whole(2))) == [] and not fed.follower.announced
     assert f"version 2 refused: {why}" in fed.follower.shown(fed.now)
     fed.bring(3)
     assert fed.follower.version == version(3) and fed.follower.refused == 0
@@ -248,7 +249,7 @@
         fed.hear(SubscribeAccepted(PROTOCOL_VERSION, "f", fed.follower.relay, 10))
     assert len(names) <= 2 * len(PLACES) and set(names) == set(PLACES)
     assert kinds(fed.hear(NotModified(0, NEVER_CONFIRMED_MS))) == []
-    assert fed.hear(NotModified(0, 100)) == [] and fed.follower.settled_ms == 0.0
+    assert fed.hear(NotModified(0, 100)) == [] and fed.follower.stay_until_ms == 0.0
 
 
 def test_stays_with_a_stale_relay_are_short_at_first_and_doubled_until_a_good_one_is_found() -> None:
@@ -265,19 +266,19 @@
             fed.link()
             fed.hear(SubscribeAccepted(PROTOCOL_VERSION, "f", fed.follower.relay, 10))
             continue
-        stays.append(fed.follower.settled_ms - fed.now)
-        while fed.now < fed.follower.settled_ms:  # it asks again at the end of it, not a pace later
-            assert fed.follower.due_ms(fed.now) <= fed.follower.settled_ms
+        stays.append(fed.follower.stay_until_ms - fed.now)
+        while fed.now < fed.follower.stay_until_ms:  # it asks again at the end of it, not a pace later
+            assert fed.follower.due_ms(fed.now) <= fed.follower.stay_until_ms
             fed.now = fed.follower.due_ms(fed.now)
             fed.follower.tick(fed.now)
-            if fed.now < fed.follower.settled_ms:
+            if fed.now < fed.follower.stay_until_ms:
                 assert kinds(fed.hear(NotModified(0, NEVER_CONFIRMED_MS))) == []
     assert len(stays) > 7
     for n, stay in enumerate(stays):
         assert stale_relay_stay_ms(n)[0] <= stay <= stale_relay_stay_ms(n)[1]
-    assert fed.follower.settlings
+    assert fed.follower.stays
     fed.hear(NotModified(0, 0))
-    assert not fed.follower.settlings and not fed.follower.settled_ms
+    assert not fed.follower.stays and not fed.follower.stay_until_ms
 
 
 @pytest.mark.parametrize("age_ms", [NEVER_CONFIRMED_MS, NEVER_CONFIRMED_MS + 5000])
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -234,7 +234,7 @@
         await rig.until(lambda: all(node.version.number == 1 for node in nodes))
         before = relay.counts["bytes_out"]
         assert before > 20 * len(ONE)
-        await rig.until(lambda: all(seat.number == 1 for seat in relay.relay.seats.values()))
+        await rig.until(lambda: all(seat.number == 1 for seat in relay.relay.followers.values()))
         relay.offer(version(2, TWO), TWO)
         await rig.until(lambda: all(node.version.number == 2 for node in nodes))
         assert relay.counts["bytes_out"] - before < 20 * len(TWO) // 2
@@ -252,7 +252,7 @@
         relay.offer(version(1, ONE), ONE)
         await rig.until(lambda: node.version.number == 1)
         relay.offer(version(2, TWO), TWO)
-        await rig.until(lambda: [s.why for s in relay.relay.seats.values()] == ["mostTries is 6"])
+        await rig.until(lambda: [s.why for s in relay.relay.followers.values()] == ["mostTries is 6"])
         assert node.version.number == 1 and "mostTries is 6" in node.shown()
         relay.offer(version(3, ONE), ONE)
         await rig.until(lambda: node.version.number == 3)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -64,7 +64,7 @@
 def test_a_greeting_that_is_wrong_is_said_and_not_taken(item: Message, why: str) -> None:
     made = relay()
     actions = list(made.heard(0.0, 1, item))
-    assert told(actions)[0].startswith(why) and kinds(actions) == ["Close"] and not made.seats
+    assert told(actions)[0].startswith(why) and kinds(actions) == ["Close"] and not made.followers
 
 
 def test_a_relay_takes_no_more_than_its_part_and_never_fewer_than_1024_by_default() -> None:
@@ -86,11 +86,11 @@
     made.heard(0.0, 1, greeting(life=5))
     actions = list(made.heard(1.0, 2, greeting(life=4)))
     assert told(actions) == ["life is 4; allowed: 5 and more: a later start of d1 has come"]
-    assert isinstance(said(actions)[0], SubscribeRejected) and 1 in made.seats
+    assert isinstance(said(actions)[0], SubscribeRejected) and 1 in made.followers
     assert not told(list(made.heard(2.0, 3, greeting(life=4))))  # once
     actions = list(made.heard(3.0, 4, greeting(life=6)))
     assert [a for a in actions if isinstance(a, Close)] == [Close(1, "d1 has connected again")]
-    assert list(made.seats) == [4]
+    assert list(made.followers) == [4]
     made.lost(4.0, 4, "ended")
     assert isinstance(said(list(made.heard(5.0, 5, greeting(life=5))))[0], SubscribeRejected)
     again = made.heard(
@@ -167,7 +167,7 @@
     assert first == ["number is 2; allowed: 3 and more, as d1 said before"]
     assert not told(list(made.heard(2.0, 1, Poll(1, ""))))
     assert told(list(made.heard(3.0, 1, Poll(-1, "")))) == ["number is -1; allowed: 0 and more"]
-    assert not made.seats
+    assert not made.followers
 
 
 def test_an_overdue_follower_is_let_go_and_counted_as_not_heard() -> None:
