--- a/grebestack/cluster_io/config_store.py
+++ b/grebestack/cluster_io/config_store.py
@@ -1,7 +1,7 @@
-"""The disk of a configuration: each version with its contents a file of its own, written whole and synced.
+"""Stores configuration versions, each with its contents in a file of its own.
 
-A file gets its name only once it is on the disk for good, so that never half of one is found under it. What
-does not fit its checksums, its digest or this fleet is put aside with the reason, and never read again.
+A file is synced before it is renamed to its name, so that a file under its name is complete. A file whose
+checksums, digest or cluster are wrong is set aside with the reason and not read again.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 MAGIC = b"grebestack configuration 1\n"
 VERSION, KEPT, NEW, LIFE = "version-", "kept-", ".new", "life"
-Done = Callable[[str], None]  # told why it could not be written, or nothing
+Done = Callable[[str], None]  # called with why it could not be written, or empty
 _head = msgspec.msgpack.Decoder(tuple[str, Version])
 
 
 @dataclass(frozen=True, slots=True)
 class StoredConfig:
-    """What a folder holds; `doubts` says of each file that is not believed why."""
+    """What a folder holds; `doubts` has a line for each corrupt file."""
 
     versions: tuple[tuple[Version, bytes], ...] = ()
-    kept: dict[str, bytes] = field(default_factory=dict)  # by digest: contents that are not decided
+    kept: dict[str, bytes] = field(default_factory=dict)  # undecided contents by digest
     doubts: tuple[str, ...] = ()
-    life: int = 1  # which start this is: higher than any before
+    life: int = 1  # process incarnation: higher than any before
 
 
 class CorruptFileError(Exception):
@@ -42,7 +42,7 @@
 
 
 class ConfigStore:
-    """One process's versions, told of on the loop; the folder is this process's own until `close`."""
+    """One process's versions; results come on the loop. The folder is locked from `open` to `close`."""
 
     def __init__(
         self,
@@ -57,25 +57,31 @@
         self.thread = threading.Thread(target=self._work, name="configuration-disk", daemon=True)
 
     def open(self) -> StoredConfig:
-        """Take the folder and read it. OSError: there is none to be had; FolderTakenError: in use."""
+        """Lock the folder and read it.
+
+        Raises
+        ------
+        OSError
+            The folder can't be used.
+        FolderTakenError
+            Another process has it.
+        """
         self.lock = take(self.folder)
         versions, kept, doubts = list[tuple[Version, bytes]](), dict[str, bytes](), list[str]()
         for name in sorted(os.listdir(self.folder)):
             path = os.path.join(self.folder, name)
             try:
                 if name.endswith(NEW):
-                    os.unlink(path)  # it was being written, and counted nowhere
+                    os.unlink(path)  # its write did not finish
                 elif name.startswith(VERSION):
-                    versions.append(self._version(path))
+                    versions.append(self._read_version(path))
                 elif name.startswith(KEPT):
-                    contents = self._payloads(path, 1)[0]
-                    if name != KEPT + digest_of(contents):
-                        raise CorruptFileError(f"its digest is {digest_of(contents)}")
-                    kept[digest_of(contents)] = contents
+                    digest, contents = self._read_kept(name)
+                    kept[digest] = contents
             except (OSError, CorruptFileError) as error:
                 doubts.append(f"{name}: {error}")
                 self._put_aside(name)
-        life = self._life()
+        life = self._next_incarnation()
         self.thread.start()
         return StoredConfig(tuple(versions), kept, tuple(doubts), life)
 
@@ -87,19 +93,19 @@
         done: Done,
         also: Collection[int] = (),
     ) -> None:
-        """Write a version; of others `beside` and those `also` named are kept. An older one is not taken."""
+        """Write a version; of the others `beside` and `also` are kept. It fails if a newer one is stored."""
         self.queue.put((lambda: self._store(version, contents, {beside, *also}), done))
 
     def keep(self, digest: str, contents: bytes, done: Done) -> None:
-        """Write contents that are not decided yet."""
+        """Write undecided contents."""
         self.queue.put((lambda: self._write(KEPT + digest, [contents]), done))
 
     def discard(self, digest: str) -> None:
-        """Contents that were kept are not needed any more."""
+        """Remove undecided contents."""
         self.queue.put((lambda: self._remove(KEPT + digest), lambda why: None))
 
     def close(self) -> None:
-        """Write what is queued, then let go of the folder."""
+        """Finish what is queued, then unlock the folder."""
         self.queue.put(None)
         if self.thread.is_alive():
             self.thread.join(CLOSE_S)
@@ -115,7 +121,14 @@
             raise CorruptFileError(got.doubt or f"it has {len(got.payloads)} whole records, not {count}")
         return got.payloads
 
-    def _version(self, path: str) -> tuple[Version, bytes]:
+    def _read_kept(self, name: str) -> tuple[str, bytes]:
+        contents = self._payloads(self._path(name), 1)[0]
+        digest = digest_of(contents)
+        if name != KEPT + digest:
+            raise CorruptFileError(f"its digest is {digest}")
+        return digest, contents
+
+    def _read_version(self, path: str) -> tuple[Version, bytes]:
         head, contents = self._payloads(path, 2)
         try:
             fleet, version = _head.decode(head)
@@ -127,8 +140,8 @@
             raise CorruptFileError(why)
         return version, contents
 
-    def _life(self) -> int:
-        """Which start this is. It grows though the folder be an old one, as long as the clock does."""
+    def _next_incarnation(self) -> int:
+        """Return this start's number; the clock makes it grow even if an old folder was restored."""
         path = os.path.join(self.folder, LIFE)
         try:
             former = int(self.files.read(path))
@@ -140,10 +153,10 @@
                 file.write(str(life))
             os.replace(path + NEW, path)
         except OSError:
-            pass  # what can't be written here is told of when a version can't be
+            pass  # the same failure is reported when a version is written
         return life
 
-    # On the thread.
+    # The worker thread.
 
     def _work(self) -> None:
         while (job := self.queue.get()) is not None:
@@ -195,4 +208,4 @@
             for old in aside[: max(0, len(aside) + 1 - KEPT_ASIDE)]:
                 self._remove(old)
         except OSError:
-            pass  # it is looked at again at the next start
+            pass  # tried again at the next start
--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -1,4 +1,4 @@
-"""A voter's part in the configuration in force, as it runs: wires the pure part to node, disk and relay."""
+"""Runs a configuration voter: connects the pure voter to the consensus node, its disk and its relay."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 import time
 from collections.abc import Callable, Mapping
 from functools import partial
+from typing import Any
 
 from grebestack.cluster_io.action_runner import Turns
 from grebestack.cluster_io.config_store import ConfigStore
-from grebestack.cluster_io.follower_client import LocalRelay, Take
+from grebestack.cluster_io.follower_client import ApplyVersion, LocalRelay
 from grebestack.cluster_io.log_store import Files
 from grebestack.cluster_io.node import Node
 from grebestack.cluster_io.runtime import tell
@@ -30,19 +31,23 @@
 from grebestack.config_distribution.versions import Version
 from grebestack.config_distribution.voter import ConfigurationVoter
 from grebestack.config_distribution.voter_state import VoterView
+from grebestack.consensus.actions import Told
 from grebestack.consensus.register import Value
 
 log = logging.getLogger(__name__)
-TASK = "configuration"  # what voters say to each other goes under this
+TASK = "configuration"  # the task under which voters exchange messages
 
 
 class ConfigurationNode:
-    """One voter's. `take` is called on the loop for each version that is to be in force here.
+    """One voter; `take` is called on the loop for each version that is to be in force here.
 
-    OSError and FolderTakenError: its folder can't be used.
+    Raises
+    ------
+    OSError, FolderTakenError
+        The folder can't be used.
     """
 
-    def __init__(self, node: Node, folder: str, take: Take, files: Files | None = None) -> None:
+    def __init__(self, node: Node, folder: str, take: ApplyVersion, files: Files | None = None) -> None:
         self.node, self.loop, self.clock, self.take = node, node.loop, node.clock, take
         settings = node.settings
         self.contents = ConfigStore(node.loop, folder, settings.fleet, files)
@@ -53,12 +58,17 @@
             settings.name, settings.fleet, self.held.life, node.random, self.clock()
         )
         self.relay: LocalRelay | None = None
-        self.settled: Callable[[], None] = lambda: None  # called once a version or a majority's word has come
+        self.settled: Callable[[], None] = lambda: None  # called when a version or a confirmation has come
         self.tickets = 0
         self.asked: dict[int, Callable[[ProposalResult], None]] = {}  # by ticket
         self.counted = dict.fromkeys(("messages_in", "messages_out", "bytes_in", "bytes_out"), 0)
+        self.performers = self._performers()
         self.turns: Turns[ConfigurationAction] = Turns(
-            self.loop, self.clock, self.voter, self._do, lambda: self.voter.tick(self.clock(), self._view())
+            self.loop,
+            self.clock,
+            self.voter,
+            self._perform,
+            lambda: self.voter.tick(self.clock(), self._view()),
         )
 
     @property
@@ -72,12 +82,12 @@
         return self.counted
 
     def shown(self) -> list[str]:
-        """The version in force, and who has it."""
+        """Describe the version in force, and who has it, to operators."""
         return self.voter.shown(self.clock())
 
     def start(self) -> None:
         """Begin."""
-        self.node.words[TASK] = self._word
+        self.node.words[TASK] = self._on_message
         self.turns.run(self.voter.start(self.clock(), list(self.held.versions), self.held.kept))
 
     def stop(self) -> None:
@@ -86,19 +96,19 @@
         self.contents.close()
 
     def propose(self, contents: bytes, ended: Callable[[ProposalResult], None]) -> None:
-        """Have contents be in force; `ended` tells how it went, once."""
+        """Propose contents; `ended` is called once with the result."""
         self.tickets += 1
         self.asked[self.tickets] = ended
         since_ms = time.time_ns() // 1_000_000
         self.turns.run(self.voter.propose(self.clock(), self.tickets, contents, since_ms, self._view()))
 
     def tallied(self, tally: StatusReport) -> None:
-        """The word of a relay on its followers."""
+        """Take a relay's status report."""
         if not self.turns.stopped:
             self.turns.run(self.voter.tallied(self.clock(), tally, self._view()))
 
     def _view(self) -> VoterView:
-        """This voter's disk and set, at this moment."""
+        """Return this voter's disk and membership at this moment."""
         member = self.node.member
         slot = member.voter.shelf.slots.get(REGISTER)
         accepted = slot.value.number if slot is not None and isinstance(slot.value, Version) else 0
@@ -111,42 +121,69 @@
             frozenset(self.node.open),
         )
 
-    def _word(self, name: str, body: bytes) -> None:
+    def _on_message(self, name: str, body: bytes) -> None:
         self.counted["messages_in"] += 1
         self.counted["bytes_in"] += len(body)
         if not self.turns.stopped:
             self.turns.run(self.voter.heard(self.clock(), name, body, self._view()))
 
-    def _do(self, action: ConfigurationAction) -> None:
-        if isinstance(action, SendToVoter):
-            self.counted["messages_out"] += 1
-            self.counted["bytes_out"] += len(action.body)
-            self.node.say(action.to, TASK, action.body)
-        elif isinstance(action, StoreContents):
-            self.contents.keep(action.digest, action.contents, partial(self._kept, action.digest))
-        elif isinstance(action, DiscardContents):
-            self.contents.discard(action.digest)
-        elif isinstance(action, Store):
-            stored = partial(self._stored, action.version.number)
-            self.contents.store(action.version, action.contents, action.beside, stored, action.also)
-        elif isinstance(action, Apply):
-            why = self.take(action.version, action.contents)
-            self.turns.run(self.voter.taken(self.clock(), action.version.number, why))
-            self.settled()
-        elif isinstance(action, PublishVersion):
-            if self.relay is not None:
-                self.relay.offer(action.version, action.contents)
-        elif isinstance(action, MajorityConfirmed):
-            if self.relay is not None:
-                self.relay.confirmed(action.at_ms)
-            self.settled()
-        elif isinstance(action, ChangeRegister):
-            self.node.change(REGISTER, register_change(action.version), self._registered)
-        elif isinstance(action, ProposalResult):
-            if (ended := self.asked.pop(action.ticket, None)) is not None:
-                ended(action)
-        else:
-            tell(action)
+    # Actions of the pure part.
+
+    def _performers(self) -> dict[type[ConfigurationAction], Callable[[Any], None]]:
+        return {
+            SendToVoter: self._send,
+            StoreContents: self._store_contents,
+            DiscardContents: self._discard_contents,
+            Store: self._store,
+            Apply: self._apply,
+            PublishVersion: self._publish,
+            MajorityConfirmed: self._confirm,
+            ChangeRegister: self._change_register,
+            ProposalResult: self._report_result,
+            Told: tell,
+        }
+
+    def _perform(self, action: ConfigurationAction) -> None:
+        self.performers[type(action)](action)
+
+    def _send(self, action: SendToVoter) -> None:
+        self.counted["messages_out"] += 1
+        self.counted["bytes_out"] += len(action.body)
+        self.node.say(action.to, TASK, action.body)
+
+    def _store_contents(self, action: StoreContents) -> None:
+        self.contents.keep(action.digest, action.contents, partial(self._kept, action.digest))
+
+    def _discard_contents(self, action: DiscardContents) -> None:
+        self.contents.discard(action.digest)
+
+    def _store(self, action: Store) -> None:
+        stored = partial(self._stored, action.version.number)
+        self.contents.store(action.version, action.contents, action.beside, stored, action.also)
+
+    def _apply(self, action: Apply) -> None:
+        why = self.take(action.version, action.contents)
+        self.turns.run(self.voter.taken(self.clock(), action.version.number, why))
+        self.settled()
+
+    def _publish(self, action: PublishVersion) -> None:
+        if self.relay is not None:
+            self.relay.offer(action.version, action.contents)
+
+    def _confirm(self, action: MajorityConfirmed) -> None:
+        if self.relay is not None:
+            self.relay.confirmed(action.at_ms)
+        self.settled()
+
+    def _change_register(self, action: ChangeRegister) -> None:
+        self.node.change(REGISTER, register_change(action.version), self._registered)
+
+    def _report_result(self, action: ProposalResult) -> None:
+        ended = self.asked.pop(action.ticket, None)
+        if ended is not None:
+            ended(action)
+
+    # What became of them.
 
     def _kept(self, digest: str, why: str) -> None:
         if not self.turns.stopped:
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -1,4 +1,4 @@
-"""A follower as it runs: the pure follower, its one connection, its disk and the loop's time."""
+"""Runs a follower on an event loop: its connection to a relay and its disk."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 from random import Random
-from typing import Protocol
+from typing import Any, Protocol
 
 from grebestack.cluster_io.action_runner import Turns
 from grebestack.cluster_io.config_store import ConfigStore, StoredConfig
@@ -26,20 +26,20 @@
     MajorityConfirmed,
     PublishVersion,
     Send,
-    StatusReceived,
     Store,
 )
 from grebestack.config_distribution.follower import Follower
 from grebestack.config_distribution.messages import Message, StatusReport, encode
 from grebestack.config_distribution.versions import Version
+from grebestack.consensus.actions import Told
 
 log = logging.getLogger(__name__)
-Take = Callable[[Version, bytes], str]  # puts a version in force; why it is refused, or nothing
+ApplyVersion = Callable[[Version, bytes], str]  # puts a version in force; returns why it is refused, or empty
 
 
 @dataclass(frozen=True, slots=True)
 class RelayAddress:
-    """Where a relay is called, and where it stands."""
+    """A relay's address and location."""
 
     address: tuple[str, int]
     place: str  # region/zone
@@ -47,17 +47,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerSettings:
-    """What a follower is told by the operators' file."""
+    """A follower's settings, from the operators' file."""
 
     name: str
     fleet: str
     place: str  # region/zone
-    relays: Mapping[str, RelayAddress]  # that it may follow
-    folder: str  # empty: it keeps nothing on a disk
+    relays: Mapping[str, RelayAddress]  # those it may follow
+    folder: str  # empty: no disk
 
 
 class LocalRelay(Protocol):
-    """The relay of a process that follows and is followed."""
+    """The relay that runs in the same process."""
 
     def offer(self, version: Version, contents: bytes) -> None:
         """A decided version, checked."""
@@ -67,16 +67,19 @@
 
 
 class FollowerClient:
-    """One follower. `take` is called on the loop for each version that is to be in force.
+    """One follower; `take` is called on the loop for each version that is to be in force.
 
-    OSError and FolderTakenError: its folder can't be used.
+    Raises
+    ------
+    OSError, FolderTakenError
+        The folder can't be used.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         settings: FollowerSettings,
-        take: Take,
+        take: ApplyVersion,
         clock: Callable[[], float] = monotonic_ms,
         random: Random | None = None,
         files: Files | None = None,
@@ -103,15 +106,28 @@
             relays,
         )
         self.relay: LocalRelay | None = None
-        self.settled: Callable[[], None] = lambda: None  # called once a version or a relay's word has come
+        self.settled: Callable[[], None] = lambda: None  # called when a version or a confirmation has come
         self.traffic = Traffic()
         self.dials = 0
         self.link: RelayConnection | None = None
         self.opening: Opening | None = None
+        self.performers = self._performers()
         self.turns: Turns[FollowerAction] = Turns(
-            self.loop, self.clock, self.follower, self._do, lambda: self.follower.tick(self.clock())
+            self.loop, self.clock, self.follower, self._perform, lambda: self.follower.tick(self.clock())
         )
 
+    def _performers(self) -> dict[type[FollowerAction], Callable[[Any], None]]:
+        return {
+            Send: self._send,
+            Connect: self._connect,
+            Close: self._close,
+            Store: self._store,
+            Apply: self._apply,
+            PublishVersion: self._publish,
+            MajorityConfirmed: self._confirm,
+            Told: tell,
+        }
+
     @property
     def version(self) -> Version:
         """The version in force."""
@@ -140,10 +156,10 @@
             self.contents.close()
 
     def tallied(self, tally: StatusReport) -> None:
-        """The word of this process's own relay, or of one below it, goes upstream."""
+        """Send a status report of this process's own relay, or of one below it, upstream."""
         self.turns.run(self.follower.tallied(self.clock(), tally))
 
-    # The link's owner.
+    # Events of the connection.
 
     def connected(self, link: RelayConnection) -> None:
         """The connection that was dialled is up."""
@@ -161,46 +177,44 @@
             self.link = None
             self.turns.run(self.follower.lost(self.clock(), link.number, why))
 
-    # What the pure part asks for.
-
-    def _do(self, action: FollowerAction) -> None:
-        if isinstance(action, Send):
-            if self.link is not None and self.link.number == action.link:
-                self.link.write(encode(action.message))
-        elif isinstance(action, Connect):
-            self._dial(action)
-        elif isinstance(action, Close):
-            if self.link is not None and self.link.number == action.link:
-                link, self.link = self.link, None
-                link.close(action.why)
-        elif isinstance(action, Store):
-            self._store(action)
-        elif isinstance(action, Apply):
-            why = self.take(action.version, action.contents)
-            self.turns.run(self.follower.taken(self.clock(), action.version.number, why))
-            self.settled()
-        elif isinstance(action, PublishVersion):
-            if self.relay is not None:
-                self.relay.offer(action.version, action.contents)
-        elif isinstance(action, MajorityConfirmed):
-            if self.relay is not None:
-                self.relay.confirmed(action.at_ms)
-            self.settled()
-        elif isinstance(action, StatusReceived):
-            self.turns.run(self.follower.tallied(self.clock(), action.tally))
-        else:
-            tell(action)
+    # Actions of the pure part.
+
+    def _perform(self, action: FollowerAction) -> None:
+        self.performers[type(action)](action)
+
+    def _send(self, action: Send) -> None:
+        if self.link is not None and self.link.number == action.link:
+            self.link.write(encode(action.message))
+
+    def _close(self, action: Close) -> None:
+        if self.link is not None and self.link.number == action.link:
+            link, self.link = self.link, None
+            link.close(action.why)
+
+    def _apply(self, action: Apply) -> None:
+        why = self.take(action.version, action.contents)
+        self.turns.run(self.follower.taken(self.clock(), action.version.number, why))
+        self.settled()
+
+    def _publish(self, action: PublishVersion) -> None:
+        if self.relay is not None:
+            self.relay.offer(action.version, action.contents)
+
+    def _confirm(self, action: MajorityConfirmed) -> None:
+        if self.relay is not None:
+            self.relay.confirmed(action.at_ms)
+        self.settled()
 
-    def _dial(self, dial: Connect) -> None:
+    def _connect(self, action: Connect) -> None:
         if self.link is not None:
             self.link.close("another is dialled")
         self.dials += 1
-        self.link = link = RelayConnection(self.loop, self, dial.link, self.traffic)
-        address = self.settings.relays[dial.relay].address
+        self.link = link = RelayConnection(self.loop, self, action.link, self.traffic)
+        address = self.settings.relays[action.relay].address
         self.opening = Opening(self.loop, link, address, partial(self.ended, link))
 
-    def _store(self, store: Store) -> None:
-        number = store.version.number
+    def _store(self, action: Store) -> None:
+        number = action.version.number
 
         def done(why: str) -> None:
             if not self.turns.stopped:
@@ -209,4 +223,4 @@
         if self.contents is None:
             done("")
         else:
-            self.contents.store(store.version, store.contents, store.beside, done, store.also)
+            self.contents.store(action.version, action.contents, action.beside, done, action.also)
--- a/grebestack/cluster_io/relay_connection.py
+++ b/grebestack/cluster_io/relay_connection.py
@@ -13,7 +13,7 @@
 
 
 class RelayConnectionOwner(Protocol):
-    """Who the connections belong to."""
+    """Handles the events of connections."""
 
     def connected(self, link: RelayConnection) -> None:
         """The connection is up."""
@@ -26,7 +26,7 @@
 
 
 class RelayConnection(Frames):
-    """Whole messages each way; `number` is what the pure part knows it by."""
+    """Frames and decodes messages; `number` is the link number of the pure part."""
 
     most, most_queued, greet_s = MAX_MESSAGE_BYTES, 2 * MAX_MESSAGE_BYTES, SUBSCRIBE_TIMEOUT_MS / 1000.0
 
@@ -43,12 +43,12 @@
     def whole(self, data: bytes, *fields: int) -> None:
         """A message has come."""
         try:
-            item = decode(data)
+            message = decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             self.close(f"no message of form {PROTOCOL_VERSION}: {error}")
             return
         self.welcome()
-        self.owner.heard(self, item)
+        self.owner.heard(self, message)
 
     def over(self, why: str) -> None:
         """The connection has ended."""
--- a/grebestack/cluster_io/relay_server.py
+++ b/grebestack/cluster_io/relay_server.py
@@ -1,10 +1,11 @@
-"""A relay as it runs: the pure relay, its listener, its followers' connections and the loop's time."""
+"""Runs a relay on an event loop: its listener and its followers' connections."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 from collections.abc import Callable
+from typing import Any
 
 from grebestack.cluster_io.action_runner import Turns
 from grebestack.cluster_io.framing import Traffic
@@ -14,14 +15,15 @@
 from grebestack.config_distribution.messages import Message, StatusReport, encode
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import Version
+from grebestack.consensus.actions import Told
 
 log = logging.getLogger(__name__)
-BACKLOG = 1024  # a zone's followers that come back at the same moment
-GREETING = 256  # connections beyond those served, which have not said yet who they are or go again
+BACKLOG = 1024  # all followers of a zone may reconnect at once
+SPARE_CONNECTIONS = 256  # beyond the followers served: not subscribed yet, or being closed
 
 
 class RelayServer:
-    """Serves followers. `gathered` is told the relay's word on them."""
+    """Serves followers; `gathered` is called with each status report."""
 
     def __init__(
         self,
@@ -37,9 +39,15 @@
         self.traffic = Traffic()
         self.server: asyncio.Server | None = None
         self.turns: Turns[RelayAction] = Turns(
-            loop, clock, relay, self._do, lambda: self.relay.tick(self.clock())
+            loop, clock, relay, self._perform, lambda: self.relay.tick(self.clock())
         )
         self.last: tuple[Message | None, bytes] = None, b""  # a push to all is encoded once
+        self.performers: dict[type[RelayAction], Callable[[Any], None]] = {
+            Send: self._send,
+            Close: self._close,
+            StatusReceived: self._forward_report,
+            Told: tell,
+        }
 
     @property
     def counts(self) -> dict[str, int]:
@@ -73,11 +81,11 @@
         """At that instant a majority knew nothing newer than what is offered."""
         self.turns.run(self.relay.confirmed(self.clock(), at_ms))
 
-    # The links' owner.
+    # Events of the connections.
 
     def connected(self, link: RelayConnection) -> None:
-        """A follower's connection is up; it speaks first."""
-        if self.turns.stopped or len(self.links) >= self.relay.most + GREETING:
+        """A follower's connection is up; the follower sends the first message."""
+        if self.turns.stopped or len(self.links) >= self.relay.most + SPARE_CONNECTIONS:
             link.close("too many connections")
         else:
             self.links[link.number] = link
@@ -92,16 +100,23 @@
         if self.links.pop(link.number, None) is not None and not self.turns.stopped:
             self.turns.run(self.relay.lost(self.clock(), link.number, why))
 
-    def _do(self, action: RelayAction) -> None:
-        if isinstance(action, Send):
-            if (link := self.links.get(action.link)) is not None:
-                if self.last[0] is not action.message:
-                    self.last = action.message, encode(action.message)
-                link.write(self.last[1])
-        elif isinstance(action, Close):
-            if (link := self.links.pop(action.link, None)) is not None:
-                link.leave(action.why)  # it may have just been told why
-        elif isinstance(action, StatusReceived):
-            self.gathered(action.tally)
-        else:
-            tell(action)
+    # Actions of the pure part.
+
+    def _perform(self, action: RelayAction) -> None:
+        self.performers[type(action)](action)
+
+    def _send(self, action: Send) -> None:
+        connection = self.links.get(action.link)
+        if connection is None:
+            return
+        if self.last[0] is not action.message:
+            self.last = action.message, encode(action.message)
+        connection.write(self.last[1])
+
+    def _close(self, action: Close) -> None:
+        connection = self.links.pop(action.link, None)
+        if connection is not None:
+            connection.leave(action.why)  # a rejection may still be on its way out
+
+    def _forward_report(self, action: StatusReceived) -> None:
+        self.gathered(action.tally)
--- a/grebestack/config_distribution/actions.py
+++ b/grebestack/config_distribution/actions.py
@@ -1,4 +1,4 @@
-"""What a follower, a relay or a configuration voter asks of whoever runs it."""
+"""Actions that a follower, a relay or a configuration voter returns to whoever runs it. Pure."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Say something over a link. One push is one object to all, so that it can be encoded once."""
+    """Send a message over a link. A push has one message object for all links: encode it once."""
 
     link: int
     message: Message
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Close a link, or give up its dialling; what was said before it still goes out.
+    """Close a link or give up connecting, after what was sent before.
 
-    `lost` need not be told of it, and is passed over.
+    `lost` need not be called for it.
     """
 
     link: int
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """Write a version and its contents, whole and synced, then call `stored`.
+    """Write and sync a version with its contents, then call `stored`.
 
-    The disk keeps this one, the one with number `beside` (in force until this one is) and those `also` named
-    (at a start, what it held before anything was in force), no others.
+    The disk keeps this one, the one with number `beside` (in force until this one is) and the numbers `also`
+    (what it held at a start, until something is in force), no others.
     """
 
     version: Version
@@ -52,9 +52,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Put a version in force and call `taken` with why it was refused, or nothing.
+    """Put a version in force and call `taken` with why it was refused, or empty.
 
-    On a voter or relay its own Relay is told by `PublishVersion`, not by this.
+    The process's own relay gets a version by `PublishVersion`, not by this.
     """
 
     version: Version
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishVersion:
-    """Checked and decided: for this process's own relay, `Relay.offer`, if it has one."""
+    """A decided version, validated: call `Relay.offer` of this process's own relay, if it has one."""
 
     version: Version
     contents: bytes
@@ -71,16 +71,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MajorityConfirmed:
-    """At this instant of the own clock a majority knew nothing newer: for `Relay.confirmed`."""
+    """At this time of the own clock a majority knew of nothing newer: call `Relay.confirmed`."""
 
     at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class StatusReceived:
-    """A relay's word on its followers, its own or one that came over a link.
+    """A relay's status report, its own or one that came over a link.
 
-    On a voter for `ConfigurationVoter.tallied`, on any other relay for `Follower.tallied`.
+    On a voter call `ConfigurationVoter.tallied`, on any other relay `Follower.tallied`.
     """
 
     tally: StatusReport
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToVoter:
-    """Say this to another voter: Word("configuration", body)."""
+    """Send a message to another voter, under the task "configuration"."""
 
     to: str
     body: bytes
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreContents:
-    """Write contents by their digest, synced, then call `ConfigurationVoter.kept`. Not decided yet."""
+    """Write and sync undecided contents by their digest, then call `ConfigurationVoter.kept`."""
 
     digest: str
     contents: bytes
@@ -104,16 +104,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardContents:
-    """Contents that were kept and are not needed any more."""
+    """Remove undecided contents from the disk."""
 
     digest: str
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRegister:
-    """Change register "configuration" from number `former` to this version, then call `registered`.
+    """Change the register "configuration" by `register_change(version)`, then call `registered`.
 
-    The change is `configuration.register_change(version)`; with no version it is only read.
+    Without a version the register is only read.
     """
 
     version: Version | None
@@ -121,13 +121,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalResult:
-    """How a proposal ended, for whoever asked under this ticket."""
+    """How the proposal with this ticket ended."""
 
     ticket: int
     won: bool
-    version: Version  # in force now, as far as known: the proposal, or the one that won
-    why: str  # where it did not win
-    held_by: tuple[str, ...] = ()  # voters that hold the contents
+    version: Version  # in force as far as is known: the proposal, or the one that won
+    why: str  # why it did not win, or empty
+    held_by: tuple[str, ...] = ()  # voters that have the contents
 
 
 FollowerAction = Connect | Send | Close | Store | Apply | PublishVersion | MajorityConfirmed | Told
--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -1,10 +1,9 @@
-"""One follower: has in force what voters have decided, as relays tell it. Pure.
+"""One follower: puts in force what voters have decided, as relays send it. Pure.
 
-It is connected to one relay, asks again at a slow pace, and goes to another relay where one is silent or
-has known nothing of a majority for long. A version is put in force only whole and checked, after it is on
-the disk: a crash between the two leaves a disk that is ahead of what was in force, never behind it. At a
-start the disk's version waits a moment for a relay's word, so that an old disk is not seen where a relay can
-be heard.
+It is connected to one relay, polls it, and changes to another relay when one is silent or has had no
+confirmation by a majority for long. A version is validated and stored before it is put in force, so that
+after a crash the disk is never behind what was in force. At a start the disk's version waits a moment for a
+relay, so that an old disk is not used where a relay can be reached.
 """
 
 from __future__ import annotations
@@ -44,6 +43,7 @@
 )
 from grebestack.config_distribution.relay_selection import relay_order, stale_relay_stay_ms
 from grebestack.config_distribution.versions import (
+    DeltaError,
     apply_delta,
     contents_problem,
     invalid_value,
@@ -64,8 +64,18 @@
 class Follower(FollowerVersions):
     """Events in, actions out. One link at a time, numbered by `Connect`; events of earlier links are ignored.
 
-    `places`: of each relay its "region/zone". `relays` says whether this follower is itself a relay (it polls
-    at a quicker pace and gives `PublishVersion` and `MajorityConfirmed`). Times are monotonic milliseconds.
+    Times are monotonic milliseconds.
+
+    Parameters
+    ----------
+    place
+        Its "region/zone".
+    life
+        Process incarnation: a later start has a higher number.
+    places
+        "region/zone" of each relay.
+    relays
+        The follower is a relay itself: it polls faster and returns `PublishVersion` and `MajorityConfirmed`.
     """
 
     def __init__(
@@ -83,25 +93,25 @@
         self.random = random
         self.order = relay_order(name, place, places)
         self.link, self.state = 0, PAUSED
-        self.deadline_ms = inf  # of what is awaited on the link
+        self.deadline_ms = inf  # for what is awaited on the link
         self.poll_ms = inf
-        self.reconnect_ms = 0.0  # when to dial
+        self.reconnect_ms = 0.0  # when to connect
         self.failures = 0
-        self.tried: frozenset[str] = frozenset()  # since a relay was good
-        self.second_round = False  # all have been tried once and none was good
-        self.stay_until_ms = 0.0  # until when a stale relay is borne
-        self.stays = 0  # in a row
+        self.tried: frozenset[str] = frozenset()  # relays, since one was good
+        self.second_round = False  # each has been tried once and none was good
+        self.stay_until_ms = 0.0  # until when to stay with a stale relay
+        self.stays = 0  # with stale relays in a row
         self.preferred_retry_ms = inf
-        self.announced = 0  # the relay has it and it has not come
-        self.relay_numbers: dict[str, int] = {}  # of each relay the highest number that it has told
-        self.confirmed_ms: float | None = None  # when a majority knew nothing newer
+        self.announced = 0  # number that the relay has and that has not come
+        self.relay_numbers: dict[str, int] = {}  # by relay: the highest number that it has reported
+        self.confirmed_ms: float | None = None  # when a majority knew of nothing newer
         self.heard_ms: float | None = None
         self.began_ms = 0.0
 
     # Events of the process.
 
     def start(self, now_ms: float, disk: Sequence[VersionContents] = ()) -> list[FollowerAction]:
-        """Started, with what the disk holds (unsorted, each whole; one that does not fit is passed over)."""
+        """Start with the versions on the disk, in any order; invalid ones are logged and ignored."""
         actions = self._load_disk(disk)
         self.began_ms = now_ms
         self.start_ms = now_ms + timeouts.STARTUP_GRACE_MS
@@ -109,7 +119,7 @@
         return actions + self.tick(now_ms)
 
     def taken(self, now_ms: float, number: int, why: str = "") -> list[FollowerAction]:
-        """A version that was to be applied is in force, or was refused and why."""
+        """`Apply` has ended; `why` the version was refused, or empty."""
         if self.pending is None or self.step != APPLYING or self.pending[0].number != number:
             return []
         (version, contents), self.pending, self.step = self.pending, None, ""
@@ -133,13 +143,13 @@
         return actions + self._begin_next(now_ms)
 
     def tallied(self, now_ms: float, tally: StatusReport) -> list[FollowerAction]:
-        """This process is a relay: its word on its followers, or one that came from below, goes upstream."""
+        """Send a status report upstream: of this process's own relay, or of one that follows it."""
         return [Send(self.link, tally)] if self.state == LINKED else []
 
     # Events of the link.
 
     def connected(self, now_ms: float, link: int) -> list[FollowerAction]:
-        """The connection that was dialled is up."""
+        """The connection is up."""
         if link != self.link or self.state != DIALLING:
             return []
         self.state, self.deadline_ms = GREETING, now_ms + timeouts.SUBSCRIBE_TIMEOUT_MS
@@ -152,7 +162,7 @@
         ]
 
     def lost(self, now_ms: float, link: int, why: str) -> list[FollowerAction]:
-        """The connection could not be made, has ended, or carried what is no message (`why` says so)."""
+        """The connection could not be made, has ended, or carried an invalid message; `why` says which."""
         if link != self.link or self.state == PAUSED:
             return []
         return self._leave_relay(now_ms, why, closed=True)
@@ -192,7 +202,7 @@
         return [Told("configuration_linked", {"relay": self.relay}, detail=True)]
 
     def _on_relay_number(self, now_ms: float, number: int, confirmed_ms: int) -> list[FollowerAction]:
-        """The relay says which number it has, and when that was known to be the newest."""
+        """Take the number that the relay has, and how long ago, in ms, it was confirmed to be the newest."""
         actions: list[FollowerAction] = []
         if number < 0 or confirmed_ms < 0:
             field, value = ("number", number) if number < 0 else ("confirmed_ms", confirmed_ms)
@@ -218,7 +228,7 @@
         return actions + self._assess_relay(now_ms, confirmed_ms)
 
     def _assess_relay(self, now_ms: float, confirmed_ms: int, why: str = "") -> list[FollowerAction]:
-        """Whether the relay is good enough to stay with; `why` it is not, if that is another reason."""
+        """Stay with the relay or leave it; `why` replaces the reason that follows from `confirmed_ms`."""
         if confirmed_ms <= timeouts.STALE_RELAY_MS:
             self.tried, self.failures, self.stay_until_ms, self.second_round = frozenset(), 0, 0.0, False
             self.stays = 0
@@ -226,21 +236,23 @@
         if now_ms < self.stay_until_ms:
             self.poll_ms = min(self.poll_ms, self.stay_until_ms)
             return []
-        if self.stay_until_ms:  # it has been borne for long: another look round
+        if self.stay_until_ms:  # the stay is over: try all relays again
             self.tried, self.failures, self.stay_until_ms, self.second_round = frozenset(), 0, 0.0, False
         if self.tried | {self.relay} >= set(self.order) and not self.second_round:
-            self.tried, self.second_round = frozenset(), True  # one that failed may have been well
+            self.tried, self.second_round = frozenset(), True  # a failed relay may have recovered
         if self.tried | {self.relay} >= set(self.order):
             self.stay_until_ms = now_ms + self.random.uniform(*stale_relay_stay_ms(self.stays))
             self.stays = min(self.stays + 1, 10)
             self.poll_ms = min(self.poll_ms, self.stay_until_ms)
             return []
-        never = "it has never known a majority"
-        long = f"it has known nothing of a majority for {confirmed_ms / 1000.0:.0f} s"
-        return self._leave_relay(now_ms, why or (never if confirmed_ms >= NEVER_CONFIRMED_MS else long))
+        unconfirmed = "it has never known a majority"
+        stale = f"it has known nothing of a majority for {confirmed_ms / 1000.0:.0f} s"
+        return self._leave_relay(
+            now_ms, why or (unconfirmed if confirmed_ms >= NEVER_CONFIRMED_MS else stale)
+        )
 
-    def _on_update(self, now_ms: float, news: ConfigUpdate) -> list[FollowerAction]:
-        version = news.version
+    def _on_update(self, now_ms: float, update: ConfigUpdate) -> list[FollowerAction]:
+        version = update.version
         if why := version_problem(version):
             return self._reject_message(now_ms, why)
         number, former = version.number, self.relay_numbers.get(self.relay, 0)
@@ -250,32 +262,32 @@
             return self._reject_message(now_ms, why)
         on_disk = bool(self.disk) and self.disk[0][0] == version
         if number <= top or number == self.refused or number < max(self.floor, former) or on_disk:
-            actions = []
+            noted = []
             if number < self.floor and number > top:
                 why = invalid_value(
                     "number", number, f"{self.floor} and more, which this follower had acknowledged"
                 )
-                actions = self._log_invalid_once(f"floor/{self.relay}", why)
-            return actions + self._on_relay_number(now_ms, number, news.confirmed_ms)
-        if news.contents is not None:
-            if why := contents_problem(version, news.contents):
+                noted = self._log_invalid_once(f"floor/{self.relay}", why)
+            return noted + self._on_relay_number(now_ms, number, update.confirmed_ms)
+        if update.contents is not None:
+            if why := contents_problem(version, update.contents):
                 return self._reject_message(now_ms, why)
-            contents = news.contents
-        elif news.delta is not None:
+            contents = update.contents
+        elif update.delta is not None:
             try:
-                contents = apply_delta(self._base_contents(news.delta.base), news.delta, version)
-            except ValueError as error:
-                said = self._on_relay_number(now_ms, number, news.confirmed_ms)
+                contents = apply_delta(self._base_contents(update.delta.base), update.delta, version)
+            except DeltaError as error:
+                actions = self._on_relay_number(now_ms, number, update.confirmed_ms)
                 if self.state == LINKED:
                     self.deadline_ms = now_ms + timeouts.RESPONSE_TIMEOUT_MS
-                    said.append(Send(self.link, FetchFullContents(number)))
-                return [*self._log_invalid(str(error)), *said]
+                    actions.append(Send(self.link, FetchFullContents(number)))
+                return [*self._log_invalid(str(error)), *actions]
         else:
             return self._reject_message(now_ms, invalid_value("contents", None, "whole or by difference"))
         self.next_version = version, contents
         offer: list[FollowerAction] = [PublishVersion(version, contents)] if self.relays else []
         begun = self._begin_next(now_ms)
-        return [*offer, *begun, *self._on_relay_number(now_ms, number, news.confirmed_ms)]
+        return [*offer, *begun, *self._on_relay_number(now_ms, number, update.confirmed_ms)]
 
     # The link.
 
@@ -291,7 +303,7 @@
         ]
 
     def _next_relay(self) -> str:
-        """The first relay that has not been tried since one was good; after a round from the first again."""
+        """Return the first relay not tried since one was good; when all were tried, the first of all."""
         left = [relay for relay in self.order if relay not in self.tried]
         if not left:
             self.tried, left = frozenset(), list(self.order)
@@ -303,10 +315,10 @@
         return [Connect(self.link, self.relay)]
 
     def _leave_relay(self, now_ms: float, why: str, closed: bool = False) -> list[FollowerAction]:
-        """The relay is no good: another one after a pause."""
+        """Leave the relay; connect to another after a backoff."""
         kv = {"relay": self.relay, "why": why}
-        told = Told("configuration_link_ended", kv, detail=self.state != LINKED)
-        actions: list[FollowerAction] = [told] if closed else [told, Close(self.link, why)]
+        event = Told("configuration_link_ended", kv, detail=self.state != LINKED)
+        actions: list[FollowerAction] = [event] if closed else [event, Close(self.link, why)]
         self.tried |= {self.relay}
         most = min(
             timeouts.RECONNECT_BACKOFF_MS[1] * 2.0 ** min(self.failures, 10),
@@ -324,14 +336,14 @@
     # Time.
 
     def tick(self, now_ms: float) -> list[FollowerAction]:
-        """Time has passed: what is due."""
+        """Do what is due."""
         actions: list[FollowerAction] = []
         if self.disk and now_ms >= self.start_ms:
             actions += self._apply_from_disk()
         if now_ms >= self.deadline_ms:
             if (
                 now_ms - self.deadline_ms > timeouts.STALL_THRESHOLD_MS
-            ):  # it stood still: the answer may be here, unread
+            ):  # the process stood still: the response may be unread
                 self.deadline_ms = now_ms + timeouts.STALL_THRESHOLD_MS
             else:
                 return actions + self._leave_relay(now_ms, _TIMEOUT_REASONS[self.state])
@@ -351,7 +363,7 @@
         return actions
 
     def due_ms(self, now_ms: float) -> float:
-        """When `tick` is to be called at the latest."""
+        """Return when `tick` is to be called at the latest."""
         due = min(self.deadline_ms, self.poll_ms, self.preferred_retry_ms)
         if self.state == PAUSED and self.order:
             due = min(due, self.reconnect_ms)
@@ -360,7 +372,7 @@
         return max(due, now_ms + 1.0)
 
     def shown(self, now_ms: float) -> str:
-        """Its version, by which relay, and for how long it has heard nothing, in one line."""
+        """Describe the follower to operators in one line."""
         heard = self.began_ms if self.heard_ms is None else self.heard_ms
         parts = [f"version {self.version.number}" if self.version.number else "no version"]
         if self.version.number:
--- a/grebestack/config_distribution/follower_versions.py
+++ b/grebestack/config_distribution/follower_versions.py
@@ -62,17 +62,17 @@
         return [*actions, Apply(*self.pending)]
 
     def _highest_number(self) -> int:
-        """The highest number that is in force or on its way to be."""
+        """Return the highest number that is in force, pending, or next."""
         return max(
             [self.version.number, *(held[0].number for held in (self.pending, self.next_version) if held)]
         )
 
     def _base_contents(self, digest: str) -> bytes:
-        """Contents by digest, of those that a difference may be based on; else those in force."""
+        """Return the contents that a delta is based on; those in force if the digest is unknown."""
         return self.bases.get(digest, self.contents)
 
     def _remember_base(self) -> str:
-        """The digest of what a difference is best based on; it is told to the relay, and kept for a while."""
+        """Return the digest of the newest contents, kept as a base that the relay may use for a delta."""
         version, contents = self.disk[0] if self.disk else (self.version, self.contents)
         if version.digest:
             self.bases.pop(version.digest, None)
@@ -82,7 +82,7 @@
         return version.digest
 
     def _begin_next(self, now_ms: float) -> list[FollowerAction]:
-        """Bring what waits into force, one at a time."""
+        """Store the next version, unless one is pending."""
         if self.pending is not None:
             return []
         if self.next_version is None:
@@ -92,7 +92,7 @@
         return [Store(*self.pending, former[0], tuple(former[1:]))]
 
     def _apply_from_disk(self) -> list[FollowerAction]:
-        """What the disk holds, at a start, unless a later one was acknowledged or is on its way."""
+        """Apply the disk's version, unless a later one was acknowledged, is pending, or is next."""
         if not self.disk or self.pending is not None or self.next_version is not None:
             return []
         number = self.disk[0][0].number
--- a/grebestack/config_distribution/messages.py
+++ b/grebestack/config_distribution/messages.py
@@ -1,6 +1,7 @@
-"""What followers and relays say to each other: one internal form, by msgspec, apart from the voters'. Pure.
+"""Messages between followers and relays, in msgpack. Pure.
 
-One connection carries one follower, or a relay that itself follows. The follower speaks first (`Subscribe`).
+One connection carries one follower, or a relay that itself follows; the follower sends the first message,
+`Subscribe`. Fields go by their order.
 """
 
 from __future__ import annotations
@@ -10,40 +11,40 @@
 from grebestack.config_distribution.versions import MAX_CONTENTS_BYTES, Delta, Version
 
 PROTOCOL_VERSION = 1
-MAX_MESSAGE_BYTES = MAX_CONTENTS_BYTES + 64 * 1024  # bytes of a message, its length not counted
-NEVER_CONFIRMED_MS = 1 << 40  # `confirmed_ms` of a relay that never knew
+MAX_MESSAGE_BYTES = MAX_CONTENTS_BYTES + 64 * 1024  # without the length before it
+NEVER_CONFIRMED_MS = 1 << 40  # `confirmed_ms` of a relay that has no confirmation
 
 
 class Subscribe(Struct, frozen=True, array_like=True, tag="greeting"):
-    """The follower's first message: who it is and what it has in force."""
+    """The follower's first message: its identity and what it has in force."""
 
     form: int
     fleet: str
     name: str
-    life: int  # which start; a later one is a higher number
+    life: int  # process incarnation: a later start has a higher number
     place: str  # region/zone
     number: int
     digest: str
 
 
 class SubscribeAccepted(Struct, frozen=True, array_like=True, tag="welcome"):
-    """The relay's first message: taken. `ConfigUpdate` or `NotModified` follows at once."""
+    """The relay's response to `Subscribe`; `ConfigUpdate` or `NotModified` follows at once."""
 
     form: int
     fleet: str
     relay: str
-    most: int  # so many followers it serves
-    floor: int = 0  # the highest number that this follower is known to have acknowledged, in any life
+    most: int  # followers that it serves at most
+    floor: int = 0  # the highest number that this follower has acknowledged, in any incarnation
 
 
 class SubscribeRejected(Struct, frozen=True, array_like=True, tag="full"):
-    """The relay's first message: not taken, go to another."""
+    """The relay's response to `Subscribe`: use another relay."""
 
     why: str
 
 
 class ConfigUpdate(Struct, frozen=True, array_like=True, tag="news"):
-    """A decided version with its contents, whole or by difference."""
+    """A decided version with its contents, in full or as a delta; `confirmed_ms` as in `NotModified`."""
 
     version: Version
     confirmed_ms: int
@@ -52,48 +53,48 @@
 
 
 class Poll(Struct, frozen=True, array_like=True, tag="poll"):
-    """Is there a newer one? Also the acknowledgement: this is in force, that was refused."""
+    """Asks for a newer version, and acknowledges what is in force or was refused."""
 
     number: int
     digest: str
-    refused: int = 0  # the version that can't be taken
+    refused: int = 0  # the number of the version that was refused, 0 for none
     why: str = ""
 
 
 class NotModified(Struct, frozen=True, array_like=True, tag="still"):
-    """The newest number the relay has, and how long ago a majority of voters knew no newer one."""
+    """The newest number the relay has, and how long ago, in ms, a majority of voters knew of no newer one."""
 
     number: int
     confirmed_ms: int
 
 
 class FetchFullContents(Struct, frozen=True, array_like=True, tag="fetch"):
-    """The whole contents are wanted: a difference did not fit."""
+    """Asks for full contents after a delta that did not apply."""
 
     number: int
 
 
 class FollowerStatus(Struct, frozen=True, array_like=True):
-    """What a relay knows of one follower."""
+    """What a relay knows of one follower. Times are in ms before the report."""
 
     name: str
     life: int
-    number: int  # in force there when it was heard last
-    heard_ms: int  # how long ago that was
+    number: int  # in force at its last message
+    heard_ms: int  # since its last message
     linked: bool
-    behind_ms: int = 0  # for how long the relay has had a newer version; 0: it is not behind
+    behind_ms: int = 0  # since the relay has had a newer version; 0: it is not behind
     refused: int = 0
     why: str = ""
 
 
 class StatusReport(Struct, frozen=True, array_like=True, tag="tally"):
-    """A relay's word on its followers, upstream to the voters."""
+    """A relay's report on its followers, sent upstream to the voters."""
 
     relay: str
     life: int
     sequence: int
-    whole: bool  # else: what has changed since the one before
-    number: int  # the newest the relay has
+    whole: bool  # all followers; else those that changed since the report before
+    number: int  # the newest that the relay has
     standings: tuple[FollowerStatus, ...]
 
 
@@ -108,19 +109,25 @@
     | StatusReport
 )
 _encoder = msgpack.Encoder()
-_said = msgpack.Decoder(Message)
+_decoder = msgpack.Decoder(Message)
 
 
-def encode(item: Message) -> bytes:
-    """A message as bytes."""
-    return _encoder.encode(item)
+def encode(message: Message) -> bytes:
+    """Encode a message."""
+    return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Read a message; msgspec.DecodeError or ValidationError where it is none."""
-    return _said.decode(data)
+    """Decode a message.
+
+    Raises
+    ------
+    msgspec.DecodeError, UnicodeDecodeError
+        The bytes are not a message.
+    """
+    return _decoder.decode(data)
 
 
 def tag_of(message: Message) -> str:
-    """The tag that names a message on the wire."""
+    """Return the tag that names a message on the wire."""
     return str(message.__struct_config__.tag)
--- a/grebestack/config_distribution/published_version.py
+++ b/grebestack/config_distribution/published_version.py
@@ -18,9 +18,9 @@
         self.version: Version = NO_VERSION
         self.contents = b""
         self.confirmed_ms: float | None = None
-        self.former_contents: dict[str, bytes] = {}  # contents by digest, the newest last
-        self.deltas: dict[str, Delta] = {}  # to the present version, by base
-        self.updates: dict[str, tuple[float, ConfigUpdate]] = {}  # made lately, by base; "" for whole
+        self.former_contents: dict[str, bytes] = {}  # by digest, newest last
+        self.deltas: dict[str, Delta] = {}  # to the published version, by base
+        self.updates: dict[str, tuple[float, ConfigUpdate]] = {}  # by base, "" for full contents; when made
 
     def _replace_version(self, version: Version, contents: bytes) -> None:
         """Publish a newer version."""
@@ -47,7 +47,7 @@
         return max(0, int(now_ms - self.confirmed_ms))
 
     def _update_from(self, now_ms: float, base: str) -> ConfigUpdate:
-        """By difference from `base` if its contents are here, else whole; one object for all for a while."""
+        """Return an update as a delta from `base` if its contents are here, else in full."""
         base = base if base in self.former_contents else ""
         made = self.updates.get(base)
         if made is not None and now_ms - made[0] < UPDATE_REUSE_MS:
--- a/grebestack/config_distribution/relay.py
+++ b/grebestack/config_distribution/relay.py
@@ -1,7 +1,7 @@
-"""One relay: serves followers the newest version it has, and knows who is behind. Pure.
+"""One relay: serves followers the newest version it has, and tracks who is behind. Pure.
 
-What is small goes at once; whole contents and large differences go by a token bucket in the order in which
-they were wanted, so that many who come at once do not ask for more than a relay bears.
+Small updates are sent at once. Full contents and large deltas are limited by a token bucket, in the order of
+requests, so that many followers that connect at once do not overload the relay.
 """
 
 from __future__ import annotations
@@ -43,23 +43,23 @@
 
 MAX_FOLLOWERS = 2048
 MAX_REASON_LENGTH = 500
-UNTHROTTLED_BYTES = 4096  # bytes that go at once
+UNTHROTTLED_BYTES = 4096  # updates up to this size are sent at once
 MAX_STATUSES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
 class FollowerState:
-    """One follower, as it said last."""
+    """One follower by its last message. Times are of the relay's own clock."""
 
     name: str
     life: int
-    number: int  # in force there
-    digest: str  # what a difference may be based on
+    number: int  # in force at the follower
+    digest: str  # contents that a delta may be based on
     heard_ms: float
-    behind_ms: float | None = None  # since when there is a newer one here
+    behind_ms: float | None = None  # since when the relay has had a newer version
     refused: int = 0
     why: str = ""
-    sent: int = 0  # the number that was sent last
+    sent: int = 0  # the number that was pushed last
     sent_ms: float = -inf
     linked: bool = True
 
@@ -67,7 +67,16 @@
 class Relay(PublishedVersion):
     """Events in, actions out. Links are numbered by whoever runs it, each number used once.
 
-    `floor` tells the highest number that a follower has acknowledged elsewhere, as a voter's tallies say.
+    Times are monotonic milliseconds.
+
+    Parameters
+    ----------
+    life
+        Process incarnation: a later start has a higher number.
+    most
+        Followers that it serves at most.
+    floor
+        Returns the highest number that a follower has acknowledged to any relay, 0 for none.
     """
 
     def __init__(
@@ -83,16 +92,12 @@
         self.name, self.fleet, self.life, self.most = name, fleet, life, most
         self.random, self.floor = random, floor
         self.followers: dict[int, FollowerState] = {}
-        self.link_by_name: dict[str, int] = {}  # by name
-        self.disconnected: dict[
-            str, FollowerState
-        ] = {}  # not linked any more, the one that left last at the end
-        self.waiting_links: dict[int, None] = {}  # links that wait for their turn, in order
-        self.tokens, self.tokens_ms = (
-            float(timeouts.FULL_CONTENTS_BYTES_PER_S),
-            0.0,
-        )  # the bucket, and when it was looked at
-        self.changed_names: set[str] = set()  # names, since the last tally
+        self.link_by_name: dict[str, int] = {}
+        self.disconnected: dict[str, FollowerState] = {}  # the last one at the end
+        self.waiting_links: dict[int, None] = {}  # in order of their requests
+        self.tokens = float(timeouts.FULL_CONTENTS_BYTES_PER_S)  # bytes
+        self.tokens_ms = 0.0  # when they were counted
+        self.changed_names: set[str] = set()  # since the last report
         self.reported_number = -1
         self.sequence = 0
         self.report_ms, self.full_report_ms, self.next_scan_ms = 0.0, 0.0, 0.0
@@ -101,7 +106,7 @@
     # What it serves.
 
     def offer(self, now_ms: float, version: Version, contents: bytes) -> list[RelayAction]:
-        """A decided version, checked: pushed at once if it is newer."""
+        """Publish a decided version to the followers if it is newer."""
         if why := contents_problem(version, contents):
             return [Told("configuration_wrong", {"relay": self.name, "why": why})]
         if version.number <= self.version.number:
@@ -119,7 +124,7 @@
         return Send(link, NotModified(self.version.number, self._confirmed_age_ms(now_ms)))
 
     def _push(self, now_ms: float, link: int) -> list[RelayAction]:
-        """Send the newest, now or in its turn; nothing where it was refused."""
+        """Send the newest version, now or in its turn, unless the follower has or refused it."""
         follower = self.followers[link]
         if follower.refused == self.version.number or follower.number >= self.version.number:
             return []
@@ -134,7 +139,7 @@
         return Send(link, update)
 
     def _serve_waiting(self, now_ms: float) -> list[RelayAction]:
-        """Those whose turn it is."""
+        """Send updates to waiting followers as far as the tokens go."""
         grown = self.tokens + (now_ms - self.tokens_ms) * timeouts.FULL_CONTENTS_BYTES_PER_S / 1000.0
         self.tokens, self.tokens_ms = (
             min(grown, timeouts.FULL_CONTENTS_BYTES_PER_S * timeouts.FULL_CONTENTS_BURST_MS / 1000.0),
@@ -245,18 +250,18 @@
             behind_ms=behind,
         )
         if follower.sent == self.version.number and now_ms - follower.sent_ms < timeouts.RESEND_INTERVAL_MS:
-            return [*actions, self._not_modified(now_ms, link)]  # it may still be on its way
+            return [*actions, self._not_modified(now_ms, link)]  # the push may still be on its way
         return actions + self._respond(now_ms, link)
 
     def _respond(self, now_ms: float, link: int) -> list[RelayAction]:
-        """The newest if it is newer and may go now; else that there is none, or that it will come."""
+        """Send the newest version if it is newer and may go now, else `NotModified`."""
         pushed = self._push(now_ms, link)
         if any(isinstance(action, Send) and action.link == link for action in pushed):
             return pushed
         return [*pushed, self._not_modified(now_ms, link)]
 
     def lost(self, now_ms: float, link: int, why: str) -> list[RelayAction]:
-        """A link has ended, or carried what is no message (`why` says so)."""
+        """A link has ended, or carried an invalid message; `why` says which."""
         follower = self._remove(now_ms, link)
         if follower is None:
             return []
@@ -326,17 +331,17 @@
         return bool(self.changed_names) or self.reported_number != self.version.number
 
     def tick(self, now_ms: float) -> list[RelayAction]:
-        """Time has passed: what is due."""
+        """Do what is due."""
         actions = self._serve_waiting(now_ms) if self.waiting_links else []
         if now_ms >= self.next_scan_ms:
             actions += self._scan(now_ms)
         return actions + self._report(now_ms)
 
     def _scan(self, now_ms: float) -> list[RelayAction]:
-        """Those that have not been heard for long, connected or not."""
+        """Disconnect overdue followers, and forget those that have been away for long."""
         actions: list[RelayAction] = []
         late_ms, self.next_scan_ms = now_ms - self.next_scan_ms, now_ms + timeouts.OVERDUE_SCAN_INTERVAL_MS
-        if late_ms > timeouts.OVERDUE_SCAN_INTERVAL_MS:  # it stood still: what they said may be here, unread
+        if late_ms > timeouts.OVERDUE_SCAN_INTERVAL_MS:  # the process stood still: messages may be unread
             return []
         why = f"not heard for {timeouts.FOLLOWER_OVERDUE_MS / 1000.0:g} s"
         for link, follower in list(self.followers.items()):
@@ -350,7 +355,7 @@
         return actions
 
     def due_ms(self, now_ms: float) -> float:
-        """When `tick` is to be called at the latest."""
+        """Return when `tick` is to be called at the latest."""
         due = min(self.full_report_ms, self.next_scan_ms)
         if self._has_unreported():
             due = min(due, self.report_ms)
@@ -361,7 +366,7 @@
         return max(due, now_ms + 1.0)
 
     def shown(self, now_ms: float) -> str:
-        """How many it serves and who of them is behind, in one line."""
+        """Describe the relay and the followers that are behind to operators, in one line."""
         behind = sorted(
             follower.name for follower in self.followers.values() if follower.behind_ms is not None
         )
--- a/grebestack/config_distribution/versions.py
+++ b/grebestack/config_distribution/versions.py
@@ -1,7 +1,7 @@
-"""A version of the configuration: what is decided about it, its contents, and contents by difference. Pure.
+"""Versions of the configuration, validation of their contents, and deltas between contents. Pure.
 
-Contents go by their digest (SHA-256, FIPS 180-4): whatever way they came, they count only once size and
-digest are those of the decided version.
+Contents are identified by their digest (SHA-256, FIPS 180-4) and are used only if size and digest are those
+of the decided version.
 """
 
 from __future__ import annotations
@@ -11,25 +11,29 @@
 
 from msgspec import Struct
 
-MAX_CONTENTS_BYTES = 512 * 1024  # bytes of a version's contents
-DIGEST_HEX_DIGITS = 64  # hexadecimal digits
+MAX_CONTENTS_BYTES = 512 * 1024  # of one version
+DIGEST_HEX_DIGITS = 64
+
+
+class DeltaError(ValueError):
+    """A delta does not lead to a version's contents."""
 
 
 class Version(Struct, frozen=True, array_like=True, tag="version"):
-    """What is decided: a number that only grows and the contents' digest; the rest is for people."""
+    """What is decided: a number that only grows, and the contents' digest and size."""
 
     number: int
     digest: str  # SHA-256, hexadecimal
     size: int  # bytes
-    by: str  # the voter at whose door it was asked for
-    since_ms: int  # from which instant, Unix time in milliseconds; nothing is decided by it
+    by: str  # the voter where it was proposed; for people only
+    since_ms: int  # Unix time in milliseconds of the proposal; for people only
 
 
 NO_VERSION = Version(0, "", 0, "", 0)
 
 
 class Delta(Struct, frozen=True, array_like=True, tag="delta"):
-    """Contents as a change of former ones: as many bytes of both ends as stay, and what stands between."""
+    """Contents as a change of former ones: the lengths of common prefix and suffix, and what is between."""
 
     base: str  # digest of the former contents
     prefix: int
@@ -38,18 +42,18 @@
 
 
 def invalid_value(field: str, value: object, allowed: object) -> str:
-    """One way to say what is wrong with a value."""
+    """Describe an invalid value."""
     shown = repr(value)
     return f"{field} is {shown if len(shown) <= 80 else shown[:77] + '...'}; allowed: {allowed}"
 
 
 def digest_of(contents: bytes) -> str:
-    """The digest by which contents go."""
+    """Return the digest of contents."""
     return hashlib.sha256(contents).hexdigest()
 
 
 def version_problem(version: Version) -> str:
-    """Why this can't be a decided version, by field, value and what is allowed; or nothing."""
+    """Say why this can't be a decided version: field, value and what is allowed; or empty."""
     if version.number < 1:
         return invalid_value("number", version.number, "1 and more")
     if len(version.digest) != DIGEST_HEX_DIGITS or set(version.digest) - set("0123456789abcdef"):
@@ -60,7 +64,7 @@
 
 
 def contents_problem(version: Version, contents: bytes) -> str:
-    """Why these are not the contents of this version, by field, value and what is allowed; or nothing."""
+    """Say why these are not the contents of this version: field, value and what is allowed; or empty."""
     if why := version_problem(version):
         return why
     if len(contents) != version.size:
@@ -70,8 +74,8 @@
     return ""
 
 
-def _common(old: bytes, new: bytes) -> int:
-    """How many bytes both begin with, by halving: comparison of slices runs at the speed of memory."""
+def _common_prefix(old: bytes, new: bytes) -> int:
+    """Return the length of the common prefix, by bisection: slices compare faster than single bytes."""
     low, high = 0, min(len(old), len(new))
     while low < high:
         middle = (low + high + 1) // 2
@@ -83,32 +87,39 @@
 
 
 def delta_between(old: bytes, new: bytes) -> Delta:
-    """What leads from former contents to new ones."""
-    prefix = _common(old, new)
+    """Return the delta from former contents to new ones."""
+    prefix = _common_prefix(old, new)
     rest_old, rest_new = old[prefix:], new[prefix:]
-    suffix = _common(rest_old[::-1], rest_new[::-1])
+    suffix = _common_prefix(rest_old[::-1], rest_new[::-1])
     return Delta(digest_of(old), prefix, suffix, zlib.compress(rest_new[: len(rest_new) - suffix], 1))
 
 
 def apply_delta(old: bytes, delta: Delta, version: Version) -> bytes:
-    """The version's contents; ValueError by field, value and what is allowed where they do not come out."""
+    """Return the version's contents.
+
+    Raises
+    ------
+    DeltaError
+        The delta does not lead from `old` to the version's contents; the text has field, value and what is
+        allowed.
+    """
     if why := version_problem(version):
-        raise ValueError(why)
+        raise DeltaError(why)
     if (digest := digest_of(old)) != delta.base:
-        raise ValueError(invalid_value("base", delta.base, f"{digest}, which is held"))
+        raise DeltaError(invalid_value("base", delta.base, f"{digest}, which is held"))
     if delta.prefix < 0:
-        raise ValueError(invalid_value("prefix", delta.prefix, f"0 to {len(old)}"))
+        raise DeltaError(invalid_value("prefix", delta.prefix, f"0 to {len(old)}"))
     if delta.suffix < 0 or delta.prefix + delta.suffix > len(old):
-        raise ValueError(invalid_value("suffix", delta.suffix, f"0 to {len(old) - delta.prefix}"))
-    room = version.size - delta.prefix - delta.suffix
-    inflating = zlib.decompressobj()
+        raise DeltaError(invalid_value("suffix", delta.suffix, f"0 to {len(old) - delta.prefix}"))
+    middle_size = version.size - delta.prefix - delta.suffix
+    inflater = zlib.decompressobj()
     try:
-        middle = inflating.decompress(delta.middle, max(room, 0) + 1)
+        middle = inflater.decompress(delta.middle, max(middle_size, 0) + 1)
     except zlib.error as error:
-        raise ValueError(invalid_value("middle", str(error), "what zlib made")) from None
-    if len(middle) != room or not inflating.eof or inflating.unused_data:
-        raise ValueError(invalid_value("middle", f"{len(middle)} bytes", f"{room} bytes, whole"))
+        raise DeltaError(invalid_value("middle", str(error), "what zlib made")) from None
+    if len(middle) != middle_size or not inflater.eof or inflater.unused_data:
+        raise DeltaError(invalid_value("middle", f"{len(middle)} bytes", f"{middle_size} bytes, whole"))
     contents = old[: delta.prefix] + middle + old[len(old) - delta.suffix :]
     if why := contents_problem(version, contents):
-        raise ValueError(why)
+        raise DeltaError(why)
     return contents
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -323,9 +323,9 @@
         voter = ConfigurationNode(cast(Node, node), str(tmp_path), lambda version, data: "")
         stored: list[int] = []
         voter._stored = lambda number, why: stored.append(number)  # type: ignore[method-assign]
-        voter._do(Store(version(1, ONE), ONE, 0))
-        voter._do(Store(version(2, TWO), TWO, 1))
-        voter._do(Store(version(3, THREE), THREE, 2, (1,)))
+        voter._perform(Store(version(1, ONE), ONE, 0))
+        voter._perform(Store(version(2, TWO), TWO, 1))
+        voter._perform(Store(version(3, THREE), THREE, 2, (1,)))
         await rig.until(lambda: stored == [1, 2, 3])
         voter.stop()
         assert len(list(tmp_path.glob("version-*"))) == 3
