--- a/benchmarks/scaling/hollow.py
+++ b/benchmarks/scaling/hollow.py
@@ -63,7 +63,7 @@
         self.acts = os.open(raw["acts"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
         self.rest = b""
         self.base = from_file(raw["base"])
-        self.layings: dict[str, AppliedConfig] = {}
+        self.applied: dict[str, AppliedConfig] = {}
 
     def begin(self) -> None:
         """Start them all."""
@@ -75,7 +75,7 @@
 
     def start(self, name: str, life: int) -> None:
         """Start one, anew if it was stopped: it has no disk."""
-        self.layings[name] = AppliedConfig(HollowHost(self.base))
+        self.applied[name] = AppliedConfig(HollowHost(self.base))
         settings = FollowerSettings(
             name=name,
             fleet=self.raw["fleet"],
@@ -95,7 +95,7 @@
 
     def _take(self, name: str, life: int, version: Any, contents: bytes) -> str:
         """Parse, check and say so as a real one does, and note it."""
-        if why := self.layings[name].take(version, contents):
+        if why := self.applied[name].apply(version, contents):
             return why
         digest = hashlib.sha256(contents).hexdigest()
         self.lines.append(
--- a/benchmarks/scaling/taking.py
+++ b/benchmarks/scaling/taking.py
@@ -18,7 +18,7 @@
 def taking(folder: Path) -> dict[str, Any]:
     """Milliseconds of processor time each, the least of several, and bytes; lines through them.
 
-    It is `AppliedConfig.look`, which reads the new contents once: the engine's part is not in it.
+    It is `AppliedConfig.preview`, which reads the new contents once: the engine's part is not in it.
     """
     base = folder / "base.toml"
     head = 'name = "base"\nlisten = "127.0.0.1:1"\n'
@@ -31,10 +31,10 @@
             for n in range(count)
         )
         contents = f'{APPLIANCE_SETTINGS}[servers]\nsource = "list"\nlist = [\n{servers}]\n'.encode()
-        best, laying = float("inf"), AppliedConfig(HollowHost(from_file(str(base))))
+        best, applied = float("inf"), AppliedConfig(HollowHost(from_file(str(base))))
         for _ in range(REPEATS):
             begun = time.process_time()
-            laying.look(contents)
+            applied.preview(contents)
             best = min(best, (time.process_time() - begun) * 1000.0)
         times.append((float(count), best))
         sizes.append((float(count), float(len(contents))))
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -1,7 +1,7 @@
-"""The configuration in force, as a dispatcher takes it: versions laid over the operator's file, and the door.
+"""Configuration updates at a dispatcher: versions merged with the operator's file, and admin commands.
 
-A version's sections stand in place of those of the local file, go through the same check as a file that is
-read again, and are put in force by the same code. Knows the dispatcher by a narrow interface alone.
+A version's sections replace those of the local file. The result is validated like a file that is read again,
+and put in force by the same code.
 """
 
 from __future__ import annotations
@@ -29,40 +29,48 @@
 from grebestack.program.config import Config, ConfigError, ForceConfig, StartError, check, from_text, read
 
 log = logging.getLogger(__name__)
-DECIDED_S = 0.7  # the door wants its answer by then; see admin.server.ANSWER_S
-SPARE_S = 0.3  # a start waits so long beyond what a version on the disk waits for a relay
-FOLDER = "configuration"  # within the fleet's folder
-# Seams for tests, which no operator's file can reach.
+PROPOSAL_ANSWER_S = 0.7  # shorter than admin.server.ANSWER_S
+START_MARGIN_S = 0.3  # a start waits this long beyond the follower's own wait
+FOLDER = "configuration"  # within the cluster's folder
+# Replaced in tests only.
 FILES: Callable[[], Files] = Files
 CLOCK: Callable[[], float] = monotonic_ms
 
 
 class Host(Protocol):
-    """The dispatcher whose configuration it is."""
+    """The dispatcher, as far as its configuration goes."""
 
     @property
     def config(self) -> Config:
-        """What it acts under."""
+        """The configuration it has applied."""
 
     def waits(self, config: Config) -> Sequence[str]:
-        """The fields in which a configuration differs from the one it acts under and that need a restart."""
+        """List the fields that differ from the applied configuration and need a restart."""
 
     def adopt(self, config: Config) -> str:
-        """Put a checked configuration in force, all of it or nothing; why not, or nothing."""
+        """Apply a validated configuration, all of it or nothing; return why not, or empty."""
 
 
 def value_of(config: Config, name: str) -> object:
-    """What a configuration says of a field that `Host.waits` has named."""
+    """Return the value of a field that `Host.waits` has named."""
     found: Any = config.options
     for part in name.split("."):
         found = found.get(part) if isinstance(found, Mapping) else None
     return found
 
 
-def checked(path: str, text: str, contents: bytes, former: Config | None = None) -> Config:
-    """A version laid over an operator's file. ConfigError: field, value and what is allowed.
+def merge(path: str, text: str, contents: bytes, former: Config | None = None) -> Config:
+    """Merge a version with an operator's file and validate the result.
 
-    `former`: the configuration in force, if any.
+    Parameters
+    ----------
+    former
+        The configuration in force, if any.
+
+    Raises
+    ------
+    ConfigError
+        Field, value and what is allowed.
     """
     if len(contents) > MAX_CONTENTS_BYTES:
         raise ConfigError(f"the size is {len(contents)} bytes; allowed: {MAX_CONTENTS_BYTES}")
@@ -73,26 +81,38 @@
 
 
 class AppliedConfig:
-    """What is in force here: the local file as it was last read, and the version laid over it."""
+    """What is in force here: the local file as it was last read, merged with a version."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
         self.path = host.config.path
         self.text = read(self.path)
-        self.contents: bytes | None = None  # of the version in force; None: none is
-        self.whole = host.config  # the two together; what of it needs a restart, the host does not act under
+        self.contents: bytes | None = None  # of the version in force, if any
+        self.merged = host.config  # merged; the host has not applied what needs a restart
 
     def reread(self) -> Config:
-        """The local file, read again, under the version in force. ConfigError: it can't be used."""
+        """Read the local file again and merge it with the version in force.
+
+        Raises
+        ------
+        ConfigError
+            The file can't be used.
+        """
         text = read(self.path)
         config = from_text(self.path, text, self.contents)
-        self.text, self.whole = text, config
+        self.text, self.merged = text, config
         return config
 
-    def look(self, contents: bytes) -> Config:
-        """What a version would put in force here. ConfigError: why it can't."""
-        config = checked(self.path, self.text, contents, self.host.config)
-        before = self.host.waits(self.whole)
+    def preview(self, contents: bytes) -> Config:
+        """Return the configuration that a version would put in force here.
+
+        Raises
+        ------
+        ConfigError
+            The version can't be put in force.
+        """
+        config = merge(self.path, self.text, contents, self.host.config)
+        before = self.host.waits(self.merged)
         for name in self.host.waits(config):
             if name not in before:
                 if name == "options":
@@ -104,10 +124,10 @@
                 )
         return config
 
-    def take(self, version: Version, contents: bytes) -> str:
-        """Put a version in force; why it is refused, or nothing."""
+    def apply(self, version: Version, contents: bytes) -> str:
+        """Put a version in force; return why it is refused, or empty."""
         try:
-            config = self.look(contents)
+            config = self.preview(contents)
         except ConfigError as error:
             why = str(error).removeprefix(f"{self.path}: ")
         else:
@@ -115,8 +135,8 @@
         kv: dict[str, object] = {"number": version.number, "digest": version.digest}
         if why:
             return why
-        self.contents, self.whole = contents, config
-        # What is in force is said by what the dispatcher holds now, not by what it was given.
+        self.contents, self.merged = contents, config
+        # Log what the dispatcher holds now, not what it was given.
         now = self.host.config
         kv |= {"by": version.by, "since_ms": version.since_ms, "at_ms": round(monotonic_ms(), 1)}
         kv |= {"settings": digest(now.options), "servers": digest([*map(dict, now.servers.entries)])}
@@ -125,32 +145,38 @@
 
 
 class ConfigUpdates:
-    """What a dispatcher has where a configuration in force reaches it: a voter's part, or a follower's."""
+    """A dispatcher's part in configuration distribution: a voter or a follower, and perhaps a relay.
+
+    Raises
+    ------
+    StartError
+        The folder can't be used.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, host: Host, config: ForceConfig, name: str, node: Node | None
     ) -> None:
         self.loop, self.config, self.name = loop, config, name
-        self.laying = AppliedConfig(host)
-        self.reread = self.laying.reread
+        self.applied = AppliedConfig(host)
+        self.reread = self.applied.reread
         folder = os.path.join(config.folder, FOLDER)
         self.voter: ConfigurationNode | None = None
         self.follower: FollowerClient | None = None
         try:
             if node is not None:
-                self.voter = ConfigurationNode(node, folder, self.laying.take, FILES())
+                self.voter = ConfigurationNode(node, folder, self.applied.apply, FILES())
             else:
                 self.follower = FollowerClient(
                     loop,
                     self._settings(folder),
-                    self.laying.take,
+                    self.applied.apply,
                     CLOCK,
                     files=FILES(),
                     relays=name in config.relays,
                 )
         except (OSError, FolderTakenError) as error:
             raise StartError(f"[fleet] folder {config.folder!r} can't be used: {error}") from error
-        self.relay = self._relay()
+        self.relay = self._make_relay()
         self.started: asyncio.Future[None] = loop.create_future()
 
     def _settings(self, folder: str) -> FollowerSettings:
@@ -158,12 +184,12 @@
         relays = {
             name: RelayAddress(relay.address, relay.place)
             for name, relay in config.relays.items()
-            # A relay follows voters alone: no two relays ever follow each other.
+            # A relay follows voters only, so that no two relays follow each other.
             if name != self.name and (self.name not in config.relays or name in config.voters)
         }
         return FollowerSettings(self.name, config.fleet, config.place, relays, folder)
 
-    def _relay(self) -> RelayServer | None:
+    def _make_relay(self) -> RelayServer | None:
         if self.name not in self.config.relays:
             return None
         fleet, address, random = self.config.fleet, self.config.relays[self.name].address, Random()
@@ -177,13 +203,13 @@
         return relay
 
     async def start(self) -> None:
-        """Begin, and return once a version is in force here, or there is none to wait for."""
+        """Start, and return once a version is in force here, or there is none to wait for."""
         if self.relay is not None:
             await self.relay.start()
         part = self.voter or self.follower
         assert part is not None
         part.settled = self._settled
-        self.loop.call_later(STARTUP_GRACE_MS / 1000.0 + SPARE_S, self._settled)
+        self.loop.call_later(STARTUP_GRACE_MS / 1000.0 + START_MARGIN_S, self._settled)
         part.start()
         await self.started
 
@@ -192,15 +218,15 @@
             self.started.set_result(None)
 
     def stop(self) -> None:
-        """End."""
+        """Stop."""
         for part in (self.relay, self.follower, self.voter):
             if part is not None:
                 part.stop()
 
-    # The door.
+    # Admin commands.
 
     def lines(self) -> list[str]:
-        """The version in force, and what is known of the others'."""
+        """Describe the version in force and what is known of other dispatchers, in lines."""
         lines = self.voter.shown() if self.voter is not None else []
         if self.follower is not None:
             lines.append(self.follower.shown())
@@ -209,20 +235,20 @@
         return lines
 
     def shown(self) -> str:
-        """The same for one line."""
+        """Return `lines` as one line."""
         return "; ".join(self.lines())
 
     def configure(self, path: str, reply: Callable[[Answer], None]) -> None:
-        """An operator wants a file's contents in force everywhere."""
+        """Propose a file's contents as the next version; `reply` gets the result."""
         if self.voter is None:
             voters = ", ".join(sorted(self.config.voters)) or "a member of the fleet"
             reply(Answer(False, f"{self.name} does not vote; allowed: say it to {voters}"))
             return
         try:
-            contents = read_contents(os.path.join(os.path.dirname(self.laying.path), path))
-            self.laying.look(contents)
+            contents = read_contents(os.path.join(os.path.dirname(self.applied.path), path))
+            self.applied.preview(contents)
         except ConfigError as error:
-            why = str(error).removeprefix(f"{self.laying.path}: ")
+            why = str(error).removeprefix(f"{self.applied.path}: ")
             reply(Answer(False, f"{path}: {why}"))
             return
 
@@ -235,16 +261,22 @@
                 text = outcome.why
             reply(Answer(outcome.won, text))
 
-        def late() -> None:  # the door takes the first answer alone
+        def late() -> None:  # only the first answer counts
             text = "no majority has decided it yet; it may still come into force: look with `fleet`"
             reply(Answer(False, text))
 
-        self.loop.call_later(DECIDED_S, late)
+        self.loop.call_later(PROPOSAL_ANSWER_S, late)
         self.voter.propose(contents, ended)
 
 
 def read_contents(path: str) -> bytes:
-    """Read a file that is to be in force. ConfigError: it can't be, or is too large."""
+    """Read a file that is to be proposed.
+
+    Raises
+    ------
+    ConfigError
+        It can't be read, or is too large.
+    """
     try:
         if not stat.S_ISREG(os.stat(path).st_mode):
             raise ConfigError("no regular file")
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -1,4 +1,4 @@
-"""Followers and relays over real connections in one loop; the file's keys; versions laid over the file."""
+"""Followers and relays over real connections in one loop; the file's keys; versions applied over the file."""
 
 from __future__ import annotations
 
@@ -457,25 +457,28 @@
         return self.why
 
 
-def laying(tmp_path: Path, **kv: Any) -> AppliedConfig:
+def applied_config(tmp_path: Path, **kv: Any) -> AppliedConfig:
     return AppliedConfig(Fake(load(tmp_path, f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}'), **kv))
 
 
 def test_a_version_stands_in_place_of_the_files_sections_and_stays_over_a_file_read_again(
     tmp_path: Path,
 ) -> None:
-    laid = laying(tmp_path)
-    assert laid.take(version(1, TWO), TWO) == ""
-    assert laid.host.config.options["limits"]["mostTries"] == 6 and len(laid.host.config.servers.entries) == 1
+    applied = applied_config(tmp_path)
+    assert applied.apply(version(1, TWO), TWO) == ""
+    assert (
+        applied.host.config.options["limits"]["mostTries"] == 6
+        and len(applied.host.config.servers.entries) == 1
+    )
     (tmp_path / "a.toml").write_text(
         f'sockets = 2000\n{HEAD}[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}{APPLIANCE_SETTINGS}'
     )
-    again = laid.reread()
+    again = applied.reread()
     assert again.sockets == 2000 and again.options["limits"]["mostTries"] == 6
     (tmp_path / "a.toml").write_text("half a file")
     with pytest.raises(ConfigError):
-        laid.reread()
-    assert laid.take(version(2, ONE), ONE) == ""  # what was read last still holds below it
+        applied.reread()
+    assert applied.apply(version(2, ONE), ONE) == ""  # what was read last still holds below it
 
 
 @pytest.mark.parametrize(
@@ -495,27 +498,27 @@
 def test_what_can_not_be_taken_is_named_and_the_version_in_force_stays(
     tmp_path: Path, data: bytes, why: str
 ) -> None:
-    laid = laying(tmp_path, waits=("zones",))
-    assert laid.take(version(1, TWO), TWO) == ""
-    former = laid.host.config
-    assert why in laid.take(version(2, data), data)
-    assert laid.host.config is former and laid.contents == TWO
+    applied = applied_config(tmp_path, waits=("zones",))
+    assert applied.apply(version(1, TWO), TWO) == ""
+    former = applied.host.config
+    assert why in applied.apply(version(2, data), data)
+    assert applied.host.config is former and applied.contents == TWO
 
 
 def test_what_waits_for_a_restart_by_the_local_file_is_not_held_against_a_version(
     tmp_path: Path,
 ) -> None:
-    laid = laying(tmp_path, waits=("zones",))
+    applied = applied_config(tmp_path, waits=("zones",))
     path, wider = tmp_path / "a.toml", 'zones = ["here", "there"]'
     path.write_text(path.read_text().replace('zones = ["here"]', wider))
-    assert "zones" in laid.take(version(1, TWO), contents(6, zones='["here", "there"]'))
-    laid.reread()  # as SIGHUP does: it is known from now on that zones wait
-    assert laid.take(version(2, TWO), contents(6, zones='["here", "there"]')) == ""
+    assert "zones" in applied.apply(version(1, TWO), contents(6, zones='["here", "there"]'))
+    applied.reread()  # as SIGHUP does: it is known from now on that zones wait
+    assert applied.apply(version(2, TWO), contents(6, zones='["here", "there"]')) == ""
 
 
 def test_what_the_dispatcher_can_not_put_in_force_is_not_laid_over_the_file_either(tmp_path: Path) -> None:
-    laid = laying(tmp_path, why="servers: it failed")
-    assert laid.take(version(1, TWO), TWO) == "servers: it failed" and laid.contents is None
+    applied = applied_config(tmp_path, why="servers: it failed")
+    assert applied.apply(version(1, TWO), TWO) == "servers: it failed" and applied.contents is None
 
 
 def test_a_file_that_is_to_be_in_force_is_a_regular_one_of_a_bounded_size(tmp_path: Path) -> None:
