--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -102,10 +102,10 @@
         since_ms = time.time_ns() // 1_000_000
         self.turns.run(self.voter.propose(self.clock(), self.tickets, contents, since_ms, self._view()))
 
-    def tallied(self, tally: StatusReport) -> None:
+    def on_status_report(self, report: StatusReport) -> None:
         """Take a relay's status report."""
         if not self.turns.stopped:
-            self.turns.run(self.voter.tallied(self.clock(), tally, self._view()))
+            self.turns.run(self.voter.on_status_report(self.clock(), report, self._view()))
 
     def _view(self) -> VoterView:
         """Return this voter's disk and membership at this moment."""
@@ -125,7 +125,7 @@
         self.counted["messages_in"] += 1
         self.counted["bytes_in"] += len(body)
         if not self.turns.stopped:
-            self.turns.run(self.voter.heard(self.clock(), name, body, self._view()))
+            self.turns.run(self.voter.on_message(self.clock(), name, body, self._view()))
 
     # Actions of the pure part.
 
@@ -163,16 +163,16 @@
 
     def _apply(self, action: Apply) -> None:
         why = self.take(action.version, action.contents)
-        self.turns.run(self.voter.taken(self.clock(), action.version.number, why))
+        self.turns.run(self.voter.on_applied(self.clock(), action.version.number, why))
         self.settled()
 
     def _publish(self, action: PublishVersion) -> None:
         if self.relay is not None:
-            self.relay.offer(action.version, action.contents)
+            self.relay.publish(action.version, action.contents)
 
     def _confirm(self, action: MajorityConfirmed) -> None:
         if self.relay is not None:
-            self.relay.confirmed(action.at_ms)
+            self.relay.on_majority_confirmed(action.at_ms)
         self.settled()
 
     def _change_register(self, action: ChangeRegister) -> None:
@@ -187,12 +187,12 @@
 
     def _kept(self, digest: str, why: str) -> None:
         if not self.turns.stopped:
-            self.turns.run(self.voter.kept(self.clock(), digest, why))
+            self.turns.run(self.voter.on_contents_stored(self.clock(), digest, why))
 
     def _stored(self, number: int, why: str) -> None:
         if not self.turns.stopped:
-            self.turns.run(self.voter.stored(self.clock(), number, why))
+            self.turns.run(self.voter.on_stored(self.clock(), number, why))
 
     def _registered(self, known: bool, value: Value) -> None:
         if not self.turns.stopped:
-            self.turns.run(self.voter.registered(self.clock(), known, value, self._view()))
+            self.turns.run(self.voter.on_register_result(self.clock(), known, value, self._view()))
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -59,10 +59,10 @@
 class LocalRelay(Protocol):
     """The relay that runs in the same process."""
 
-    def offer(self, version: Version, contents: bytes) -> None:
+    def publish(self, version: Version, contents: bytes) -> None:
         """A decided version, checked."""
 
-    def confirmed(self, at_ms: float) -> None:
+    def on_majority_confirmed(self, at_ms: float) -> None:
         """At that instant a majority knew nothing newer."""
 
 
@@ -155,27 +155,27 @@
         if self.contents is not None:
             self.contents.close()
 
-    def tallied(self, tally: StatusReport) -> None:
+    def on_status_report(self, report: StatusReport) -> None:
         """Send a status report of this process's own relay, or of one below it, upstream."""
-        self.turns.run(self.follower.tallied(self.clock(), tally))
+        self.turns.run(self.follower.on_status_report(self.clock(), report))
 
     # Events of the connection.
 
-    def connected(self, link: RelayConnection) -> None:
+    def on_connected(self, link: RelayConnection) -> None:
         """The connection that was dialled is up."""
         if self.link is link:
-            self.turns.run(self.follower.connected(self.clock(), link.number))
+            self.turns.run(self.follower.on_connected(self.clock(), link.number))
 
-    def heard(self, link: RelayConnection, message: Message) -> None:
+    def on_message(self, link: RelayConnection, message: Message) -> None:
         """A message has come."""
         if self.link is link:
-            self.turns.run(self.follower.heard(self.clock(), link.number, message))
+            self.turns.run(self.follower.on_message(self.clock(), link.number, message))
 
-    def ended(self, link: RelayConnection, why: str) -> None:
+    def on_closed(self, link: RelayConnection, why: str) -> None:
         """The connection has ended, or could not be made."""
         if self.link is link:
             self.link = None
-            self.turns.run(self.follower.lost(self.clock(), link.number, why))
+            self.turns.run(self.follower.on_disconnected(self.clock(), link.number, why))
 
     # Actions of the pure part.
 
@@ -193,16 +193,16 @@
 
     def _apply(self, action: Apply) -> None:
         why = self.take(action.version, action.contents)
-        self.turns.run(self.follower.taken(self.clock(), action.version.number, why))
+        self.turns.run(self.follower.on_applied(self.clock(), action.version.number, why))
         self.settled()
 
     def _publish(self, action: PublishVersion) -> None:
         if self.relay is not None:
-            self.relay.offer(action.version, action.contents)
+            self.relay.publish(action.version, action.contents)
 
     def _confirm(self, action: MajorityConfirmed) -> None:
         if self.relay is not None:
-            self.relay.confirmed(action.at_ms)
+            self.relay.on_majority_confirmed(action.at_ms)
         self.settled()
 
     def _connect(self, action: Connect) -> None:
@@ -211,14 +211,14 @@
         self.dials += 1
         self.link = link = RelayConnection(self.loop, self, action.link, self.traffic)
         address = self.settings.relays[action.relay].address
-        self.opening = Opening(self.loop, link, address, partial(self.ended, link))
+        self.opening = Opening(self.loop, link, address, partial(self.on_closed, link))
 
     def _store(self, action: Store) -> None:
         number = action.version.number
 
         def done(why: str) -> None:
             if not self.turns.stopped:
-                self.turns.run(self.follower.stored(self.clock(), number, why))
+                self.turns.run(self.follower.on_stored(self.clock(), number, why))
 
         if self.contents is None:
             done("")
--- a/grebestack/cluster_io/relay_connection.py
+++ b/grebestack/cluster_io/relay_connection.py
@@ -15,13 +15,13 @@
 class RelayConnectionOwner(Protocol):
     """Handles the events of connections."""
 
-    def connected(self, link: RelayConnection) -> None:
+    def on_connected(self, link: RelayConnection) -> None:
         """The connection is up."""
 
-    def heard(self, link: RelayConnection, message: Message) -> None:
+    def on_message(self, link: RelayConnection, message: Message) -> None:
         """A message has come."""
 
-    def ended(self, link: RelayConnection, why: str) -> None:
+    def on_closed(self, link: RelayConnection, why: str) -> None:
         """The connection has ended; called once for each that was up."""
 
 
@@ -38,7 +38,7 @@
 
     def begin(self) -> None:
         """The connection is up."""
-        self.owner.connected(self)
+        self.owner.on_connected(self)
 
     def whole(self, data: bytes, *fields: int) -> None:
         """A message has come."""
@@ -48,8 +48,8 @@
             self.close(f"no message of form {PROTOCOL_VERSION}: {error}")
             return
         self.welcome()
-        self.owner.heard(self, message)
+        self.owner.on_message(self, message)
 
     def over(self, why: str) -> None:
         """The connection has ended."""
-        self.owner.ended(self, why)
+        self.owner.on_closed(self, why)
--- a/grebestack/cluster_io/relay_server.py
+++ b/grebestack/cluster_io/relay_server.py
@@ -23,17 +23,23 @@
 
 
 class RelayServer:
-    """Serves followers; `gathered` is called with each status report."""
+    """Serves followers; `on_report` is called with each status report."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         relay: Relay,
         address: tuple[str, int],
-        gathered: Callable[[StatusReport], None],
+        on_report: Callable[[StatusReport], None],
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
-        self.loop, self.relay, self.address, self.gathered, self.clock = loop, relay, address, gathered, clock
+        self.loop, self.relay, self.address, self.on_report, self.clock = (
+            loop,
+            relay,
+            address,
+            on_report,
+            clock,
+        )
         self.links: dict[int, RelayConnection] = {}
         self.numbers = 0
         self.traffic = Traffic()
@@ -73,32 +79,32 @@
         self.numbers += 1
         return RelayConnection(self.loop, self, self.numbers, self.traffic)
 
-    def offer(self, version: Version, contents: bytes) -> None:
+    def publish(self, version: Version, contents: bytes) -> None:
         """A decided version, checked: pushed at once if it is newer."""
-        self.turns.run(self.relay.offer(self.clock(), version, contents))
+        self.turns.run(self.relay.publish(self.clock(), version, contents))
 
-    def confirmed(self, at_ms: float) -> None:
+    def on_majority_confirmed(self, at_ms: float) -> None:
         """At that instant a majority knew nothing newer than what is offered."""
-        self.turns.run(self.relay.confirmed(self.clock(), at_ms))
+        self.turns.run(self.relay.on_majority_confirmed(self.clock(), at_ms))
 
     # Events of the connections.
 
-    def connected(self, link: RelayConnection) -> None:
+    def on_connected(self, link: RelayConnection) -> None:
         """A follower's connection is up; the follower sends the first message."""
         if self.turns.stopped or len(self.links) >= self.relay.most + SPARE_CONNECTIONS:
             link.close("too many connections")
         else:
             self.links[link.number] = link
 
-    def heard(self, link: RelayConnection, message: Message) -> None:
+    def on_message(self, link: RelayConnection, message: Message) -> None:
         """A message has come."""
         if not self.turns.stopped and self.links.get(link.number) is link:
-            self.turns.run(self.relay.heard(self.clock(), link.number, message))
+            self.turns.run(self.relay.on_message(self.clock(), link.number, message))
 
-    def ended(self, link: RelayConnection, why: str) -> None:
+    def on_closed(self, link: RelayConnection, why: str) -> None:
         """A connection has ended."""
         if self.links.pop(link.number, None) is not None and not self.turns.stopped:
-            self.turns.run(self.relay.lost(self.clock(), link.number, why))
+            self.turns.run(self.relay.on_disconnected(self.clock(), link.number, why))
 
     # Actions of the pure part.
 
@@ -119,4 +125,4 @@
             connection.leave(action.why)  # a rejection may still be on its way out
 
     def _forward_report(self, action: StatusReceived) -> None:
-        self.gathered(action.tally)
+        self.on_report(action.report)
--- a/grebestack/config_distribution/actions.py
+++ b/grebestack/config_distribution/actions.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Connect to a relay under this link number; then `connected`, or `lost`. One link at a time."""
+    """Connect to a relay under this link number, then call `on_connected` or `on_disconnected`."""
 
     link: int
     relay: str
@@ -29,7 +29,7 @@
 class Close:
     """Close a link or give up connecting, after what was sent before.
 
-    `lost` need not be called for it.
+    `on_disconnected` need not be called for it.
     """
 
     link: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """Write and sync a version with its contents, then call `stored`.
+    """Write and sync a version with its contents, then call `on_stored`.
 
     The disk keeps this one, the one with number `beside` (in force until this one is) and the numbers `also`
     (what it held at a start, until something is in force), no others.
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Put a version in force and call `taken` with why it was refused, or empty.
+    """Put a version in force and call `on_applied` with why it was refused, or empty.
 
     The process's own relay gets a version by `PublishVersion`, not by this.
     """
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishVersion:
-    """A decided version, validated: call `Relay.offer` of this process's own relay, if it has one."""
+    """A decided version, validated: call `Relay.publish` of this process's own relay, if it has one."""
 
     version: Version
     contents: bytes
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MajorityConfirmed:
-    """At this time of the own clock a majority knew of nothing newer: call `Relay.confirmed`."""
+    """At this time of the own clock a majority knew of nothing newer: call `Relay.on_majority_confirmed`."""
 
     at_ms: float
 
@@ -80,10 +80,10 @@
 class StatusReceived:
     """A relay's status report, its own or one that came over a link.
 
-    On a voter call `ConfigurationVoter.tallied`, on any other relay `Follower.tallied`.
+    On a voter call `ConfigurationVoter.on_status_report`, on any other relay `Follower.on_status_report`.
     """
 
-    tally: StatusReport
+    report: StatusReport
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreContents:
-    """Write and sync undecided contents by their digest, then call `ConfigurationVoter.kept`."""
+    """Write and sync undecided contents by their digest, then call `on_contents_stored`."""
 
     digest: str
     contents: bytes
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRegister:
-    """Change the register "configuration" by `register_change(version)`, then call `registered`.
+    """Change the register "configuration" by `register_change(version)`, then call `on_register_result`.
 
     Without a version the register is only read.
     """
--- a/grebestack/config_distribution/activation.py
+++ b/grebestack/config_distribution/activation.py
@@ -55,7 +55,7 @@
             return [Apply(version, contents)]
         return [Store(version, contents, numbers[0], tuple(numbers[1:]))]
 
-    def stored(self, now_ms: float, number: int, why: str) -> list[ConfigurationAction]:
+    def on_stored(self, now_ms: float, number: int, why: str) -> list[ConfigurationAction]:
         """Apply the version that was stored; one that could not be stored is applied as well."""
         if self.pending is None or self.step != STORING or self.pending[0].number != number:
             return []
@@ -67,7 +67,7 @@
         self.step = APPLYING
         return [*actions, Apply(*self.pending)]
 
-    def taken(self, number: int, why: str) -> list[ConfigurationAction]:
+    def on_applied(self, number: int, why: str) -> list[ConfigurationAction]:
         """Record that a version is in force or was refused, and begin with the next."""
         if self.pending is None or self.step != APPLYING or self.pending[0].number != number:
             return []
--- a/grebestack/config_distribution/fetching.py
+++ b/grebestack/config_distribution/fetching.py
@@ -43,7 +43,7 @@
             return state.report_invalid(f"digest/{name}", name, why)
         return self.complete(message.contents)
 
-    def stored(self, digest: str, contents: bytes) -> list[ConfigurationAction]:
+    def on_stored(self, digest: str, contents: bytes) -> list[ConfigurationAction]:
         """Take contents that were stored as a proposal, if they have been decided since."""
         if digest != self.state.decided.digest or self.state.version == self.state.decided:
             return []
--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -118,7 +118,7 @@
         self.reconnect_ms = now_ms + self.random.uniform(*timeouts.RECONNECT_BACKOFF_MS)
         return actions + self.tick(now_ms)
 
-    def taken(self, now_ms: float, number: int, why: str = "") -> list[FollowerAction]:
+    def on_applied(self, now_ms: float, number: int, why: str = "") -> list[FollowerAction]:
         """`Apply` has ended; `why` the version was refused, or empty."""
         if self.pending is None or self.step != APPLYING or self.pending[0].number != number:
             return []
@@ -142,13 +142,13 @@
             actions += self._send_poll(now_ms)
         return actions + self._begin_next(now_ms)
 
-    def tallied(self, now_ms: float, tally: StatusReport) -> list[FollowerAction]:
+    def on_status_report(self, now_ms: float, report: StatusReport) -> list[FollowerAction]:
         """Send a status report upstream: of this process's own relay, or of one that follows it."""
-        return [Send(self.link, tally)] if self.state == LINKED else []
+        return [Send(self.link, report)] if self.state == LINKED else []
 
     # Events of the link.
 
-    def connected(self, now_ms: float, link: int) -> list[FollowerAction]:
+    def on_connected(self, now_ms: float, link: int) -> list[FollowerAction]:
         """The connection is up."""
         if link != self.link or self.state != DIALLING:
             return []
@@ -161,13 +161,13 @@
             )
         ]
 
-    def lost(self, now_ms: float, link: int, why: str) -> list[FollowerAction]:
+    def on_disconnected(self, now_ms: float, link: int, why: str) -> list[FollowerAction]:
         """The connection could not be made, has ended, or carried an invalid message; `why` says which."""
         if link != self.link or self.state == PAUSED:
             return []
         return self._leave_relay(now_ms, why, closed=True)
 
-    def heard(self, now_ms: float, link: int, message: Message) -> list[FollowerAction]:
+    def on_message(self, now_ms: float, link: int, message: Message) -> list[FollowerAction]:
         """A message has come."""
         if link != self.link or self.state in (PAUSED, DIALLING):
             return []
--- a/grebestack/config_distribution/follower_versions.py
+++ b/grebestack/config_distribution/follower_versions.py
@@ -51,7 +51,7 @@
             actions.append(PublishVersion(*self.disk[0]))
         return actions
 
-    def stored(self, now_ms: float, number: int, why: str = "") -> list[FollowerAction]:
+    def on_stored(self, now_ms: float, number: int, why: str = "") -> list[FollowerAction]:
         """`Store` has ended; `why` it failed, or empty."""
         if self.pending is None or self.step != STORING or self.pending[0].number != number:
             return []
--- a/grebestack/config_distribution/messages.py
+++ b/grebestack/config_distribution/messages.py
@@ -93,9 +93,9 @@
     relay: str
     life: int
     sequence: int
-    whole: bool  # all followers; else those that changed since the report before
+    is_full: bool  # all followers; else those that changed since the report before
     number: int  # the newest that the relay has
-    standings: tuple[FollowerStatus, ...]
+    statuses: tuple[FollowerStatus, ...]
 
 
 Message = (
--- a/grebestack/config_distribution/published_version.py
+++ b/grebestack/config_distribution/published_version.py
@@ -34,7 +34,7 @@
         ):
             del self.former_contents[next(iter(self.former_contents))]
 
-    def confirmed(self, now_ms: float, at_ms: float) -> list[RelayAction]:
+    def on_majority_confirmed(self, now_ms: float, at_ms: float) -> list[RelayAction]:
         """At `at_ms`, of the own clock, a majority knew of nothing newer than what is published."""
         if self.confirmed_ms is None or at_ms > self.confirmed_ms:
             self.confirmed_ms = at_ms
--- a/grebestack/config_distribution/relay.py
+++ b/grebestack/config_distribution/relay.py
@@ -105,7 +105,7 @@
 
     # What it serves.
 
-    def offer(self, now_ms: float, version: Version, contents: bytes) -> list[RelayAction]:
+    def publish(self, now_ms: float, version: Version, contents: bytes) -> list[RelayAction]:
         """Publish a decided version to the followers if it is newer."""
         if why := contents_problem(version, contents):
             return [Told("configuration_wrong", {"relay": self.name, "why": why})]
@@ -163,7 +163,7 @@
 
     # Followers.
 
-    def heard(self, now_ms: float, link: int, message: Message) -> list[RelayAction]:
+    def on_message(self, now_ms: float, link: int, message: Message) -> list[RelayAction]:
         """A message has come; the first over a link must be a `Subscribe`."""
         follower = self.followers.get(link)
         if follower is None:
@@ -187,8 +187,8 @@
     def _on_status_report(
         self, now_ms: float, link: int, follower: FollowerState, message: StatusReport
     ) -> list[RelayAction]:
-        if len(message.standings) > MAX_STATUSES:
-            why = invalid_value("standings", len(message.standings), f"up to {MAX_STATUSES}")
+        if len(message.statuses) > MAX_STATUSES:
+            why = invalid_value("standings", len(message.statuses), f"up to {MAX_STATUSES}")
             return self._disconnect(now_ms, link, why)
         return [StatusReceived(message)]
 
@@ -260,7 +260,7 @@
             return pushed
         return [*pushed, self._not_modified(now_ms, link)]
 
-    def lost(self, now_ms: float, link: int, why: str) -> list[RelayAction]:
+    def on_disconnected(self, now_ms: float, link: int, why: str) -> list[RelayAction]:
         """A link has ended, or carried an invalid message; `why` says which."""
         follower = self._remove(now_ms, link)
         if follower is None:
@@ -311,19 +311,21 @@
         )
 
     def _report(self, now_ms: float) -> list[RelayAction]:
-        whole = now_ms >= self.full_report_ms
-        if not whole and (now_ms < self.report_ms or not self._has_unreported()):
+        is_full = now_ms >= self.full_report_ms
+        if not is_full and (now_ms < self.report_ms or not self._has_unreported()):
             return []
         followers = [*self.followers.values(), *self.disconnected.values()]
-        statuses = tuple(self._status(now_ms, s) for s in followers if whole or s.name in self.changed_names)
+        statuses = tuple(
+            self._status(now_ms, s) for s in followers if is_full or s.name in self.changed_names
+        )
         self.sequence += 1
         self.changed_names, self.reported_number = set(), self.version.number
         self.report_ms = now_ms + self.random.uniform(*timeouts.STATUS_REPORT_INTERVAL_MS)
-        if whole:
+        if is_full:
             self.full_report_ms = now_ms + self.random.uniform(*timeouts.FULL_STATUS_REPORT_INTERVAL_MS)
         return [
             StatusReceived(
-                StatusReport(self.name, self.life, self.sequence, whole, self.version.number, statuses)
+                StatusReport(self.name, self.life, self.sequence, is_full, self.version.number, statuses)
             )
         ]
 
--- a/grebestack/config_distribution/status.py
+++ b/grebestack/config_distribution/status.py
@@ -71,7 +71,7 @@
         if not self._advance(now_ms, relay, report):
             return []
         actions: list[ConfigurationAction] = []
-        for status in report.standings:
+        for status in report.statuses:
             actions += self._update_follower(now_ms, relay, name, status)
         return actions
 
@@ -91,12 +91,12 @@
         relay.heard_ms = now_ms
         if report.number > relay.number:
             relay.number, relay.number_ms = report.number, now_ms
-        if not report.whole and not follows:
+        if not report.is_full and not follows:
             relay.complete = False  # until the next full report
             return False
         relay.sequence, relay.complete = report.sequence, True
-        if report.whole:
-            reported = {status.name for status in report.standings}
+        if report.is_full:
+            reported = {status.name for status in report.statuses}
             relay.followers = {name: one for name, one in relay.followers.items() if name in reported}
         return True
 
--- a/grebestack/config_distribution/voter.py
+++ b/grebestack/config_distribution/voter.py
@@ -80,7 +80,7 @@
         self.undecided.start(now_ms, kept)
         return self.activation.start(now_ms, disk)
 
-    def kept(self, now_ms: float, digest: str, why: str = "") -> list[ConfigurationAction]:
+    def on_contents_stored(self, now_ms: float, digest: str, why: str = "") -> list[ConfigurationAction]:
         """`StoreContents` has ended; `why` it failed, or empty."""
         writing = self.undecided.writing.pop(digest, None)
         if writing is None:
@@ -93,15 +93,15 @@
         state = self.state
         actions: list[ConfigurationAction] = [state.send(name, StoreAck(digest)) for name in sorted(names)]
         actions += self.proposing.contents_held(now_ms, digest, state.name, state.view)
-        return actions + self.fetching.stored(digest, contents)
+        return actions + self.fetching.on_stored(digest, contents)
 
-    def stored(self, now_ms: float, number: int, why: str = "") -> list[ConfigurationAction]:
+    def on_stored(self, now_ms: float, number: int, why: str = "") -> list[ConfigurationAction]:
         """`Store` has ended; `why` it failed, or empty."""
-        return self.activation.stored(now_ms, number, why)
+        return self.activation.on_stored(now_ms, number, why)
 
-    def taken(self, now_ms: float, number: int, why: str = "") -> list[ConfigurationAction]:
+    def on_applied(self, now_ms: float, number: int, why: str = "") -> list[ConfigurationAction]:
         """`Apply` has ended; `why` the version was refused, or empty."""
-        return self.activation.taken(number, why)
+        return self.activation.on_applied(number, why)
 
     def propose(
         self, now_ms: float, ticket: int, contents: bytes, since_ms: int, view: VoterView
@@ -112,7 +112,7 @@
         """
         return self.proposing.propose(now_ms, ticket, contents, since_ms, view)
 
-    def registered(
+    def on_register_result(
         self, now_ms: float, known: bool, value: Value, view: VoterView
     ) -> list[ConfigurationAction]:
         """`ChangeRegister` has ended; `known`: with this value in the register."""
@@ -136,7 +136,7 @@
 
     # Messages of other voters.
 
-    def heard(self, now_ms: float, name: str, body: bytes, view: VoterView) -> list[ConfigurationAction]:
+    def on_message(self, now_ms: float, name: str, body: bytes, view: VoterView) -> list[ConfigurationAction]:
         """A message has come from another voter."""
         self.state.view = view
         try:
@@ -195,10 +195,12 @@
 
     # Followers.
 
-    def tallied(self, now_ms: float, tally: StatusReport, view: VoterView) -> list[ConfigurationAction]:
+    def on_status_report(
+        self, now_ms: float, report: StatusReport, view: VoterView
+    ) -> list[ConfigurationAction]:
         """The report of this voter's own relay, or of one that follows it, has come."""
-        sent = [self.state.send(name, tally) for name in self.state.peers(view)]
-        return [*sent, *self.status.receive(now_ms, tally)]
+        sent = [self.state.send(name, report) for name in self.state.peers(view)]
+        return [*sent, *self.status.receive(now_ms, report)]
 
     def floor(self, name: str) -> int:
         """Return the highest number that a follower has acknowledged to any relay, 0 for none."""
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -195,11 +195,15 @@
         fleet, address, random = self.config.fleet, self.config.relays[self.name].address, Random()
         if self.voter is not None:
             pure = Relay(self.name, fleet, self.voter.voter.life, random, floor=self.voter.voter.floor)
-            relay = self.voter.relay = RelayServer(self.loop, pure, address, self.voter.tallied, CLOCK)
+            relay = self.voter.relay = RelayServer(
+                self.loop, pure, address, self.voter.on_status_report, CLOCK
+            )
             return relay
         assert self.follower is not None
         pure = Relay(self.name, fleet, self.follower.follower.life, random)
-        relay = self.follower.relay = RelayServer(self.loop, pure, address, self.follower.tallied, CLOCK)
+        relay = self.follower.relay = RelayServer(
+            self.loop, pure, address, self.follower.on_status_report, CLOCK
+        )
         return relay
 
     async def start(self) -> None:
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -308,15 +308,15 @@
             self.apply(p, action)
         elif isinstance(action, act.PublishVersion):
             if p.relay is not None:
-                self.do(p, p.relay.offer(self.now, action.version, action.contents))
+                self.do(p, p.relay.publish(self.now, action.version, action.contents))
         elif isinstance(action, act.MajorityConfirmed):
             if p.relay is not None:
-                self.do(p, p.relay.confirmed(self.now, action.at_ms))
+                self.do(p, p.relay.on_majority_confirmed(self.now, action.at_ms))
         elif isinstance(action, act.StatusReceived):
             if p.voter is not None:
-                self.do(p, p.voter.tallied(self.now, action.tally, self.view(p)))
+                self.do(p, p.voter.on_status_report(self.now, action.report, self.view(p)))
             elif p.follower is not None:
-                self.do(p, p.follower.tallied(self.now, action.tally))
+                self.do(p, p.follower.on_status_report(self.now, action.report))
         elif isinstance(action, act.SendToVoter):
             self.word(p.name, action.to, action.body)
         elif isinstance(action, act.StoreContents):
@@ -340,12 +340,12 @@
         p.disk[action.version.number] = action.version, action.contents
         part = p.voter or p.follower
         assert part is not None
-        self.do(p, part.stored(self.now, action.version.number))
+        self.do(p, part.on_stored(self.now, action.version.number))
 
     def _kept(self, p: Process, action: act.StoreContents) -> None:
         p.kept[action.digest] = action.contents
         assert p.voter is not None
-        self.do(p, p.voter.kept(self.now, action.digest))
+        self.do(p, p.voter.on_contents_stored(self.now, action.digest))
 
     def apply(self, p: Process, action: act.Apply) -> None:
         version, contents = action.version, action.contents
@@ -357,7 +357,7 @@
         self.at(
             0.0,
             partial(
-                self.alive, p.name, p.life, lambda: self.do(p, part.taken(self.now, version.number, why))
+                self.alive, p.name, p.life, lambda: self.do(p, part.on_applied(self.now, version.number, why))
             ),
         )
 
@@ -377,12 +377,12 @@
             p.dialled[action.link] = connection
             server.links[connection.number + LINKS] = connection
             assert p.follower is not None
-            self.do(p, p.follower.connected(self.now, action.link))
+            self.do(p, p.follower.on_connected(self.now, action.link))
 
         def refused() -> None:
             p.dialled.pop(action.link, None)
             assert p.follower is not None
-            self.do(p, p.follower.lost(self.now, action.link, "refused"))
+            self.do(p, p.follower.on_disconnected(self.now, action.link, "refused"))
 
         if both or (not server.up and server.name in self.quiet):
             return
@@ -434,9 +434,9 @@
         def heard() -> None:
             if to == connection.client and p.follower is not None:
                 if p.dialled.get(connection.link) is connection:
-                    self.do(p, p.follower.heard(self.now, connection.link, decode(data)))
+                    self.do(p, p.follower.on_message(self.now, connection.link, decode(data)))
             elif p.relay is not None and connection.number + LINKS in p.links:
-                self.do(p, p.relay.heard(self.now, connection.number + LINKS, decode(data)))
+                self.do(p, p.relay.on_message(self.now, connection.number + LINKS, decode(data)))
 
         self.alive(to, life, heard)
 
@@ -447,9 +447,9 @@
         def lost() -> None:
             if to == connection.client and p.follower is not None:
                 if p.dialled.pop(connection.link, None) is not None:
-                    self.do(p, p.follower.lost(self.now, connection.link, "it has ended"))
+                    self.do(p, p.follower.on_disconnected(self.now, connection.link, "it has ended"))
             elif p.relay is not None and p.links.pop(connection.number + LINKS, None) is not None:
-                self.do(p, p.relay.lost(self.now, connection.number + LINKS, "it has ended"))
+                self.do(p, p.relay.on_disconnected(self.now, connection.number + LINKS, "it has ended"))
 
         self.alive(to, connection.lives[0 if to == connection.client else 1], lost)
 
@@ -488,7 +488,7 @@
         def heard() -> None:
             p = self.processes[to]
             assert p.voter is not None
-            self.do(p, p.voter.heard(self.now, sender, body, self.view(p)))
+            self.do(p, p.voter.on_message(self.now, sender, body, self.view(p)))
 
         self._mesh(sender, to, heard)
 
@@ -553,7 +553,7 @@
     def close_asking(self, p: Process, known: bool, value: Any) -> None:
         p.asking = None
         assert p.voter is not None
-        self.do(p, p.voter.registered(self.now, known, value, self.view(p)))
+        self.do(p, p.voter.on_register_result(self.now, known, value, self.view(p)))
 
     # What a test does.
 
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -337,7 +337,7 @@
                 life = world.lives[index] + 1
                 relay = self._relay(index, life)
                 had = world.relays[index].of.version.number
-                relay.offer(world.now, VERSIONS[had], CONTENTS[had])
+                relay.publish(world.now, VERSIONS[had], CONTENTS[had])
                 yield (
                     f"{name} is back",
                     world._replace(
@@ -407,8 +407,8 @@
         actions = []
         if relay.version.number < world.decided:
             number = world.decided
-            actions = relay.offer(world.now, VERSIONS[number], CONTENTS[number])
-        relay.confirmed(world.now, world.now)
+            actions = relay.publish(world.now, VERSIONS[number], CONTENTS[number])
+        relay.on_majority_confirmed(world.now, world.now)
         return self._relay_did(world, index, relay, actions)
 
     def _stored(self, world: World, index: int) -> World:
@@ -418,7 +418,7 @@
         held = (number, *(n for n in disk.held if n in beside))
         made = world.followers[index].copy()
         world = world._replace(disks=put(world.disks, index, Disk(held, None, disk.held)))
-        return self._did(world, index, made, made.stored(world.now, number))
+        return self._did(world, index, made, made.on_stored(world.now, number))
 
     def _messages(self, world: World) -> Iterator[tuple[str, World]]:
         budget, wire = world.budget, world.wire
@@ -464,28 +464,34 @@
                 return world
             if sent.item == "end":
                 world = world._replace(lines=tuple(x for x in world.lines if x != line))
-                return self._did(world, line.follower, made, made.lost(world.now, line.link, "ended"))
+                return self._did(
+                    world, line.follower, made, made.on_disconnected(world.now, line.link, "ended")
+                )
             assert not isinstance(sent.item, str)
-            return self._did(world, line.follower, made, made.heard(world.now, line.link, sent.item))
+            return self._did(world, line.follower, made, made.on_message(world.now, line.link, sent.item))
         if not up:
             return world
         relay = world.relays[index].copy()
         if sent.item == "end":
-            return self._relay_did(world, index, relay, relay.lost(world.now, line.number, "ended"))
+            return self._relay_did(
+                world, index, relay, relay.on_disconnected(world.now, line.number, "ended")
+            )
         assert not isinstance(sent.item, str)
-        return self._relay_did(world, index, relay, relay.heard(world.now, line.number, sent.item))
+        return self._relay_did(world, index, relay, relay.on_message(world.now, line.number, sent.item))
 
     def _dialled(self, world: World, line: Line) -> World:
         made = world.followers[line.follower].copy()
         if made.life != line.life or world.up[line.relay] == "gone":
             return world
         if world.up[line.relay] == "killed":
-            return self._did(world, line.follower, made, made.lost(world.now, line.link, "refused"))
+            return self._did(
+                world, line.follower, made, made.on_disconnected(world.now, line.link, "refused")
+            )
         if made.link != line.link or made.state != "dialling":
             return world
         line = line._replace(up=True, relay_life=world.lives[line.relay])
         world = world._replace(lines=(*world.lines, line))
-        return self._did(world, line.follower, made, made.connected(world.now, line.link))
+        return self._did(world, line.follower, made, made.on_connected(world.now, line.link))
 
     def _time(self, world: World) -> Iterator[tuple[str, World]]:
         budget = world.budget
@@ -540,7 +546,7 @@
                 world = world._replace(disks=put(world.disks, index, disk))
             elif isinstance(action, act.Apply):
                 world = self._applied(world, index, action)
-                queue = made.taken(world.now, action.version.number) + queue
+                queue = made.on_applied(world.now, action.version.number) + queue
         return world._replace(followers=put(world.followers, index, Part(made)))
 
     def _applied(self, world: World, index: int, action: act.Apply) -> World:
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -223,7 +223,7 @@
             for sender, to in ((0, 1), (1, 0)):
                 body = next(w[3] for w in world.wire if w[:2] == (sender, to))
                 voter = world.voters[to].copy()
-                actions = voter.heard(0.0, NAMES[sender], body, self.view(world, to))
+                actions = voter.on_message(0.0, NAMES[sender], body, self.view(world, to))
                 world = self._did(world._replace(wire=frozenset()), to, voter, actions)
         return world
 
@@ -257,7 +257,7 @@
             what = f"{NAMES[sender]}>{NAMES[to]} {body[:8]!r}"
             if life == world.lives[to]:
                 voter = world.voters[to].copy()
-                actions = voter.heard(world.now, NAMES[sender], body, self.view(world, to))
+                actions = voter.on_message(world.now, NAMES[sender], body, self.view(world, to))
                 yield what, self._did(world, to, voter, actions)
         if budget.steps:
             after = world._replace(now=world.now + STEP_MS, budget=budget._replace(steps=budget.steps - 1))
@@ -337,7 +337,7 @@
 
     def _ended(self, world: World, index: int, known: bool, value: Any) -> World:
         voter = world.voters[index].copy()
-        actions = voter.registered(world.now, known, value, self.view(world, index))
+        actions = voter.on_register_result(world.now, known, value, self.view(world, index))
         return self._did(world._replace(askings=put(world.askings, index, None)), index, voter, actions)
 
     # Actions.
@@ -353,16 +353,16 @@
                 world = world._replace(wire=world.wire | {(index, to, world.lives[to], action.body)})
             elif isinstance(action, act.StoreContents):
                 world = world._replace(kept=put(world.kept, index, world.kept[index] | {action.contents}))
-                queue = voter.kept(world.now, action.digest) + queue
+                queue = voter.on_contents_stored(world.now, action.digest) + queue
             elif isinstance(action, act.Store):
                 stored = (*world.stored[index], action.version)
                 kept = world.kept[index] | {action.contents}
                 world = world._replace(
                     stored=put(world.stored, index, stored), kept=put(world.kept, index, kept)
                 )
-                queue = voter.stored(world.now, action.version.number) + queue
+                queue = voter.on_stored(world.now, action.version.number) + queue
             elif isinstance(action, act.Apply):
-                queue = voter.taken(world.now, action.version.number) + queue
+                queue = voter.on_applied(world.now, action.version.number) + queue
                 world = self._only_chosen(world, index, action.version, "acts under")
             elif isinstance(action, act.PublishVersion):
                 world = self._only_chosen(world, index, action.version, "offers")
--- a/tests/golden_links.py
+++ b/tests/golden_links.py
@@ -78,14 +78,14 @@
     def __init__(self) -> None:
         self.items: list[object] = []
 
-    def connected(self, link: RelayConnection) -> None:
+    def on_connected(self, link: RelayConnection) -> None:
         """Nothing is said unasked."""
 
-    def heard(self, link: RelayConnection, message: RelayMessage) -> None:
+    def on_message(self, link: RelayConnection, message: RelayMessage) -> None:
         """Keep a message."""
         self.items.append(message)
 
-    def ended(self, link: RelayConnection, why: str) -> None:
+    def on_closed(self, link: RelayConnection, why: str) -> None:
         """Keep why it ended."""
         self.items.append(why)
 
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -37,10 +37,10 @@
     refusals = {}
     for name, message in FEED.items():
         relay = Relay("m-2", "fleet-a", 3, Random(1))
-        first = relay.heard(0.0, LINK, cast(Message, message))
+        first = relay.on_message(0.0, LINK, cast(Message, message))
         relay = Relay("m-2", "fleet-a", 3, Random(1))
-        relay.heard(0.0, LINK, Subscribe(1, "fleet-a", "d-1", 14, "east/e1", 0, ""))
-        second = relay.heard(1.0, LINK, cast(Message, message))
+        relay.on_message(0.0, LINK, Subscribe(1, "fleet-a", "d-1", 14, "east/e1", 0, ""))
+        second = relay.on_message(1.0, LINK, cast(Message, message))
         refusals[name] = _reasons(list(first)) + _reasons(list(second))
     return refusals
 
@@ -56,7 +56,7 @@
         "digest": Subscribe(1, "fleet-a", "d-1", 14, "east/e1", 16, "ab"),
     }
     relay = Relay("m-2", "fleet-a", 3, Random(1))
-    return {name: _reasons(list(relay.heard(0.0, LINK, one))) for name, one in greetings.items()}
+    return {name: _reasons(list(relay.on_message(0.0, LINK, one))) for name, one in greetings.items()}
 
 
 def followers_refusals() -> dict[str, list[str]]:
@@ -67,8 +67,8 @@
         follower.start(0.0)
         now_ms = follower.due_ms(0.0)
         follower.tick(now_ms)
-        follower.connected(now_ms, LINK)
-        refusals[name] = _reasons(list(follower.heard(now_ms, LINK, cast(Message, message))))
+        follower.on_connected(now_ms, LINK)
+        refusals[name] = _reasons(list(follower.on_message(now_ms, LINK, cast(Message, message))))
     return refusals
 
 
--- a/tests/test_configuration_voter.py
+++ b/tests/test_configuration_voter.py
@@ -51,7 +51,7 @@
 def voter() -> ConfigurationVoter:
     """One that has read the register since its start."""
     made = started()
-    assert made.registered(0.0, True, None, VIEW) == []
+    assert made.on_register_result(0.0, True, None, VIEW) == []
     return made
 
 
@@ -64,16 +64,16 @@
     actions = list(made.propose(0.0, 7, contents(1), 99, VIEW))
     assert kinds(actions) == ["StoreContents", "SendToVoter", "SendToVoter"]
     digest = digest_of(contents(1))
-    assert made.kept(5.0, digest) == []
-    (decide,) = made.heard(6.0, "v2", body(StoreAck(digest)), VIEW)
+    assert made.on_contents_stored(5.0, digest) == []
+    (decide,) = made.on_message(6.0, "v2", body(StoreAck(digest)), VIEW)
     want = Version(1, digest, len(contents(1)), "v1", 99)
     assert decide == ChangeRegister(want)
-    ended = list(made.registered(9.0, True, want, VIEW))
+    ended = list(made.on_register_result(9.0, True, want, VIEW))
     assert [a for a in ended if isinstance(a, ProposalResult)] == [
         ProposalResult(7, True, want, "", ("v1", "v2"))
     ]
     assert [a for a in ended if isinstance(a, PublishVersion)] == [PublishVersion(want, contents(1))]
-    assert kinds(list(made.stored(10.0, 1))) == ["DiscardContents", "Apply"]
+    assert kinds(list(made.on_stored(10.0, 1))) == ["DiscardContents", "Apply"]
 
 
 def outcomes(actions: list[Any]) -> list[ProposalResult]:
@@ -86,42 +86,42 @@
     actions = list(made.propose(0.0, 7, contents(9), 99, VIEW))
     assert [a for a in actions if isinstance(a, ChangeRegister)] == [ChangeRegister(None)]
     digest = digest_of(contents(9))
-    made.kept(5.0, digest)
+    made.on_contents_stored(5.0, digest)
     assert (
-        made.heard(6.0, "v2", body(StoreAck(digest)), VIEW) == []
+        made.on_message(6.0, "v2", body(StoreAck(digest)), VIEW) == []
     )  # a majority holds it, under no number yet
-    actions = list(made.registered(9.0, True, version(4), VIEW))
+    actions = list(made.on_register_result(9.0, True, version(4), VIEW))
     want = Version(5, digest, len(contents(9)), "v1", 99)
     assert [a for a in actions if isinstance(a, ChangeRegister)] == [ChangeRegister(want)] and not outcomes(
         actions
     )
-    (ended,) = outcomes(list(made.registered(12.0, True, want, VIEW)))
+    (ended,) = outcomes(list(made.on_register_result(12.0, True, want, VIEW)))
     assert ended.won and ended.version == want
 
 
 def test_what_one_that_has_just_started_hears_of_others_does_not_end_its_proposal() -> None:
     made = started()
     made.propose(0.0, 7, contents(9), 99, VIEW)
-    made.kept(5.0, digest_of(contents(9)))
-    made.heard(6.0, "v2", body(StoreAck(digest_of(contents(9)))), VIEW)
-    assert not outcomes(list(made.heard(7.0, "v2", body(Heartbeat(1, 1, 3, version(3))), VIEW)))
+    made.on_contents_stored(5.0, digest_of(contents(9)))
+    made.on_message(6.0, "v2", body(StoreAck(digest_of(contents(9)))), VIEW)
+    assert not outcomes(list(made.on_message(7.0, "v2", body(Heartbeat(1, 1, 3, version(3))), VIEW)))
     assert made.state.proposal is not None and made.state.proposal.version.number == 4
-    actions = list(made.registered(9.0, True, version(3), VIEW))
+    actions = list(made.on_register_result(9.0, True, version(3), VIEW))
     assert [a.version.number for a in actions if isinstance(a, ChangeRegister) and a.version] == [4]
-    (lost,) = outcomes(list(made.heard(10.0, "v2", body(Heartbeat(2, 1, 4, version(4))), VIEW)))
+    (lost,) = outcomes(list(made.on_message(10.0, "v2", body(Heartbeat(2, 1, 4, version(4))), VIEW)))
     assert lost.why == "v1 won with number 4" and not lost.won  # from now on it is a race as any other
 
 
 def test_one_that_has_just_started_and_can_not_read_the_register_says_so_and_asks_at_a_slow_pace() -> None:
     made, now, asked = started(), 0.0, 0
     found = list(made.propose(0.0, 7, b"one", 99, VIEW))
-    made.kept(1.0, digest_of(b"one"))
-    made.heard(2.0, "v2", body(StoreAck(digest_of(b"one"))), VIEW)
+    made.on_contents_stored(1.0, digest_of(b"one"))
+    made.on_message(2.0, "v2", body(StoreAck(digest_of(b"one"))), VIEW)
     while made.state.proposal is not None and now < 2 * timeouts.PROPOSAL_TIMEOUT_MS:
         if made.register.deciding:
             asked += 1
             now += timeouts.REGISTER_TIMEOUT_MS
-            found += made.registered(now, False, None, VIEW)
+            found += made.on_register_result(now, False, None, VIEW)
         now = made.due_ms(now)
         found += made.tick(now, VIEW)
     assert [o.why for o in outcomes(found)] == [
@@ -165,7 +165,7 @@
 def test_a_change_that_no_majority_holds_ends_and_the_register_is_not_asked() -> None:
     made, now = voter(), 0.0
     made.propose(0.0, 1, b"one", 0, VIEW)
-    made.kept(1.0, digest_of(b"one"))
+    made.on_contents_stored(1.0, digest_of(b"one"))
     found: list[Any] = []
     while now < timeouts.PROPOSAL_TIMEOUT_MS + 100.0:
         now = made.due_ms(now)
@@ -179,19 +179,21 @@
 
 def test_a_newer_accepted_number_makes_the_register_be_read_and_contents_be_fetched() -> None:
     made = voter()
-    assert kinds(list(made.heard(0.0, "v2", body(Heartbeat(1, 1, 1, NO_VERSION)), VIEW))) == ["SendToVoter"]
+    assert kinds(list(made.on_message(0.0, "v2", body(Heartbeat(1, 1, 1, NO_VERSION)), VIEW))) == [
+        "SendToVoter"
+    ]
     now = made.due_ms(0.0)
     while not made.register.deciding:
         assert now <= timeouts.REGISTER_READ_DELAY_MS[1] + 1.0
         found = list(made.tick(now, VIEW))
         now = made.due_ms(now)
     assert ChangeRegister(None) in found
-    made.registered(now, True, version(1), VIEW)
+    made.on_register_result(now, True, version(1), VIEW)
     assert made.state.decided == version(1) and made.version == NO_VERSION
     wants = [a for a in made.tick(now + 1.0, VIEW) if isinstance(a, SendToVoter) and b"want" in a.body]
     assert len(wants) == 1
-    assert told(list(made.heard(now + 2.0, "v2", body(Contents(version(1).digest, b"x")), VIEW)))
-    found = list(made.heard(now + 2.0, "v2", body(Contents(version(1).digest, contents(1))), VIEW))
+    assert told(list(made.on_message(now + 2.0, "v2", body(Contents(version(1).digest, b"x")), VIEW)))
+    found = list(made.on_message(now + 2.0, "v2", body(Contents(version(1).digest, contents(1))), VIEW))
     assert kinds(found) == ["PublishVersion", "Store"] and made.version == version(1)
 
 
@@ -201,12 +203,14 @@
     for epoch, accepted in ((2, 0), (1, -1), (1, 1)):
         assert not [
             a
-            for a in made.heard(200.0, "v2", body(HeartbeatResponse(1, epoch, accepted, NO_VERSION)), VIEW)
+            for a in made.on_message(
+                200.0, "v2", body(HeartbeatResponse(1, epoch, accepted, NO_VERSION)), VIEW
+            )
             if isinstance(a, MajorityConfirmed)
         ]
-    found = list(made.heard(300.0, "v3", body(HeartbeatResponse(1, 1, 0, NO_VERSION)), VIEW))
+    found = list(made.on_message(300.0, "v3", body(HeartbeatResponse(1, 1, 0, NO_VERSION)), VIEW))
     assert MajorityConfirmed(100.0) in found
-    assert not made.heard(400.0, "v3", body(HeartbeatResponse(99, 1, 0, NO_VERSION)), VIEW)
+    assert not made.on_message(400.0, "v3", body(HeartbeatResponse(99, 1, 0, NO_VERSION)), VIEW)
 
 
 @pytest.mark.parametrize(
@@ -223,25 +227,25 @@
 )
 def test_a_word_that_is_wrong_is_said_once(word: Any, why: str) -> None:
     made = voter()
-    assert told(list(made.heard(0.0, "v2", body(word), VIEW)))[0].startswith(why)
-    assert not told(list(made.heard(0.0, "v2", body(word), VIEW))) and made.state.decided == NO_VERSION
-    assert told(list(made.heard(0.0, "v2", b"\xc1", VIEW)))[0].startswith("word is ")
+    assert told(list(made.on_message(0.0, "v2", body(word), VIEW)))[0].startswith(why)
+    assert not told(list(made.on_message(0.0, "v2", body(word), VIEW))) and made.state.decided == NO_VERSION
+    assert told(list(made.on_message(0.0, "v2", b"\xc1", VIEW)))[0].startswith("word is ")
 
 
 def test_a_voter_that_says_less_or_other_than_it_said_is_noted_and_not_believed() -> None:
     made = voter()
-    made.heard(0.0, "v2", body(Heartbeat(1, 1, 2, version(2))), VIEW)
-    found = list(made.heard(1.0, "v2", body(Heartbeat(2, 1, 2, version(1))), VIEW))
+    made.on_message(0.0, "v2", body(Heartbeat(1, 1, 2, version(2))), VIEW)
+    found = list(made.on_message(1.0, "v2", body(Heartbeat(2, 1, 2, version(1))), VIEW))
     assert told(found) == ["decided is 1; allowed: 2 and more, as it said before"]
-    found = list(made.heard(2.0, "v3", body(Heartbeat(1, 1, 2, version(2, b"other"))), VIEW))
+    found = list(made.on_message(2.0, "v3", body(Heartbeat(1, 1, 2, version(2, b"other"))), VIEW))
     assert told(found)[0].startswith("version is ") and made.state.decided == version(2)
 
 
 def keep(made: ConfigurationVoter, item: bytes) -> None:
     """Another voter offers contents; what is asked for of the disk is done at once."""
-    for action in made.heard(0.0, "v2", body(Propose(digest_of(item), item)), VIEW):
+    for action in made.on_message(0.0, "v2", body(Propose(digest_of(item), item)), VIEW):
         if isinstance(action, StoreContents):
-            made.kept(0.0, action.digest)
+            made.on_contents_stored(0.0, action.digest)
 
 
 def test_undecided_contents_are_bounded_in_number_and_dropped_after_a_while() -> None:
@@ -249,7 +253,9 @@
     for n in range(MAX_UNDECIDED + 40):
         keep(made, b"%d" % n)
     assert len(made.undecided.on_disk) == MAX_UNDECIDED == 1024
-    found = made.heard(timeouts.UNDECIDED_CONTENTS_TTL_MS, "v2", body(Propose(digest_of(b"z"), b"z")), VIEW)
+    found = made.on_message(
+        timeouts.UNDECIDED_CONTENTS_TTL_MS, "v2", body(Propose(digest_of(b"z"), b"z")), VIEW
+    )
     assert sum(isinstance(a, DiscardContents) for a in found) == MAX_UNDECIDED and isinstance(
         found[-1], StoreContents
     )
@@ -272,12 +278,14 @@
 
 def test_a_follower_that_has_moved_counts_once_at_the_latest() -> None:
     made = voter()
-    made.tallied(0.0, StatusReport("a", 1, 1, True, 1, (standing("d1", 1), standing("d2", 1))), VIEW)
-    made.tallied(5000.0, StatusReport("b", 1, 1, True, 2, (standing("d1", 2),)), VIEW)
-    made.tallied(5100.0, StatusReport("a", 1, 2, True, 2, (standing("d1", 1, 5000), standing("d2", 1))), VIEW)
+    made.on_status_report(0.0, StatusReport("a", 1, 1, True, 1, (standing("d1", 1), standing("d2", 1))), VIEW)
+    made.on_status_report(5000.0, StatusReport("b", 1, 1, True, 2, (standing("d1", 2),)), VIEW)
+    made.on_status_report(
+        5100.0, StatusReport("a", 1, 2, True, 2, (standing("d1", 1, 5000), standing("d2", 1))), VIEW
+    )
     counts = made.counts(5200.0)
     assert counts.in_force == {2: 1, 1: 1} and set(counts.behind) == {"d2"} and not counts.unknown
-    made.tallied(6000.0, StatusReport("a", 1, 3, False, 2, (standing("d2", 1, 100, False),)), VIEW)
+    made.on_status_report(6000.0, StatusReport("a", 1, 3, False, 2, (standing("d2", 1, 100, False),)), VIEW)
     counts = made.counts(6100.0)
     assert counts.in_force == {2: 1} and counts.unknown == {"d2": (1, 5900.0)} and not counts.behind
     assert made.floor("d1") == 2 and made.floor("d9") == 0
@@ -285,16 +293,16 @@
 
 def test_of_two_starts_of_a_follower_the_later_counts_and_one_that_is_connected_before_all() -> None:
     made = voter()
-    made.tallied(0.0, StatusReport("a", 1, 1, True, 2, (standing("d1", 1, 0, True, 7),)), VIEW)
-    made.tallied(1.0, StatusReport("b", 1, 1, True, 2, (standing("d1", 2, 0, True, 6),)), VIEW)
+    made.on_status_report(0.0, StatusReport("a", 1, 1, True, 2, (standing("d1", 1, 0, True, 7),)), VIEW)
+    made.on_status_report(1.0, StatusReport("b", 1, 1, True, 2, (standing("d1", 2, 0, True, 6),)), VIEW)
     assert made.counts(2.0).in_force == {1: 1}
-    made.tallied(3.0, StatusReport("a", 1, 2, False, 2, (standing("d1", 1, 10, False, 7),)), VIEW)
+    made.on_status_report(3.0, StatusReport("a", 1, 2, False, 2, (standing("d1", 1, 10, False, 7),)), VIEW)
     assert made.counts(4.0).in_force == {2: 1} and not made.counts(4.0).unknown
 
 
 def test_a_relay_that_is_not_heard_makes_its_followers_not_known() -> None:
     made = voter()
-    made.tallied(0.0, StatusReport("a", 1, 1, True, 1, (standing("d1", 1),)), VIEW)
+    made.on_status_report(0.0, StatusReport("a", 1, 1, True, 1, (standing("d1", 1),)), VIEW)
     assert made.counts(timeouts.RELAY_SILENT_MS).in_force == {1: 1}
     late = made.counts(timeouts.RELAY_SILENT_MS + 1.0)
     assert late.in_force == {} and late.unknown == {"d1": (1, 0.0)}
@@ -302,16 +310,16 @@
 
 def test_a_word_that_is_missing_makes_the_next_whole_one_count() -> None:
     made = voter()
-    made.tallied(0.0, StatusReport("a", 1, 1, True, 1, (standing("d1", 1),)), VIEW)
-    made.tallied(2.0, StatusReport("a", 1, 3, False, 1, (standing("d2", 1),)), VIEW)
-    made.tallied(3.0, StatusReport("a", 1, 4, False, 1, (standing("d3", 1),)), VIEW)
+    made.on_status_report(0.0, StatusReport("a", 1, 1, True, 1, (standing("d1", 1),)), VIEW)
+    made.on_status_report(2.0, StatusReport("a", 1, 3, False, 1, (standing("d2", 1),)), VIEW)
+    made.on_status_report(3.0, StatusReport("a", 1, 4, False, 1, (standing("d3", 1),)), VIEW)
     assert made.counts(4.0).in_force == {1: 1}
-    made.tallied(5.0, StatusReport("a", 1, 5, True, 1, (standing("d1", 1), standing("d2", 1))), VIEW)
+    made.on_status_report(5.0, StatusReport("a", 1, 5, True, 1, (standing("d1", 1), standing("d2", 1))), VIEW)
     assert made.counts(6.0).in_force == {1: 2}
 
 
 @pytest.mark.parametrize(
-    ("tally", "why"),
+    ("report", "why"),
     [
         (StatusReport("a", 1, 9, True, 5, ()), "life is 1; allowed: 2 and more, as a said before"),
         (StatusReport("a", 2, 9, True, 4, ()), "number is 4; allowed: 5 and more, as a said before"),
@@ -319,19 +327,19 @@
     ],
 )
 def test_a_relay_that_says_less_than_it_said_is_noted_and_its_older_word_not_used(
-    tally: StatusReport, why: str
+    report: StatusReport, why: str
 ) -> None:
     made = voter()
-    made.tallied(0.0, StatusReport("a", 2, 1, True, 5, (standing("d1", 4),)), VIEW)
-    assert told(list(made.tallied(1.0, tally, VIEW))) == [why]
-    assert told(list(made.tallied(2.0, tally, VIEW))) == []
+    made.on_status_report(0.0, StatusReport("a", 2, 1, True, 5, (standing("d1", 4),)), VIEW)
+    assert told(list(made.on_status_report(1.0, report, VIEW))) == [why]
+    assert told(list(made.on_status_report(2.0, report, VIEW))) == []
     assert made.counts(3.0).in_force == {4: 1}
 
 
 def test_a_tally_of_the_own_relay_goes_to_the_other_voters_and_no_further() -> None:
     made = voter()
-    tally = StatusReport("a", 1, 1, True, 1, (standing("d1", 1),))
-    found = list(made.tallied(0.0, tally, VIEW))
+    report = StatusReport("a", 1, 1, True, 1, (standing("d1", 1),))
+    found = list(made.on_status_report(0.0, report, VIEW))
     assert [a.to for a in found if isinstance(a, SendToVoter)] == ["v2", "v3"]
     other = voter()
-    assert other.heard(0.0, "v2", body(tally), VIEW) == [] and other.counts(1.0).in_force == {1: 1}
+    assert other.on_message(0.0, "v2", body(report), VIEW) == [] and other.counts(1.0).in_force == {1: 1}
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -57,15 +57,15 @@
     def link(self) -> list[Any]:
         self.now = self.follower.due_ms(self.now)
         (dial,) = (a for a in self.follower.tick(self.now) if isinstance(a, Connect))
-        return list(self.follower.connected(self.now, dial.link))
+        return list(self.follower.on_connected(self.now, dial.link))
 
     def hear(self, message: Message) -> list[Any]:
-        return list(self.follower.heard(self.now, self.follower.link, message))
+        return list(self.follower.on_message(self.now, self.follower.link, message))
 
     def bring(self, number: int) -> list[Any]:
         actions = self.hear(whole(number))
-        actions += self.follower.stored(self.now, number)
-        return actions + self.follower.taken(self.now, number)
+        actions += self.follower.on_stored(self.now, number)
+        return actions + self.follower.on_applied(self.now, number)
 
 
 def test_relays_are_gone_to_in_the_own_region_first_and_then_in_another_zone() -> None:
@@ -83,9 +83,9 @@
     fed = Fed()
     assert kinds(fed.hear(whole(1))) == ["Store"]
     assert kinds(fed.hear(whole(1))) == []
-    (apply,) = (a for a in fed.follower.stored(fed.now, 1) if isinstance(a, Apply))
+    (apply,) = (a for a in fed.follower.on_stored(fed.now, 1) if isinstance(a, Apply))
     assert (apply.version, apply.contents) == (version(1), contents(1))
-    acknowledged = said(list(fed.follower.taken(fed.now, 1)))
+    acknowledged = said(list(fed.follower.on_applied(fed.now, 1)))
     assert acknowledged == [Poll(1, version(1).digest)] and fed.follower.version == version(1)
     delta = delta_between(contents(1), contents(2))
     store = fed.hear(ConfigUpdate(version(2), 0, delta))
@@ -95,7 +95,7 @@
 def test_a_disk_that_can_not_be_written_does_not_keep_a_version_out() -> None:
     fed = Fed()
     fed.hear(whole(1))
-    actions = fed.follower.stored(fed.now, 1, "No space left on device")
+    actions = fed.follower.on_stored(fed.now, 1, "No space left on device")
     assert kinds(list(actions)) == ["Apply"]
     assert [a.event for a in actions if isinstance(a, Told)] == ["configuration_not_stored"]
 
@@ -155,8 +155,8 @@
     follower.start(0.0)
     now = follower.due_ms(0.0)
     follower.tick(now)
-    follower.connected(now, 1)
-    actions = list(follower.heard(now, 1, item))
+    follower.on_connected(now, 1)
+    actions = list(follower.on_message(now, 1, item))
     assert told(actions)[0].startswith(why) and kinds(actions) == ["Close"]
 
 
@@ -186,9 +186,9 @@
     fed = Fed()
     fed.bring(1)
     fed.hear(whole(2))
-    fed.follower.stored(fed.now, 2)
+    fed.follower.on_stored(fed.now, 2)
     why = "servers[2].weight is -1; allowed: 0 and more"
-    actions = list(fed.follower.taken(fed.now, 2, why))
+    actions = list(fed.follower.on_applied(fed.now, 2, why))
     assert said(actions) == [Poll(1, version(1).digest, 2, why)] and fed.follower.version == version(1)
     assert kinds(fed.hear(whole(2))) == [] and not fed.follower.announced
     assert f"version 2 refused: {why}" in fed.follower.shown(fed.now)
@@ -216,7 +216,9 @@
     assert follower.pending is None
     (apply,) = (a for a in follower.tick(timeouts.STARTUP_GRACE_MS) if isinstance(a, Apply))
     assert apply.version == version(5)
-    (second,) = (a for a in follower.taken(timeouts.STARTUP_GRACE_MS, 5, "refused") if isinstance(a, Apply))
+    (second,) = (
+        a for a in follower.on_applied(timeouts.STARTUP_GRACE_MS, 5, "refused") if isinstance(a, Apply)
+    )
     assert second.version == version(4)  # what was in force while 5 was refused
 
 
@@ -234,8 +236,8 @@
     assert [a for a in actions if isinstance(a, MajorityConfirmed)] == [MajorityConfirmed(fed.now - 300)]
     actions = fed.hear(NotModified(2, 0))
     assert not [a for a in actions if isinstance(a, MajorityConfirmed)]  # 2 is not here
-    tally = StatusReport("a", 1, 1, True, 1, ())
-    assert said(list(fed.follower.tallied(fed.now, tally))) == [tally]
+    report = StatusReport("a", 1, 1, True, 1, ())
+    assert said(list(fed.follower.on_status_report(fed.now, report))) == [report]
 
 
 def test_all_relays_stale_one_is_stayed_with_after_two_rounds() -> None:
@@ -294,7 +296,11 @@
 def test_an_event_of_a_former_link_is_passed_over() -> None:
     fed = Fed()
     old = fed.follower.link
-    fed.follower.lost(fed.now, old, "it has ended")
+    fed.follower.on_disconnected(fed.now, old, "it has ended")
     fed.link()
-    assert fed.follower.heard(fed.now, old, whole(1)) == [] == fed.follower.lost(fed.now, old, "")
-    assert fed.follower.connected(fed.now, old) == []
+    assert (
+        fed.follower.on_message(fed.now, old, whole(1))
+        == []
+        == fed.follower.on_disconnected(fed.now, old, "")
+    )
+    assert fed.follower.on_connected(fed.now, old) == []
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -83,13 +83,13 @@
         self.messages: list[Message] = []
         self.why = ""
 
-    def connected(self, link: RelayConnection) -> None:
+    def on_connected(self, link: RelayConnection) -> None:
         """Nothing."""
 
-    def heard(self, link: RelayConnection, message: Message) -> None:
+    def on_message(self, link: RelayConnection, message: Message) -> None:
         self.messages.append(message)
 
-    def ended(self, link: RelayConnection, why: str) -> None:
+    def on_closed(self, link: RelayConnection, why: str) -> None:
         self.why = why
 
 
@@ -180,11 +180,11 @@
         await server.start()
         assert server.server is not None
         server.address = server.server.sockets[0].getsockname()[:2]
-        server.confirmed(monotonic_ms())
+        server.on_majority_confirmed(monotonic_ms())
         self.relays[name] = server
         return server
 
-    def _tallied(self, tally: object) -> None:
+    def _tallied(self, report: object) -> None:
         self.tallies += 1
 
     def follower(
@@ -230,12 +230,12 @@
         relay = await rig.relay()
         nodes = [rig.follower(f"f{n}") for n in range(20)]
         await rig.until(lambda: relay.counts["links"] == 20)
-        relay.offer(version(1, ONE), ONE)
+        relay.publish(version(1, ONE), ONE)
         await rig.until(lambda: all(node.version.number == 1 for node in nodes))
         before = relay.counts["bytes_out"]
         assert before > 20 * len(ONE)
         await rig.until(lambda: all(seat.number == 1 for seat in relay.relay.followers.values()))
-        relay.offer(version(2, TWO), TWO)
+        relay.publish(version(2, TWO), TWO)
         await rig.until(lambda: all(node.version.number == 2 for node in nodes))
         assert relay.counts["bytes_out"] - before < 20 * len(TWO) // 2
         assert all(node.follower.contents == TWO for node in nodes)
@@ -249,12 +249,12 @@
     async def script(rig: Rig) -> None:
         relay = await rig.relay()
         node = rig.follower("f0", lambda version, data: "mostTries is 6" if version.number == 2 else "")
-        relay.offer(version(1, ONE), ONE)
+        relay.publish(version(1, ONE), ONE)
         await rig.until(lambda: node.version.number == 1)
-        relay.offer(version(2, TWO), TWO)
+        relay.publish(version(2, TWO), TWO)
         await rig.until(lambda: [s.why for s in relay.relay.followers.values()] == ["mostTries is 6"])
         assert node.version.number == 1 and "mostTries is 6" in node.shown()
-        relay.offer(version(3, ONE), ONE)
+        relay.publish(version(3, ONE), ONE)
         await rig.until(lambda: node.version.number == 3)
 
     play(script)
@@ -264,7 +264,7 @@
     async def first(rig: Rig) -> None:
         relay = await rig.relay()
         node = rig.follower("f0", folder=str(tmp_path))
-        relay.offer(version(7, ONE), ONE)
+        relay.publish(version(7, ONE), ONE)
         await rig.until(lambda: node.version.number == 7)
 
     async def second(rig: Rig) -> None:
@@ -294,14 +294,14 @@
     async def refused_once(rig: Rig) -> None:
         relay = await rig.relay()
         node = rig.follower("f0", take, str(tmp_path))
-        relay.offer(version(1, ONE), ONE)
+        relay.publish(version(1, ONE), ONE)
         await rig.until(lambda: node.version.number == 1)
-        relay.offer(version(2, TWO), TWO)
+        relay.publish(version(2, TWO), TWO)
         await rig.until(lambda: node.follower.refused == 2)
 
     async def newer_before_the_disk_is_applied(rig: Rig) -> None:
         relay = await rig.relay()
-        relay.offer(version(3, THREE), THREE)
+        relay.publish(version(3, THREE), THREE)
         node = rig.follower("f0", take, str(tmp_path))
         await rig.until(lambda: node.version.number == 1)
         assert node.follower.refused
@@ -339,12 +339,12 @@
         await rig.relay("m1", most=0)
         good = await rig.relay("m2")
         lost = await rig.relay("m3")
-        good.offer(version(1, ONE), ONE)
-        lost.offer(version(1, ONE), ONE)
+        good.publish(version(1, ONE), ONE)
+        lost.publish(version(1, ONE), ONE)
         nodes = [rig.follower(f"f{n}") for n in range(8)]
         await rig.until(lambda: all(node.version.number == 1 for node in nodes))
         lost.stop()
-        good.offer(version(2, TWO), TWO)
+        good.publish(version(2, TWO), TWO)
         await rig.until(lambda: all(node.version.number == 2 for node in nodes))
         assert good.counts["links"] == 8
 
--- a/tests/test_golden_fields.py
+++ b/tests/test_golden_fields.py
@@ -74,7 +74,7 @@
     assert (delta.prefix, delta.suffix) == (10, 20)
     tally = decoded("feed", "tally")
     assert (tally.life, tally.sequence, tally.number) == (3, 41, 17)
-    standing = tally.standings[0]
+    standing = tally.statuses[0]
     assert (standing.life, standing.number, standing.heard_ms) == (14, 16, 250)
     assert (standing.behind_ms, standing.refused) == (350, 15)
     assert (standing.name, standing.why) == ("d-1", "names no class")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -43,7 +43,7 @@
 def relay(most: int = MAX_FOLLOWERS, number: int = 0) -> Relay:
     made = Relay("a", "f", 1, random.Random(1), most)
     if number:
-        made.offer(0.0, version(number), contents(number))
+        made.publish(0.0, version(number), contents(number))
     return made
 
 
@@ -63,7 +63,7 @@
 )
 def test_a_greeting_that_is_wrong_is_said_and_not_taken(item: Message, why: str) -> None:
     made = relay()
-    actions = list(made.heard(0.0, 1, item))
+    actions = list(made.on_message(0.0, 1, item))
     assert told(actions)[0].startswith(why) and kinds(actions) == ["Close"] and not made.followers
 
 
@@ -71,29 +71,29 @@
     assert MAX_FOLLOWERS >= 1024
     made = relay(most=2)
     for link in (1, 2):
-        assert isinstance(said(list(made.heard(0.0, link, greeting(f"d{link}"))))[0], SubscribeAccepted)
-    actions = list(made.heard(0.0, 3, greeting("d3")))
+        assert isinstance(said(list(made.on_message(0.0, link, greeting(f"d{link}"))))[0], SubscribeAccepted)
+    actions = list(made.on_message(0.0, 3, greeting("d3")))
     assert said(actions) == [SubscribeRejected("2 followers; allowed: 2")] and kinds(actions) == [
         "Send",
         "Close",
     ]
-    made.lost(1.0, 1, "ended")
-    assert isinstance(said(list(made.heard(2.0, 4, greeting("d3"))))[0], SubscribeAccepted)
+    made.on_disconnected(1.0, 1, "ended")
+    assert isinstance(said(list(made.on_message(2.0, 4, greeting("d3"))))[0], SubscribeAccepted)
 
 
 def test_of_a_follower_named_twice_the_later_start_is_served_and_the_other_is_named() -> None:
     made = relay()
-    made.heard(0.0, 1, greeting(life=5))
-    actions = list(made.heard(1.0, 2, greeting(life=4)))
+    made.on_message(0.0, 1, greeting(life=5))
+    actions = list(made.on_message(1.0, 2, greeting(life=4)))
     assert told(actions) == ["life is 4; allowed: 5 and more: a later start of d1 has come"]
     assert isinstance(said(actions)[0], SubscribeRejected) and 1 in made.followers
-    assert not told(list(made.heard(2.0, 3, greeting(life=4))))  # once
-    actions = list(made.heard(3.0, 4, greeting(life=6)))
+    assert not told(list(made.on_message(2.0, 3, greeting(life=4))))  # once
+    actions = list(made.on_message(3.0, 4, greeting(life=6)))
     assert [a for a in actions if isinstance(a, Close)] == [Close(1, "d1 has connected again")]
     assert list(made.followers) == [4]
-    made.lost(4.0, 4, "ended")
-    assert isinstance(said(list(made.heard(5.0, 5, greeting(life=5))))[0], SubscribeRejected)
-    again = made.heard(
+    made.on_disconnected(4.0, 4, "ended")
+    assert isinstance(said(list(made.on_message(5.0, 5, greeting(life=5))))[0], SubscribeRejected)
+    again = made.on_message(
         3.0 + timeouts.FOLLOWER_OVERDUE_MS, 6, greeting(life=5)
     )  # a clock that went back keeps none out
     assert isinstance(said(list(again))[0], SubscribeAccepted)
@@ -101,32 +101,32 @@
 
 def test_a_push_goes_by_difference_where_the_base_is_known_else_whole() -> None:
     made = relay(number=1)
-    assert said(list(made.heard(0.0, 1, greeting())))[1].contents == contents(1)  # type: ignore[union-attr]
-    made.heard(1.0, 1, Poll(1, version(1).digest))
-    made.heard(1.0, 2, greeting("d2", number=1, digest=digest_of(b"other")))
-    pushed = said(list(made.offer(2.0, version(2), contents(2))))
+    assert said(list(made.on_message(0.0, 1, greeting())))[1].contents == contents(1)  # type: ignore[union-attr]
+    made.on_message(1.0, 1, Poll(1, version(1).digest))
+    made.on_message(1.0, 2, greeting("d2", number=1, digest=digest_of(b"other")))
+    pushed = said(list(made.publish(2.0, version(2), contents(2))))
     assert isinstance(pushed[0], ConfigUpdate) and isinstance(pushed[1], ConfigUpdate)
     assert pushed[0].delta is not None and pushed[0].contents is None
     assert pushed[1].delta is None and pushed[1].contents == contents(2)
-    fetched = said(list(made.heard(2000.0, 1, FetchFullContents(2))))
+    fetched = said(list(made.on_message(2000.0, 1, FetchFullContents(2))))
     assert isinstance(fetched[0], ConfigUpdate) and fetched[0].contents == contents(2)
 
 
 def test_a_push_to_many_is_one_object() -> None:
     made = relay(number=1)
     for link in range(50):
-        made.heard(0.0, link, greeting(f"d{link}", number=1, digest=version(1).digest))
-    pushed = said(list(made.offer(1.0, version(2), contents(2))))
+        made.on_message(0.0, link, greeting(f"d{link}", number=1, digest=version(1).digest))
+    pushed = said(list(made.publish(1.0, version(2), contents(2))))
     assert len(pushed) == 50 and len({id(item) for item in pushed}) == 1
 
 
 def test_whole_contents_are_paced_and_all_come_in_their_turn() -> None:
     made, data = relay(), random.Random(1).randbytes(MAX_CONTENTS_BYTES)
-    made.offer(0.0, version(1, data), data)
+    made.publish(0.0, version(1, data), data)
     sent: list[tuple[float, int]] = []
     count, now = 46, 1.0  # 230 dispatchers at 5 relays
     for link in range(count):
-        for item in made.heard(now, link, greeting(f"d{link}")):
+        for item in made.on_message(now, link, greeting(f"d{link}")):
             if isinstance(item, Send) and isinstance(item.message, ConfigUpdate):
                 sent.append((now, item.link))
     assert 0 < len(sent) < 12
@@ -143,43 +143,43 @@
 
 def test_a_poll_is_answered_by_what_is_newer_unless_it_was_just_sent() -> None:
     made = relay(number=1)
-    made.heard(0.0, 1, greeting())
-    assert said(list(made.heard(100.0, 1, Poll(0, "")))) == [NotModified(1, NEVER_CONFIRMED_MS)]
-    again = said(list(made.heard(timeouts.RESEND_INTERVAL_MS, 1, Poll(0, ""))))
+    made.on_message(0.0, 1, greeting())
+    assert said(list(made.on_message(100.0, 1, Poll(0, "")))) == [NotModified(1, NEVER_CONFIRMED_MS)]
+    again = said(list(made.on_message(timeouts.RESEND_INTERVAL_MS, 1, Poll(0, ""))))
     assert isinstance(again[0], ConfigUpdate)
-    made.confirmed(1500.0, 1400.0)
-    assert said(list(made.heard(1600.0, 1, Poll(1, version(1).digest)))) == [NotModified(1, 200)]
+    made.on_majority_confirmed(1500.0, 1400.0)
+    assert said(list(made.on_message(1600.0, 1, Poll(1, version(1).digest)))) == [NotModified(1, 200)]
 
 
 def test_one_that_refuses_is_not_pushed_the_same_again() -> None:
     made = relay(number=1)
-    made.heard(0.0, 1, greeting())
-    actions = list(made.heard(5000.0, 1, Poll(0, "", 1, "servers is 3; allowed: a table")))
+    made.on_message(0.0, 1, greeting())
+    actions = list(made.on_message(5000.0, 1, Poll(0, "", 1, "servers is 3; allowed: a table")))
     assert said(actions) == [NotModified(1, NEVER_CONFIRMED_MS)]
     assert [a.event for a in actions if isinstance(a, Told)] == ["configuration_follower_refuses"]
-    assert isinstance(said(list(made.offer(6000.0, version(2), contents(2))))[0], ConfigUpdate)
+    assert isinstance(said(list(made.publish(6000.0, version(2), contents(2))))[0], ConfigUpdate)
 
 
 def test_a_follower_that_says_less_than_it_said_is_noted_once() -> None:
     made = relay(number=3)
-    made.heard(0.0, 1, greeting(number=3, digest=version(3).digest))
-    first = told(list(made.heard(1.0, 1, Poll(2, ""))))
+    made.on_message(0.0, 1, greeting(number=3, digest=version(3).digest))
+    first = told(list(made.on_message(1.0, 1, Poll(2, ""))))
     assert first == ["number is 2; allowed: 3 and more, as d1 said before"]
-    assert not told(list(made.heard(2.0, 1, Poll(1, ""))))
-    assert told(list(made.heard(3.0, 1, Poll(-1, "")))) == ["number is -1; allowed: 0 and more"]
+    assert not told(list(made.on_message(2.0, 1, Poll(1, ""))))
+    assert told(list(made.on_message(3.0, 1, Poll(-1, "")))) == ["number is -1; allowed: 0 and more"]
     assert not made.followers
 
 
 def test_an_overdue_follower_is_let_go_and_counted_as_not_heard() -> None:
     made = relay(number=1)
-    made.heard(0.0, 1, greeting(number=1, digest=version(1).digest))
+    made.on_message(0.0, 1, greeting(number=1, digest=version(1).digest))
     now, closed = 0.0, []
-    standings: tuple[FollowerStatus, ...] = ()
+    statuses: tuple[FollowerStatus, ...] = ()
     while now < timeouts.FOLLOWER_OVERDUE_MS + 2 * timeouts.OVERDUE_SCAN_INTERVAL_MS:
         now = made.due_ms(now)
         for action in made.tick(now):
             closed += [action] if isinstance(action, Close) else []
-            if isinstance(action, StatusReceived) and action.tally.standings:
-                standings = action.tally.standings
+            if isinstance(action, StatusReceived) and action.report.statuses:
+                statuses = action.report.statuses
     assert [c.link for c in closed] == [1]
-    assert [(s.name, s.number, s.linked) for s in standings] == [("d1", 1, False)]
+    assert [(s.name, s.number, s.linked) for s in statuses] == [("d1", 1, False)]
