--- a/benchmarks/scaling/hollow.py
+++ b/benchmarks/scaling/hollow.py
@@ -78,7 +78,7 @@
         self.applied[name] = AppliedConfig(HollowHost(self.base))
         settings = FollowerSettings(
             name=name,
-            fleet=self.raw["fleet"],
+            cluster=self.raw["fleet"],
             place=self.raw["followers"][name][0],
             relays=self.relays,
             folder="",
--- a/grebestack/cluster_io/config_store.py
+++ b/grebestack/cluster_io/config_store.py
@@ -22,7 +22,7 @@
 from grebestack.consensus.log_format import frame, read
 
 MAGIC = b"grebestack configuration 1\n"
-VERSION, KEPT, NEW, LIFE = "version-", "kept-", ".new", "life"
+VERSION, KEPT, NEW, INCARNATION = "version-", "kept-", ".new", "life"
 Done = Callable[[str], None]  # called with why it could not be written, or empty
 _head = msgspec.msgpack.Decoder(tuple[str, Version])
 
@@ -34,7 +34,7 @@
     versions: tuple[tuple[Version, bytes], ...] = ()
     kept: dict[str, bytes] = field(default_factory=dict)  # undecided contents by digest
     doubts: tuple[str, ...] = ()
-    life: int = 1  # process incarnation: higher than any before
+    incarnation: int = 1  # process incarnation: higher than any before
 
 
 class CorruptFileError(Exception):
@@ -48,10 +48,10 @@
         self,
         loop: asyncio.AbstractEventLoop,
         folder: str,
-        fleet: str,
+        cluster: str,
         files: Files | None = None,
     ) -> None:
-        self.loop, self.folder, self.fleet, self.files = loop, folder, fleet, files or Files()
+        self.loop, self.folder, self.cluster, self.files = loop, folder, cluster, files or Files()
         self.queue: queue.SimpleQueue[tuple[Callable[[], None], Done] | None] = queue.SimpleQueue()
         self.lock = -1
         self.thread = threading.Thread(target=self._work, name="configuration-disk", daemon=True)
@@ -81,9 +81,9 @@
             except (OSError, CorruptFileError) as error:
                 doubts.append(f"{name}: {error}")
                 self._put_aside(name)
-        life = self._next_incarnation()
+        incarnation = self._next_incarnation()
         self.thread.start()
-        return StoredConfig(tuple(versions), kept, tuple(doubts), life)
+        return StoredConfig(tuple(versions), kept, tuple(doubts), incarnation)
 
     def store(
         self,
@@ -131,30 +131,30 @@
     def _read_version(self, path: str) -> tuple[Version, bytes]:
         head, contents = self._payloads(path, 2)
         try:
-            fleet, version = _head.decode(head)
+            cluster, version = _head.decode(head)
         except msgspec.DecodeError as error:
             raise CorruptFileError(f"it begins with no version: {error}") from error
-        if fleet != self.fleet:
-            raise CorruptFileError(f"it is of the fleet {fleet!r}, not {self.fleet!r}")
+        if cluster != self.cluster:
+            raise CorruptFileError(f"it is of the fleet {cluster!r}, not {self.cluster!r}")
         if why := contents_problem(version, contents):
             raise CorruptFileError(why)
         return version, contents
 
     def _next_incarnation(self) -> int:
         """Return this start's number; the clock makes it grow even if an old folder was restored."""
-        path = os.path.join(self.folder, LIFE)
+        path = os.path.join(self.folder, INCARNATION)
         try:
             former = int(self.files.read(path))
         except (OSError, ValueError):
             former = 0
-        life = max(former + 1, time.time_ns() // 1_000_000)
+        incarnation = max(former + 1, time.time_ns() // 1_000_000)
         try:
             with open(path + NEW, "w", encoding="ascii") as file:
-                file.write(str(life))
+                file.write(str(incarnation))
             os.replace(path + NEW, path)
         except OSError:
             pass  # the same failure is reported when a version is written
-        return life
+        return incarnation
 
     # The worker thread.
 
@@ -191,7 +191,7 @@
         if newer := [number for number in numbers.values() if number > version.number]:
             raise ValueError(f"number is {version.number}; allowed: {max(newer)}, on the disk, and more")
         mine = f"{VERSION}{version.number:016x}"
-        self._write(mine, [msgspec.msgpack.encode((self.fleet, version)), contents])
+        self._write(mine, [msgspec.msgpack.encode((self.cluster, version)), contents])
         for name, number in numbers.items():
             if name != mine and number not in others:
                 self._remove(name)
--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -55,7 +55,7 @@
         for doubt in self.held.doubts:
             log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
         self.voter = ConfigurationVoter(
-            settings.name, settings.fleet, self.held.life, node.random, self.clock()
+            settings.name, settings.fleet, self.held.incarnation, node.random, self.clock()
         )
         self.relay: LocalRelay | None = None
         self.settled: Callable[[], None] = lambda: None  # called when a version or a confirmation has come
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -50,7 +50,7 @@
     """A follower's settings, from the operators' file."""
 
     name: str
-    fleet: str
+    cluster: str
     place: str  # region/zone
     relays: Mapping[str, RelayAddress]  # those it may follow
     folder: str  # empty: no disk
@@ -86,11 +86,13 @@
         relays: bool = False,
     ) -> None:
         self.loop, self.settings, self.take, self.clock = loop, settings, take, clock
-        self.contents = ConfigStore(loop, settings.folder, settings.fleet, files) if settings.folder else None
+        self.contents = (
+            ConfigStore(loop, settings.folder, settings.cluster, files) if settings.folder else None
+        )
         held = (
             self.contents.open()
             if self.contents is not None
-            else StoredConfig(life=time.time_ns() // 1_000_000)
+            else StoredConfig(incarnation=time.time_ns() // 1_000_000)
         )
         for doubt in held.doubts:
             log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
@@ -98,9 +100,9 @@
         places = {name: relay.place for name, relay in settings.relays.items()}
         self.follower = Follower(
             settings.name,
-            settings.fleet,
+            settings.cluster,
             settings.place,
-            held.life,
+            held.incarnation,
             places,
             random or Random(int.from_bytes(os.urandom(8), "big")),
             relays,
--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -70,7 +70,7 @@
     ----------
     place
         Its "region/zone".
-    life
+    incarnation
         Process incarnation: a later start has a higher number.
     places
         "region/zone" of each relay.
@@ -81,14 +81,14 @@
     def __init__(
         self,
         name: str,
-        fleet: str,
+        cluster: str,
         place: str,
-        life: int,
+        incarnation: int,
         places: Mapping[str, str],
         random: Random,
         relays: bool = False,
     ) -> None:
-        self.name, self.fleet, self.place, self.life = name, fleet, place, life
+        self.name, self.cluster, self.place, self.incarnation = name, cluster, place, incarnation
         super().__init__(relays)
         self.random = random
         self.order = relay_order(name, place, places)
@@ -157,7 +157,9 @@
         return [
             Send(
                 link,
-                Subscribe(PROTOCOL_VERSION, self.fleet, self.name, self.life, self.place, number, digest),
+                Subscribe(
+                    PROTOCOL_VERSION, self.cluster, self.name, self.incarnation, self.place, number, digest
+                ),
             )
         ]
 
@@ -187,7 +189,7 @@
     def _on_accepted(self, now_ms: float, message: SubscribeAccepted) -> list[FollowerAction]:
         for field, value, allowed in (
             ("form", message.form, PROTOCOL_VERSION),
-            ("fleet", message.fleet, self.fleet),
+            ("fleet", message.cluster, self.cluster),
             ("relay", message.relay, self.relay),
         ):
             if value != allowed:
--- a/grebestack/config_distribution/messages.py
+++ b/grebestack/config_distribution/messages.py
@@ -19,9 +19,9 @@
     """The follower's first message: its identity and what it has in force."""
 
     form: int
-    fleet: str
+    cluster: str
     name: str
-    life: int  # process incarnation: a later start has a higher number
+    incarnation: int  # process incarnation: a later start has a higher number
     place: str  # region/zone
     number: int
     digest: str
@@ -31,7 +31,7 @@
     """The relay's response to `Subscribe`; `ConfigUpdate` or `NotModified` follows at once."""
 
     form: int
-    fleet: str
+    cluster: str
     relay: str
     most: int  # followers that it serves at most
     floor: int = 0  # the highest number that this follower has acknowledged, in any incarnation
@@ -78,7 +78,7 @@
     """What a relay knows of one follower. Times are in ms before the report."""
 
     name: str
-    life: int
+    incarnation: int
     number: int  # in force at its last message
     heard_ms: int  # since its last message
     linked: bool
@@ -91,7 +91,7 @@
     """A relay's report on its followers, sent upstream to the voters."""
 
     relay: str
-    life: int
+    incarnation: int
     sequence: int
     is_full: bool  # all followers; else those that changed since the report before
     number: int  # the newest that the relay has
--- a/grebestack/config_distribution/relay.py
+++ b/grebestack/config_distribution/relay.py
@@ -52,7 +52,7 @@
     """One follower by its last message. Times are of the relay's own clock."""
 
     name: str
-    life: int
+    incarnation: int
     number: int  # in force at the follower
     digest: str  # contents that a delta may be based on
     heard_ms: float
@@ -71,7 +71,7 @@
 
     Parameters
     ----------
-    life
+    incarnation
         Process incarnation: a later start has a higher number.
     most
         Followers that it serves at most.
@@ -82,14 +82,14 @@
     def __init__(
         self,
         name: str,
-        fleet: str,
-        life: int,
+        cluster: str,
+        incarnation: int,
         random: Random,
         most: int = MAX_FOLLOWERS,
         floor: Callable[[str], int] = lambda name: 0,
     ) -> None:
         super().__init__()
-        self.name, self.fleet, self.life, self.most = name, fleet, life, most
+        self.name, self.cluster, self.incarnation, self.most = name, cluster, incarnation, most
         self.random, self.floor = random, floor
         self.followers: dict[int, FollowerState] = {}
         self.link_by_name: dict[str, int] = {}
@@ -194,16 +194,16 @@
 
     def _on_subscribe(self, now_ms: float, link: int, request: Subscribe) -> list[RelayAction]:
         name = request.name
-        if why := subscribe_problem(request, self.fleet):
+        if why := subscribe_problem(request, self.cluster):
             return self._reject(link, name, why)
         other = self.link_by_name.get(name)
         known = self.followers[other] if other is not None else self.disconnected.get(name)
         recent = known is not None and now_ms - known.heard_ms < timeouts.FOLLOWER_OVERDUE_MS
-        if known is not None and recent and known.life > request.life:
+        if known is not None and recent and known.incarnation > request.incarnation:
             why = invalid_value(
-                "life", request.life, f"{known.life} and more: a later start of {name} has come"
+                "life", request.incarnation, f"{known.incarnation} and more: a later start of {name} has come"
             )
-            noted = self._log_invalid_once(f"twice/{name}/{request.life}", name, why)
+            noted = self._log_invalid_once(f"twice/{name}/{request.incarnation}", name, why)
             return [*noted, Send(link, SubscribeRejected(why)), Close(link, why)]
         actions: list[RelayAction] = []
         if other is not None:
@@ -216,12 +216,12 @@
         self.disconnected.pop(name, None)
         behind = now_ms if request.number < self.version.number else None
         self.followers[link] = FollowerState(
-            name, request.life, request.number, request.digest, now_ms, behind
+            name, request.incarnation, request.number, request.digest, now_ms, behind
         )
         self.link_by_name[name] = link
         self.changed_names.add(name)
         floor = max(self.floor(name), known.number if known is not None else 0)
-        welcome = SubscribeAccepted(PROTOCOL_VERSION, self.fleet, self.name, self.most, floor)
+        welcome = SubscribeAccepted(PROTOCOL_VERSION, self.cluster, self.name, self.most, floor)
         return [*actions, Send(link, welcome), *self._respond(now_ms, link)]
 
     def _on_poll(self, now_ms: float, link: int, follower: FollowerState, poll: Poll) -> list[RelayAction]:
@@ -301,7 +301,7 @@
         heard = max(0, int(now_ms - follower.heard_ms))
         return FollowerStatus(
             follower.name,
-            follower.life,
+            follower.incarnation,
             follower.number,
             heard,
             follower.linked,
@@ -325,7 +325,9 @@
             self.full_report_ms = now_ms + self.random.uniform(*timeouts.FULL_STATUS_REPORT_INTERVAL_MS)
         return [
             StatusReceived(
-                StatusReport(self.name, self.life, self.sequence, is_full, self.version.number, statuses)
+                StatusReport(
+                    self.name, self.incarnation, self.sequence, is_full, self.version.number, statuses
+                )
             )
         ]
 
--- a/grebestack/config_distribution/status.py
+++ b/grebestack/config_distribution/status.py
@@ -36,7 +36,7 @@
 class RelayEntry:
     """What one relay has reported so far. Times are of the voter's own clock."""
 
-    life: int  # the relay's process incarnation
+    incarnation: int  # the relay's process incarnation
     sequence: int
     number: int
     number_ms: float
@@ -56,10 +56,12 @@
     def receive(self, now_ms: float, report: StatusReport) -> list[ConfigurationAction]:
         """Take a relay's report; a late or repeated one is ignored."""
         name, relay = report.relay, self.relays.get(report.relay)
-        if relay is not None and report.life < relay.life:
-            why = invalid_value("life", report.life, f"{relay.life} and more, as {name} said before")
+        if relay is not None and report.incarnation < relay.incarnation:
+            why = invalid_value(
+                "life", report.incarnation, f"{relay.incarnation} and more, as {name} said before"
+            )
             return self.state.report_invalid(f"life/{name}", name, why)
-        if relay is None or report.life > relay.life:
+        if relay is None or report.incarnation > relay.incarnation:
             if len(self.relays) >= MAX_NAMES:
                 return []
             relay = self._new_incarnation(now_ms, report, relay)
@@ -77,7 +79,7 @@
 
     def _new_incarnation(self, now_ms: float, report: StatusReport, former: RelayEntry | None) -> RelayEntry:
         """Begin an entry; the former one's followers are unknown until a relay reports them."""
-        relay = RelayEntry(report.life, 0, 0, now_ms, now_ms, False)
+        relay = RelayEntry(report.incarnation, 0, 0, now_ms, now_ms, False)
         self.relays[report.relay] = relay
         for name, entry in (former.followers if former is not None else {}).items():
             away = msgspec.structs.replace(entry.status, linked=False)
@@ -104,7 +106,11 @@
         self, now_ms: float, relay: RelayEntry, by: str, status: FollowerStatus
     ) -> list[ConfigurationAction]:
         name, former = status.name, relay.followers.get(status.name)
-        if former is not None and former.status.life == status.life and status.number < former.status.number:
+        if (
+            former is not None
+            and former.status.incarnation == status.incarnation
+            and status.number < former.status.number
+        ):
             why = invalid_value("number", status.number, f"{former.status.number} and more of {name}")
             return self.state.report_invalid(f"standing/{by}/{name}", by, why)
         behind = now_ms - status.behind_ms if status.behind_ms else None
@@ -167,4 +173,4 @@
 
 def _rank(entry: FollowerEntry, linked: bool) -> tuple[bool, int, float]:
     """Of several relays' entries for one follower the highest rank counts."""
-    return linked, entry.status.life, entry.heard_ms
+    return linked, entry.status.incarnation, entry.heard_ms
--- a/grebestack/config_distribution/subscription.py
+++ b/grebestack/config_distribution/subscription.py
@@ -8,17 +8,17 @@
 MAX_NAME_LENGTH = 128
 
 
-def subscribe_problem(request: Subscribe, fleet: str) -> str:
+def subscribe_problem(request: Subscribe, cluster: str) -> str:
     """Say why a relay of this cluster can't accept a request: field, value and what is allowed; or empty."""
     name = request.name
     if request.form != PROTOCOL_VERSION:
         return invalid_value("form", request.form, PROTOCOL_VERSION)
-    if request.fleet != fleet:
-        return invalid_value("fleet", request.fleet, repr(fleet))
+    if request.cluster != cluster:
+        return invalid_value("fleet", request.cluster, repr(cluster))
     if not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable() or " " in name:
         return invalid_value("name", name, f"1 to {MAX_NAME_LENGTH} printable characters without spaces")
-    if request.life < 0:
-        return invalid_value("life", request.life, "0 and more")
+    if request.incarnation < 0:
+        return invalid_value("life", request.incarnation, "0 and more")
     return held_version_problem(request.number, request.digest)
 
 
--- a/grebestack/config_distribution/voter.py
+++ b/grebestack/config_distribution/voter.py
@@ -48,11 +48,11 @@
 class ConfigurationVoter:
     """Events in, actions out; a `VoterView` comes with each event that needs one.
 
-    Times are monotonic milliseconds, `life` is the process incarnation.
+    Times are monotonic milliseconds, `incarnation` is the process incarnation.
     """
 
-    def __init__(self, name: str, fleet: str, life: int, random: Random, now_ms: float) -> None:
-        self.fleet, self.life = fleet, life
+    def __init__(self, name: str, cluster: str, incarnation: int, random: Random, now_ms: float) -> None:
+        self.cluster, self.incarnation = cluster, incarnation
         self.state = VoterState(name, random)
         self.register = RegisterAccess()
         self.undecided = UndecidedContents(self.state)
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -194,13 +194,13 @@
             return None
         fleet, address, random = self.config.fleet, self.config.relays[self.name].address, Random()
         if self.voter is not None:
-            pure = Relay(self.name, fleet, self.voter.voter.life, random, floor=self.voter.voter.floor)
+            pure = Relay(self.name, fleet, self.voter.voter.incarnation, random, floor=self.voter.voter.floor)
             relay = self.voter.relay = RelayServer(
                 self.loop, pure, address, self.voter.on_status_report, CLOCK
             )
             return relay
         assert self.follower is not None
-        pure = Relay(self.name, fleet, self.follower.follower.life, random)
+        pure = Relay(self.name, fleet, self.follower.follower.incarnation, random)
         relay = self.follower.relay = RelayServer(
             self.loop, pure, address, self.follower.on_status_report, CLOCK
         )
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -145,7 +145,15 @@
     if isinstance(value, dict):
         return tuple((k, frozen(v)) for k, v in value.items())
     if isinstance(value, FollowerState):  # when it was heard decides nothing here
-        return value.name, value.life, value.number, value.digest, value.refused, value.sent, value.sent_ms
+        return (
+            value.name,
+            value.incarnation,
+            value.number,
+            value.digest,
+            value.refused,
+            value.sent,
+            value.sent_ms,
+        )
     return None if callable(value) else value
 
 
@@ -387,7 +395,7 @@
             )
 
     def _again(self, world: World, index: int, held: tuple[int, ...], budget: Budget) -> World:
-        life = world.followers[index].of.life + 1
+        life = world.followers[index].of.incarnation + 1
         wire = tuple(s for s in world.wire if s.line.follower != index)
         wire += tuple(Sent(line, False, "end") for line in world.lines if line.follower == index)
         lines = tuple(line for line in world.lines if line.follower != index)
@@ -460,7 +468,7 @@
             return self._dialled(world, line)
         if sent.down:
             made = world.followers[line.follower].copy()
-            if made.life != line.life:
+            if made.incarnation != line.life:
                 return world
             if sent.item == "end":
                 world = world._replace(lines=tuple(x for x in world.lines if x != line))
@@ -481,7 +489,7 @@
 
     def _dialled(self, world: World, line: Line) -> World:
         made = world.followers[line.follower].copy()
-        if made.life != line.life or world.up[line.relay] == "gone":
+        if made.incarnation != line.life or world.up[line.relay] == "gone":
             return world
         if world.up[line.relay] == "killed":
             return self._did(
@@ -523,12 +531,16 @@
 
     def _did(self, world: World, index: int, made: Follower, actions: list[act.FollowerAction]) -> World:
         queue: list[act.FollowerAction] = list(actions)
-        lines = {line.link: line for line in world.lines if line.follower == index and line.life == made.life}
+        lines = {
+            line.link: line
+            for line in world.lines
+            if line.follower == index and line.life == made.incarnation
+        }
         while queue:
             action = queue.pop(0)
             if isinstance(action, act.Connect):
                 relay = RELAYS.index(action.relay)
-                line = Line(index, made.life, action.link, relay, 0)
+                line = Line(index, made.incarnation, action.link, relay, 0)
                 world = world._replace(wire=(*world.wire, Sent(line, False, "dial")))
             elif isinstance(action, act.Send) and action.link in lines:
                 sent = Sent(lines[action.link], False, action.message)
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -35,9 +35,9 @@
 class Disk:
     """A folder that is opened and closed as a process would."""
 
-    def __init__(self, folder: Path, how: str = "", fleet: str = "farm") -> None:
+    def __init__(self, folder: Path, how: str = "", cluster: str = "farm") -> None:
         self.loop = asyncio.new_event_loop()
-        self.contents = ConfigStore(self.loop, str(folder), fleet, FailingSync(how, errno.EIO))
+        self.contents = ConfigStore(self.loop, str(folder), cluster, FailingSync(how, errno.EIO))
         self.held: StoredConfig = self.contents.open()
 
     def _wait(self, ask: Callable[[Callable[[str], None]], None]) -> str:
@@ -56,8 +56,8 @@
         self.loop.close()
 
 
-def held(folder: Path, fleet: str = "farm") -> StoredConfig:
-    disk = Disk(folder, fleet=fleet)
+def held(folder: Path, cluster: str = "farm") -> StoredConfig:
+    disk = Disk(folder, cluster=cluster)
     disk.close()
     return disk.held
 
@@ -178,4 +178,4 @@
     first.close()
     (tmp_path / "life").write_text(str(10**15))  # the clock was put back since
     second, third = held(tmp_path), held(tmp_path)
-    assert first.held.life < second.life == 10**15 + 1 < third.life
+    assert first.held.incarnation < second.incarnation == 10**15 + 1 < third.incarnation
--- a/tests/test_configuration_voter.py
+++ b/tests/test_configuration_voter.py
@@ -272,8 +272,10 @@
     assert len(made.undecided.on_disk) == 60
 
 
-def standing(name: str, number: int, heard_ms: int = 0, linked: bool = True, life: int = 1) -> FollowerStatus:
-    return FollowerStatus(name, life, number, heard_ms, linked)
+def standing(
+    name: str, number: int, heard_ms: int = 0, linked: bool = True, incarnation: int = 1
+) -> FollowerStatus:
+    return FollowerStatus(name, incarnation, number, heard_ms, linked)
 
 
 def test_a_follower_that_has_moved_counts_once_at_the_latest() -> None:
--- a/tests/test_golden_fields.py
+++ b/tests/test_golden_fields.py
@@ -61,11 +61,11 @@
 
 def test_places_in_messages_of_followers() -> None:
     greeting = decoded("feed", "greeting")
-    assert (greeting.form, greeting.life, greeting.number) == (1, 14, 16)
-    assert (greeting.fleet, greeting.name, greeting.place) == ("fleet-a", "d-1", "east/e1")
+    assert (greeting.form, greeting.incarnation, greeting.number) == (1, 14, 16)
+    assert (greeting.cluster, greeting.name, greeting.place) == ("fleet-a", "d-1", "east/e1")
     welcome = decoded("feed", "welcome")
     assert (welcome.form, welcome.most, welcome.floor) == (1, 500, 15)
-    assert (welcome.fleet, welcome.relay) == ("fleet-a", "m-2")
+    assert (welcome.cluster, welcome.relay) == ("fleet-a", "m-2")
     poll = decoded("feed", "poll")
     assert (poll.number, poll.refused, poll.why) == (16, 17, "names no class")
     still = decoded("feed", "still")
@@ -73,9 +73,9 @@
     delta = decoded("feed", "news by difference").delta
     assert (delta.prefix, delta.suffix) == (10, 20)
     tally = decoded("feed", "tally")
-    assert (tally.life, tally.sequence, tally.number) == (3, 41, 17)
+    assert (tally.incarnation, tally.sequence, tally.number) == (3, 41, 17)
     standing = tally.statuses[0]
-    assert (standing.life, standing.number, standing.heard_ms) == (14, 16, 250)
+    assert (standing.incarnation, standing.number, standing.heard_ms) == (14, 16, 250)
     assert (standing.behind_ms, standing.refused) == (350, 15)
     assert (standing.name, standing.why) == ("d-1", "names no class")
 
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -73,7 +73,7 @@
     assert held.doubts == ()
     assert held.versions == ((OLD_VERSION, OLD_CONTENTS), (VERSION, CONTENTS))
     assert list(held.kept.values()) == [b"kept"]
-    assert held.life == LIFE + 2
+    assert held.incarnation == LIFE + 2
 
 
 def test_golden_segments_of_the_audit_are_read() -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -35,9 +35,9 @@
 
 
 def greeting(
-    name: str = "d1", life: int = 1, number: int = 0, digest: str = "", fleet: str = "f"
+    name: str = "d1", incarnation: int = 1, number: int = 0, digest: str = "", cluster: str = "f"
 ) -> Subscribe:
-    return Subscribe(PROTOCOL_VERSION, fleet, name, life, "r/1", number, digest)
+    return Subscribe(PROTOCOL_VERSION, cluster, name, incarnation, "r/1", number, digest)
 
 
 def relay(most: int = MAX_FOLLOWERS, number: int = 0) -> Relay:
@@ -50,11 +50,11 @@
 @pytest.mark.parametrize(
     ("item", "why"),
     [
-        (greeting(fleet="g"), "fleet is 'g'; allowed: 'f'"),
+        (greeting(cluster="g"), "fleet is 'g'; allowed: 'f'"),
         (greeting(""), "name is ''; allowed: 1 to 128 printable characters without spaces"),
         (greeting("a b"), "name is 'a b'; allowed: "),
         (greeting("x" * 129), "name is 'xxx"),
-        (greeting(life=-1), "life is -1; allowed: 0 and more"),
+        (greeting(incarnation=-1), "life is -1; allowed: 0 and more"),
         (greeting(number=-1), "number is -1; allowed: 0 and more"),
         (greeting(digest="ab"), "digest is 'ab'; allowed: 64 hexadecimal digits"),
         (Subscribe(2, "f", "d1", 1, "r/1", 0, ""), "form is 2; allowed: 1"),
@@ -83,18 +83,18 @@
 
 def test_of_a_follower_named_twice_the_later_start_is_served_and_the_other_is_named() -> None:
     made = relay()
-    made.on_message(0.0, 1, greeting(life=5))
-    actions = list(made.on_message(1.0, 2, greeting(life=4)))
+    made.on_message(0.0, 1, greeting(incarnation=5))
+    actions = list(made.on_message(1.0, 2, greeting(incarnation=4)))
     assert told(actions) == ["life is 4; allowed: 5 and more: a later start of d1 has come"]
     assert isinstance(said(actions)[0], SubscribeRejected) and 1 in made.followers
-    assert not told(list(made.on_message(2.0, 3, greeting(life=4))))  # once
-    actions = list(made.on_message(3.0, 4, greeting(life=6)))
+    assert not told(list(made.on_message(2.0, 3, greeting(incarnation=4))))  # once
+    actions = list(made.on_message(3.0, 4, greeting(incarnation=6)))
     assert [a for a in actions if isinstance(a, Close)] == [Close(1, "d1 has connected again")]
     assert list(made.followers) == [4]
     made.on_disconnected(4.0, 4, "ended")
-    assert isinstance(said(list(made.on_message(5.0, 5, greeting(life=5))))[0], SubscribeRejected)
+    assert isinstance(said(list(made.on_message(5.0, 5, greeting(incarnation=5))))[0], SubscribeRejected)
     again = made.on_message(
-        3.0 + timeouts.FOLLOWER_OVERDUE_MS, 6, greeting(life=5)
+        3.0 + timeouts.FOLLOWER_OVERDUE_MS, 6, greeting(incarnation=5)
     )  # a clock that went back keeps none out
     assert isinstance(said(list(again))[0], SubscribeAccepted)
 
