--- a/grebestack/config_distribution/timeouts.py
+++ b/grebestack/config_distribution/timeouts.py
@@ -47,7 +47,7 @@
 
 # Allowances for work whose duration is not set here.
 STORE_ALLOWANCE_MS = 500.0  # write, sync and apply a version
-VOTER_RECONNECT_ALLOWANCE_MS = 1600.0  # two voters connect again: backoff of the peer connection and dialling
+VOTER_RECONNECT_ALLOWANCE_MS = 1600.0  # two voters connect again, with the backoff of their connections
 
 _RECONNECT = (
     ("pause", RECONNECT_BACKOFF_MS[1]),
