--- a/benchmarks/scaling/hollow.py
+++ b/benchmarks/scaling/hollow.py
@@ -1,4 +1,4 @@
-"""Hollow followers: many of the product's own `FollowerNode` in a process, no front, engine and runners.
+"""Hollow followers: many of the product's own `FollowerClient` in a process, no front, engine and runners.
 
     PYTHONPATH=benchmarks python -m scaling.hollow FILE.json
 
@@ -22,11 +22,11 @@
 
 import uvloop
 
-from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
+from grebestack.cluster_io.follower_client import FollowerClient, FollowerSettings, RelayAddress
 from grebestack.program import log
 from grebestack.program.config.model import Config
 from grebestack.program.config.operator_file import from_file
-from grebestack.program.config_updates import Laying
+from grebestack.program.config_updates import AppliedConfig
 from grebestack.protocol.settings import unmoved
 from scaling.marks import whole
 
@@ -58,13 +58,13 @@
             name: RelayAddress((relay["host"], int(relay["port"])), relay["place"])
             for name, relay in raw["relays"].items()
         }
-        self.nodes: dict[str, FollowerNode] = {}
+        self.nodes: dict[str, FollowerClient] = {}
         self.past: Counter[str] = Counter()  # counts of those that have been stopped
         self.lines: list[str] = []
         self.acts = os.open(raw["acts"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
         self.rest = b""
         self.base = from_file(raw["base"])
-        self.layings: dict[str, Laying] = {}
+        self.applied: dict[str, AppliedConfig] = {}
 
     def begin(self) -> None:
         """Start them all."""
@@ -76,16 +76,16 @@
 
     def start(self, name: str, life: int) -> None:
         """Start one, anew if it was stopped: it has no disk."""
-        self.layings[name] = Laying(HollowHost(self.base))
+        self.applied[name] = AppliedConfig(HollowHost(self.base))
         settings = FollowerSettings(
             name=name,
-            fleet=self.raw["fleet"],
+            cluster=self.raw["fleet"],
             place=self.raw["followers"][name][0],
             relays=self.relays,
             folder="",
         )
         take = partial(self._take, name, life)
-        self.nodes[name] = node = FollowerNode(self.loop, settings, take)
+        self.nodes[name] = node = FollowerClient(self.loop, settings, take)
         node.start()
 
     def stop(self, name: str) -> None:
@@ -96,7 +96,7 @@
 
     def _take(self, name: str, life: int, version: Any, contents: bytes) -> str:
         """Parse, check and say so as a real one does, and note it."""
-        if why := self.layings[name].take(version, contents):
+        if why := self.applied[name].apply(version, contents):
             return why
         digest = hashlib.sha256(contents).hexdigest()
         self.lines.append(
--- a/grebestack/cluster_io/config_store.py
+++ b/grebestack/cluster_io/config_store.py
@@ -1,7 +1,7 @@
-"""The disk of a configuration: each version with its contents a file of its own, written whole and synced.
+"""Stores configuration versions, each with its contents in a file of its own.
 
-A file gets its name only once it is on the disk for good, so that never half of one is found under it. What
-does not fit its checksums, its digest or this fleet is put aside with the reason, and never read again.
+A file is synced before it is renamed to its name, so that a file under its name is complete. A file whose
+checksums, digest or cluster are wrong is set aside with the reason and not read again.
 """
 
 from __future__ import annotations
@@ -25,66 +25,72 @@
     lock_folder,
     sync_folder,
 )
-from grebestack.config_distribution.versions import Version, check, digest_of
+from grebestack.config_distribution.versions import Version, contents_problem, digest_of
 from grebestack.consensus.log_format import encode_record, read_log
 
 MAGIC = b"grebestack configuration 1\n"
-VERSION, KEPT, NEW, LIFE = "version-", "kept-", ".new", "life"
-Done = Callable[[str], None]  # told why it could not be written, or nothing
+VERSION, KEPT, NEW, INCARNATION = "version-", "kept-", ".new", "life"
+Done = Callable[[str], None]  # called with why it could not be written, or empty
 _head = msgspec.msgpack.Decoder(tuple[str, Version])
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """What a folder holds; `doubts` says of each file that is not believed why."""
+class StoredConfig:
+    """What a folder holds; `doubts` has a line for each corrupt file."""
 
     versions: tuple[tuple[Version, bytes], ...] = ()
-    kept: dict[str, bytes] = field(default_factory=dict)  # by digest: contents that are not decided
+    kept: dict[str, bytes] = field(default_factory=dict)  # undecided contents by digest
     doubts: tuple[str, ...] = ()
-    life: int = 1  # which start this is: higher than any before
+    incarnation: int = 1  # process incarnation: higher than any before
 
 
-class DoubtError(Exception):
+class CorruptFileError(Exception):
     """A file is not what was written; the text says why."""
 
 
-class Contents:
-    """One process's versions, told of on the loop; the folder is this process's own until `close`."""
+class ConfigStore:
+    """One process's versions; results come on the loop. The folder is locked from `open` to `close`."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         folder: str,
-        fleet: str,
+        cluster: str,
         files: Files | None = None,
     ) -> None:
-        self.loop, self.folder, self.fleet, self.files = loop, folder, fleet, files or Files()
+        self.loop, self.folder, self.cluster, self.files = loop, folder, cluster, files or Files()
         self.queue: queue.SimpleQueue[tuple[Callable[[], None], Done] | None] = queue.SimpleQueue()
         self.lock = -1
         self.thread = threading.Thread(target=self._work, name="configuration-disk", daemon=True)
 
-    def open(self) -> Held:
-        """Take the folder and read it. OSError: there is none to be had; FolderTakenError: in use."""
+    def open(self) -> StoredConfig:
+        """Lock the folder and read it.
+
+        Raises
+        ------
+        OSError
+            The folder can't be used.
+        FolderTakenError
+            Another process has it.
+        """
         self.lock = lock_folder(self.folder)
         versions, kept, doubts = list[tuple[Version, bytes]](), dict[str, bytes](), list[str]()
         for name in sorted(os.listdir(self.folder)):
             path = os.path.join(self.folder, name)
             try:
                 if name.endswith(NEW):
-                    os.unlink(path)  # it was being written, and counted nowhere
+                    os.unlink(path)  # its write did not finish
                 elif name.startswith(VERSION):
-                    versions.append(self._version(path))
+                    versions.append(self._read_version(path))
                 elif name.startswith(KEPT):
-                    contents = self._payloads(path, 1)[0]
-                    if name != KEPT + digest_of(contents):
-                        raise DoubtError(f"its digest is {digest_of(contents)}")
-                    kept[digest_of(contents)] = contents
-            except (OSError, DoubtError) as error:
+                    digest, contents = self._read_kept(name)
+                    kept[digest] = contents
+            except (OSError, CorruptFileError) as error:
                 doubts.append(f"{name}: {error}")
                 self._put_aside(name)
-        life = self._life()
+        incarnation = self._next_incarnation()
         self.thread.start()
-        return Held(tuple(versions), kept, tuple(doubts), life)
+        return StoredConfig(tuple(versions), kept, tuple(doubts), incarnation)
 
     def store(
         self,
@@ -94,19 +100,19 @@
         done: Done,
         also: Collection[int] = (),
     ) -> None:
-        """Write a version; of others `beside` and those `also` named are kept. An older one is not taken."""
+        """Write a version; of the others `beside` and `also` are kept. It fails if a newer one is stored."""
         self.queue.put((lambda: self._store(version, contents, {beside, *also}), done))
 
     def keep(self, digest: str, contents: bytes, done: Done) -> None:
-        """Write contents that are not decided yet."""
+        """Write undecided contents."""
         self.queue.put((lambda: self._write(KEPT + digest, [contents]), done))
 
     def discard(self, digest: str) -> None:
-        """Contents that were kept are not needed any more."""
+        """Remove undecided contents."""
         self.queue.put((lambda: self._remove(KEPT + digest), lambda why: None))
 
     def close(self) -> None:
-        """Write what is queued, then let go of the folder."""
+        """Finish what is queued, then unlock the folder."""
         self.queue.put(None)
         if self.thread.is_alive():
             self.thread.join(CLOSE_TIMEOUT_S)
@@ -119,38 +125,45 @@
     def _payloads(self, path: str, count: int) -> tuple[bytes, ...]:
         got = read_log(self.files.read(path), magic=MAGIC)
         if got.corruption or got.has_torn_end or len(got.payloads) != count:
-            raise DoubtError(got.corruption or f"it has {len(got.payloads)} whole records, not {count}")
+            raise CorruptFileError(got.corruption or f"it has {len(got.payloads)} whole records, not {count}")
         return got.payloads
 
-    def _version(self, path: str) -> tuple[Version, bytes]:
+    def _read_kept(self, name: str) -> tuple[str, bytes]:
+        contents = self._payloads(self._path(name), 1)[0]
+        digest = digest_of(contents)
+        if name != KEPT + digest:
+            raise CorruptFileError(f"its digest is {digest}")
+        return digest, contents
+
+    def _read_version(self, path: str) -> tuple[Version, bytes]:
         head, contents = self._payloads(path, 2)
         try:
-            fleet, version = _head.decode(head)
+            cluster, version = _head.decode(head)
         except msgspec.DecodeError as error:
-            raise DoubtError(f"it begins with no version: {error}") from error
-        if fleet != self.fleet:
-            raise DoubtError(f"it is of the fleet {fleet!r}, not {self.fleet!r}")
-        if why := check(version, contents):
-            raise DoubtError(why)
+            raise CorruptFileError(f"it begins with no version: {error}") from error
+        if cluster != self.cluster:
+            raise CorruptFileError(f"it is of the fleet {cluster!r}, not {self.cluster!r}")
+        if why := contents_problem(version, contents):
+            raise CorruptFileError(why)
         return version, contents
 
-    def _life(self) -> int:
-        """Which start this is. It grows though the folder be an old one, as long as the clock does."""
-        path = os.path.join(self.folder, LIFE)
+    def _next_incarnation(self) -> int:
+        """Return this start's number; the clock makes it grow even if an old folder was restored."""
+        path = os.path.join(self.folder, INCARNATION)
         try:
             former = int(self.files.read(path))
         except (OSError, ValueError):
             former = 0
-        life = max(former + 1, time.time_ns() // 1_000_000)
+        incarnation = max(former + 1, time.time_ns() // 1_000_000)
         try:
             with open(path + NEW, "w", encoding="ascii") as file:
-                file.write(str(life))
+                file.write(str(incarnation))
             os.replace(path + NEW, path)
         except OSError:
-            pass  # what can't be written here is told of when a version can't be
-        return life
+            pass  # the same failure is reported when a version is written
+        return incarnation
 
-    # On the thread.
+    # The worker thread.
 
     def _work(self) -> None:
         while (job := self.queue.get()) is not None:
@@ -185,7 +198,7 @@
         if newer := [number for number in numbers.values() if number > version.number]:
             raise ValueError(f"number is {version.number}; allowed: {max(newer)}, on the disk, and more")
         mine = f"{VERSION}{version.number:016x}"
-        self._write(mine, [msgspec.msgpack.encode((self.fleet, version)), contents])
+        self._write(mine, [msgspec.msgpack.encode((self.cluster, version)), contents])
         for name, number in numbers.items():
             if name != mine and number not in others:
                 self._remove(name)
@@ -202,4 +215,4 @@
             for old in aside[: max(0, len(aside) + 1 - MAX_QUARANTINED_FILES)]:
                 self._remove(old)
         except OSError:
-            pass  # it is looked at again at the next start
+            pass  # tried again at the next start
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -1,4 +1,4 @@
-"""A follower as it runs: the pure follower, its one connection, its disk and the loop's time."""
+"""Runs a follower on an event loop: its connection to a relay and its disk."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 from dataclasses import dataclass
 from functools import partial
 from random import Random
-from typing import Protocol
+from typing import Any, Protocol
 
 from grebestack.cluster_io.action_runner import ActionRunner
-from grebestack.cluster_io.config_store import Contents, Held
+from grebestack.cluster_io.config_store import ConfigStore, StoredConfig
 from grebestack.cluster_io.framing import ConnectionAttempt, Traffic
 from grebestack.cluster_io.log_store import Files
-from grebestack.cluster_io.relay_connection import FeedLink
+from grebestack.cluster_io.relay_connection import RelayConnection
 from grebestack.cluster_io.runtime import monotonic_ms, write_log
 from grebestack.config_distribution.actions import (
     Apply,
     Close,
-    Confirmed,
-    Dial,
+    Connect,
     FollowerAction,
-    Gathered,
-    Offer,
-    Say,
+    MajorityConfirmed,
+    PublishVersion,
+    Send,
     Store,
 )
 from grebestack.config_distribution.follower import Follower
-from grebestack.config_distribution.messages import Said, Tally, encode
+from grebestack.config_distribution.messages import Message, StatusReport, encode
 from grebestack.config_distribution.versions import Version
+from grebestack.consensus.actions import LogMessage
 
 log = logging.getLogger(__name__)
-Take = Callable[[Version, bytes], str]  # puts a version in force; why it is refused, or nothing
+ApplyVersion = Callable[[Version, bytes], str]  # puts a version in force; returns why it is refused, or empty
 
 
 @dataclass(frozen=True, slots=True)
 class RelayAddress:
-    """Where a relay is called, and where it stands."""
+    """A relay's address and location."""
 
     address: tuple[str, int]
     place: str  # region/zone
@@ -47,67 +47,89 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerSettings:
-    """What a follower is told by the operators' file."""
+    """A follower's settings, from the operators' file."""
 
     name: str
-    fleet: str
+    cluster: str
     place: str  # region/zone
-    relays: Mapping[str, RelayAddress]  # that it may follow
-    folder: str  # empty: it keeps nothing on a disk
+    relays: Mapping[str, RelayAddress]  # those it may follow
+    folder: str  # empty: no disk
 
 
-class OwnRelay(Protocol):
-    """The relay of a process that follows and is followed."""
+class LocalRelay(Protocol):
+    """The relay that runs in the same process."""
 
-    def offer(self, version: Version, contents: bytes) -> None:
+    def publish(self, version: Version, contents: bytes) -> None:
         """A decided version, checked."""
 
-    def confirmed(self, at_ms: float) -> None:
+    def on_majority_confirmed(self, at_ms: float) -> None:
         """At that instant a majority knew nothing newer."""
 
 
-class FollowerNode:
-    """One follower. `take` is called on the loop for each version that is to be in force.
+class FollowerClient:
+    """One follower; `take` is called on the loop for each version that is to be in force.
 
-    OSError and FolderTakenError: its folder can't be used.
+    Raises
+    ------
+    OSError, FolderTakenError
+        The folder can't be used.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         settings: FollowerSettings,
-        take: Take,
+        take: ApplyVersion,
         clock: Callable[[], float] = monotonic_ms,
         random: Random | None = None,
         files: Files | None = None,
         relays: bool = False,
     ) -> None:
         self.loop, self.settings, self.take, self.clock = loop, settings, take, clock
-        self.contents = Contents(loop, settings.folder, settings.fleet, files) if settings.folder else None
-        held = self.contents.open() if self.contents is not None else Held(life=time.time_ns() // 1_000_000)
+        self.contents = (
+            ConfigStore(loop, settings.folder, settings.cluster, files) if settings.folder else None
+        )
+        held = (
+            self.contents.open()
+            if self.contents is not None
+            else StoredConfig(incarnation=time.time_ns() // 1_000_000)
+        )
         for doubt in held.doubts:
             log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
         self.held = held.versions
         places = {name: relay.place for name, relay in settings.relays.items()}
         self.follower = Follower(
             settings.name,
-            settings.fleet,
+            settings.cluster,
             settings.place,
-            held.life,
+            held.incarnation,
             places,
             random or Random(int.from_bytes(os.urandom(8), "big")),
             relays,
         )
-        self.relay: OwnRelay | None = None
-        self.settled: Callable[[], None] = lambda: None  # called once a version or a relay's word has come
+        self.relay: LocalRelay | None = None
+        self.settled: Callable[[], None] = lambda: None  # called when a version or a confirmation has come
         self.traffic = Traffic()
         self.dials = 0
-        self.link: FeedLink | None = None
+        self.link: RelayConnection | None = None
         self.opening: ConnectionAttempt | None = None
+        self.performers = self._performers()
         self.turns: ActionRunner[FollowerAction] = ActionRunner(
-            self.loop, self.clock, self.follower, self._do, lambda: self.follower.tick(self.clock())
+            self.loop, self.clock, self.follower, self._perform, lambda: self.follower.tick(self.clock())
         )
 
+    def _performers(self) -> dict[type[FollowerAction], Callable[[Any], None]]:
+        return {
+            Send: self._send,
+            Connect: self._connect,
+            Close: self._close,
+            Store: self._store,
+            Apply: self._apply,
+            PublishVersion: self._publish,
+            MajorityConfirmed: self._confirm,
+            LogMessage: write_log,
+        }
+
     @property
     def version(self) -> Version:
         """The version in force."""
@@ -135,74 +157,72 @@
         if self.contents is not None:
             self.contents.close()
 
-    def tallied(self, tally: Tally) -> None:
-        """The word of this process's own relay, or of one below it, goes upstream."""
-        self.turns.run(self.follower.tallied(self.clock(), tally))
+    def on_status_report(self, report: StatusReport) -> None:
+        """Send a status report of this process's own relay, or of one below it, upstream."""
+        self.turns.run(self.follower.on_status_report(self.clock(), report))
 
-    # The link's owner.
+    # Events of the connection.
 
-    def connected(self, link: FeedLink) -> None:
+    def on_connected(self, link: RelayConnection) -> None:
         """The connection that was dialled is up."""
         if self.link is link:
-            self.turns.run(self.follower.connected(self.clock(), link.number))
+            self.turns.run(self.follower.on_connected(self.clock(), link.number))
 
-    def heard(self, link: FeedLink, message: Said) -> None:
+    def on_message(self, link: RelayConnection, message: Message) -> None:
         """A message has come."""
         if self.link is link:
-            self.turns.run(self.follower.heard(self.clock(), link.number, message))
+            self.turns.run(self.follower.on_message(self.clock(), link.number, message))
 
-    def ended(self, link: FeedLink, why: str) -> None:
+    def on_closed(self, link: RelayConnection, why: str) -> None:
         """The connection has ended, or could not be made."""
         if self.link is link:
             self.link = None
-            self.turns.run(self.follower.lost(self.clock(), link.number, why))
-
-    # What the pure part asks for.
-
-    def _do(self, action: FollowerAction) -> None:
-        if isinstance(action, Say):
-            if self.link is not None and self.link.number == action.link:
-                self.link.write(encode(action.message))
-        elif isinstance(action, Dial):
-            self._dial(action)
-        elif isinstance(action, Close):
-            if self.link is not None and self.link.number == action.link:
-                link, self.link = self.link, None
-                link.close(action.why)
-        elif isinstance(action, Store):
-            self._store(action)
-        elif isinstance(action, Apply):
-            why = self.take(action.version, action.contents)
-            self.turns.run(self.follower.taken(self.clock(), action.version.number, why))
-            self.settled()
-        elif isinstance(action, Offer):
-            if self.relay is not None:
-                self.relay.offer(action.version, action.contents)
-        elif isinstance(action, Confirmed):
-            if self.relay is not None:
-                self.relay.confirmed(action.at_ms)
-            self.settled()
-        elif isinstance(action, Gathered):
-            self.turns.run(self.follower.tallied(self.clock(), action.tally))
-        else:
-            write_log(action)
+            self.turns.run(self.follower.on_disconnected(self.clock(), link.number, why))
+
+    # Actions of the pure part.
+
+    def _perform(self, action: FollowerAction) -> None:
+        self.performers[type(action)](action)
+
+    def _send(self, action: Send) -> None:
+        if self.link is not None and self.link.number == action.link:
+            self.link.write(encode(action.message))
+
+    def _close(self, action: Close) -> None:
+        if self.link is not None and self.link.number == action.link:
+            link, self.link = self.link, None
+            link.close(action.why)
+
+    def _apply(self, action: Apply) -> None:
+        why = self.take(action.version, action.contents)
+        self.turns.run(self.follower.on_applied(self.clock(), action.version.number, why))
+        self.settled()
+
+    def _publish(self, action: PublishVersion) -> None:
+        if self.relay is not None:
+            self.relay.publish(action.version, action.contents)
+
+    def _confirm(self, action: MajorityConfirmed) -> None:
+        if self.relay is not None:
+            self.relay.on_majority_confirmed(action.at_ms)
+        self.settled()
 
-    def _dial(self, dial: Dial) -> None:
+    def _connect(self, action: Connect) -> None:
         if self.link is not None:
             self.link.close("another is dialled")
         self.dials += 1
-        self.link = link = FeedLink(self.loop, self, dial.link, self.traffic)
-        address = self.settings.relays[dial.relay].address
-        self.opening = ConnectionAttempt(self.loop, link, address, partial(self.ended, link))
+        self.link = link = RelayConnection(self.loop, self, action.link, self.traffic)
+        address = self.settings.relays[action.relay].address
+        self.opening = ConnectionAttempt(self.loop, link, address, partial(self.on_closed, link))
 
-    def _store(self, store: Store) -> None:
-        number = store.version.number
+    def _store(self, action: Store) -> None:
+        number = action.version.number
 
         def done(why: str) -> None:
             if not self.turns.stopped:
-                self.turns.run(self.follower.stored(self.clock(), number, why))
+                self.turns.run(self.follower.on_stored(self.clock(), number, why))
 
         if self.contents is None:
             done("")
         else:
-            self.contents.store(store.version, store.contents, store.beside, done, store.also)
+            self.contents.store(action.version, action.contents, action.beside, done, action.also)
--- a/grebestack/cluster_io/relay_connection.py
+++ b/grebestack/cluster_io/relay_connection.py
@@ -8,48 +8,48 @@
 import msgspec
 
 from grebestack.cluster_io.framing import FramedConnection, Traffic
-from grebestack.config_distribution.messages import FORM, MOST, Said, decode
-from grebestack.config_distribution.timeouts import GREET_MS
+from grebestack.config_distribution.messages import MAX_MESSAGE_BYTES, PROTOCOL_VERSION, Message, decode
+from grebestack.config_distribution.timeouts import SUBSCRIBE_TIMEOUT_MS
 
 
-class FeedOwner(Protocol):
-    """Who the connections belong to."""
+class RelayConnectionOwner(Protocol):
+    """Handles the events of connections."""
 
-    def connected(self, link: FeedLink) -> None:
+    def on_connected(self, link: RelayConnection) -> None:
         """The connection is up."""
 
-    def heard(self, link: FeedLink, message: Said) -> None:
+    def on_message(self, link: RelayConnection, message: Message) -> None:
         """A message has come."""
 
-    def ended(self, link: FeedLink, why: str) -> None:
+    def on_closed(self, link: RelayConnection, why: str) -> None:
         """The connection has ended; called once for each that was up."""
 
 
-class FeedLink(FramedConnection):
-    """Whole messages each way; `number` is what the pure part knows it by."""
+class RelayConnection(FramedConnection):
+    """Frames and decodes messages; `number` is the link number of the pure part."""
 
-    max_message_bytes, max_queued_bytes, handshake_timeout_s = MOST, 2 * MOST, GREET_MS / 1000.0
+    most, most_queued, greet_s = MAX_MESSAGE_BYTES, 2 * MAX_MESSAGE_BYTES, SUBSCRIBE_TIMEOUT_MS / 1000.0
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, owner: FeedOwner, number: int, traffic: Traffic
+        self, loop: asyncio.AbstractEventLoop, owner: RelayConnectionOwner, number: int, traffic: Traffic
     ) -> None:
         super().__init__(loop, traffic)
         self.owner, self.number = owner, number
 
     def on_connected(self) -> None:
         """The connection is up."""
-        self.owner.connected(self)
+        self.owner.on_connected(self)
 
     def on_frame(self, data: bytes, *fields: int) -> None:
         """A message has come."""
         try:
-            item = decode(data)
+            message = decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.close(f"no message of form {FORM}: {error}")
+            self.close(f"no message of form {PROTOCOL_VERSION}: {error}")
             return
         self.complete_handshake()
-        self.owner.heard(self, item)
+        self.owner.on_message(self, message)
 
     def on_closed(self, why: str) -> None:
         """The connection has ended."""
-        self.owner.ended(self, why)
+        self.owner.on_closed(self, why)
--- a/grebestack/cluster_io/relay_server.py
+++ b/grebestack/cluster_io/relay_server.py
@@ -1,45 +1,59 @@
-"""A relay as it runs: the pure relay, its listener, its followers' connections and the loop's time."""
+"""Runs a relay on an event loop: its listener and its followers' connections."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 from collections.abc import Callable
+from typing import Any
 
 from grebestack.cluster_io.action_runner import ActionRunner
 from grebestack.cluster_io.framing import Traffic
-from grebestack.cluster_io.relay_connection import FeedLink
+from grebestack.cluster_io.relay_connection import RelayConnection
 from grebestack.cluster_io.runtime import monotonic_ms, write_log
-from grebestack.config_distribution.actions import Close, Gathered, RelayAction, Say
-from grebestack.config_distribution.messages import Said, Tally, encode
+from grebestack.config_distribution.actions import Close, RelayAction, Send, StatusReceived
+from grebestack.config_distribution.messages import Message, StatusReport, encode
 from grebestack.config_distribution.relay import Relay
 from grebestack.config_distribution.versions import Version
+from grebestack.consensus.actions import LogMessage
 
 log = logging.getLogger(__name__)
-BACKLOG = 1024  # a zone's followers that come back at the same moment
-GREETING = 256  # connections beyond those served, which have not said yet who they are or go again
+BACKLOG = 1024  # all followers of a zone may reconnect at once
+SPARE_CONNECTIONS = 256  # beyond the followers served: not subscribed yet, or being closed
 
 
 class RelayServer:
-    """Serves followers. `gathered` is told the relay's word on them."""
+    """Serves followers; `on_report` is called with each status report."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         relay: Relay,
         address: tuple[str, int],
-        gathered: Callable[[Tally], None],
+        on_report: Callable[[StatusReport], None],
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
-        self.loop, self.relay, self.address, self.gathered, self.clock = loop, relay, address, gathered, clock
-        self.links: dict[int, FeedLink] = {}
+        self.loop, self.relay, self.address, self.on_report, self.clock = (
+            loop,
+            relay,
+            address,
+            on_report,
+            clock,
+        )
+        self.links: dict[int, RelayConnection] = {}
         self.numbers = 0
         self.traffic = Traffic()
         self.server: asyncio.Server | None = None
         self.turns: ActionRunner[RelayAction] = ActionRunner(
-            loop, clock, relay, self._do, lambda: self.relay.tick(self.clock())
+            loop, clock, relay, self._perform, lambda: self.relay.tick(self.clock())
         )
-        self.last: tuple[Said | None, bytes] = None, b""  # a push to all is encoded once
+        self.last: tuple[Message | None, bytes] = None, b""  # a push to all is encoded once
+        self.performers: dict[type[RelayAction], Callable[[Any], None]] = {
+            Send: self._send,
+            Close: self._close,
+            StatusReceived: self._forward_report,
+            LogMessage: write_log,
+        }
 
     @property
     def counts(self) -> dict[str, int]:
@@ -60,48 +74,55 @@
         for link in list(self.links.values()):
             link.close("stopping")
 
-    def accept(self) -> FeedLink:
+    def accept(self) -> RelayConnection:
         """A connection that a follower has made."""
         self.numbers += 1
-        return FeedLink(self.loop, self, self.numbers, self.traffic)
+        return RelayConnection(self.loop, self, self.numbers, self.traffic)
 
-    def offer(self, version: Version, contents: bytes) -> None:
+    def publish(self, version: Version, contents: bytes) -> None:
         """A decided version, checked: pushed at once if it is newer."""
-        self.turns.run(self.relay.offer(self.clock(), version, contents))
+        self.turns.run(self.relay.publish(self.clock(), version, contents))
 
-    def confirmed(self, at_ms: float) -> None:
+    def on_majority_confirmed(self, at_ms: float) -> None:
         """At that instant a majority knew nothing newer than what is offered."""
-        self.turns.run(self.relay.confirmed(self.clock(), at_ms))
+        self.turns.run(self.relay.on_majority_confirmed(self.clock(), at_ms))
 
-    # The links' owner.
+    # Events of the connections.
 
-    def connected(self, link: FeedLink) -> None:
-        """A follower's connection is up; it speaks first."""
-        if self.turns.stopped or len(self.links) >= self.relay.most + GREETING:
+    def on_connected(self, link: RelayConnection) -> None:
+        """A follower's connection is up; the follower sends the first message."""
+        if self.turns.stopped or len(self.links) >= self.relay.most + SPARE_CONNECTIONS:
             link.close("too many connections")
         else:
             self.links[link.number] = link
 
-    def heard(self, link: FeedLink, message: Said) -> None:
+    def on_message(self, link: RelayConnection, message: Message) -> None:
         """A message has come."""
         if not self.turns.stopped and self.links.get(link.number) is link:
-            self.turns.run(self.relay.heard(self.clock(), link.number, message))
+            self.turns.run(self.relay.on_message(self.clock(), link.number, message))
 
-    def ended(self, link: FeedLink, why: str) -> None:
+    def on_closed(self, link: RelayConnection, why: str) -> None:
         """A connection has ended."""
         if self.links.pop(link.number, None) is not None and not self.turns.stopped:
-            self.turns.run(self.relay.lost(self.clock(), link.number, why))
-
-    def _do(self, action: RelayAction) -> None:
-        if isinstance(action, Say):
-            if (link := self.links.get(action.link)) is not None:
-                if self.last[0] is not action.message:
-                    self.last = action.message, encode(action.message)
-                link.write(self.last[1])
-        elif isinstance(action, Close):
-            if (link := self.links.pop(action.link, None)) is not None:
-                link.close_after_writing(action.why)  # it may have just been told why
-        elif isinstance(action, Gathered):
-            self.gathered(action.tally)
-        else:
-            write_log(action)
+            self.turns.run(self.relay.on_disconnected(self.clock(), link.number, why))
+
+    # Actions of the pure part.
+
+    def _perform(self, action: RelayAction) -> None:
+        self.performers[type(action)](action)
+
+    def _send(self, action: Send) -> None:
+        connection = self.links.get(action.link)
+        if connection is None:
+            return
+        if self.last[0] is not action.message:
+            self.last = action.message, encode(action.message)
+        connection.write(self.last[1])
+
+    def _close(self, action: Close) -> None:
+        connection = self.links.pop(action.link, None)
+        if connection is not None:
+            connection.close_after_writing(action.why)  # a rejection may still be on its way out
+
+    def _forward_report(self, action: StatusReceived) -> None:
+        self.on_report(action.report)
--- a/grebestack/config_distribution/actions.py
+++ b/grebestack/config_distribution/actions.py
@@ -1,35 +1,35 @@
-"""What a follower, a relay or a configuration voter asks of whoever runs it."""
+"""Actions that a follower, a relay or a configuration voter returns to whoever runs it. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from grebestack.config_distribution.messages import Said, Tally
+from grebestack.config_distribution.messages import Message, StatusReport
 from grebestack.config_distribution.versions import Version
 from grebestack.consensus.actions import LogMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Dial:
-    """Connect to a relay under this link number; then `connected`, or `lost`. One link at a time."""
+class Connect:
+    """Connect to a relay under this link number, then call `on_connected` or `on_disconnected`."""
 
     link: int
     relay: str
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """Say something over a link. One push is one object to all, so that it can be encoded once."""
+class Send:
+    """Send a message over a link. A push has one message object for all links: encode it once."""
 
     link: int
-    message: Said
+    message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Close a link, or give up its dialling; what was said before it still goes out.
+    """Close a link or give up connecting, after what was sent before.
 
-    `lost` need not be told of it, and is passed over.
+    `on_disconnected` need not be called for it.
     """
 
     link: int
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """Write a version and its contents, whole and synced, then call `stored`.
+    """Write and sync a version with its contents, then call `on_stored`.
 
-    The disk keeps this one, the one with number `beside` (in force until this one is) and those `also` named
-    (at a start, what it held before anything was in force), no others.
+    The disk keeps this one, the one with number `beside` (in force until this one is) and the numbers `also`
+    (what it held at a start, until something is in force), no others.
     """
 
     version: Version
@@ -52,9 +52,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Put a version in force and call `taken` with why it was refused, or nothing.
+    """Put a version in force and call `on_applied` with why it was refused, or empty.
 
-    On a voter or relay its own Relay is told by `Offer`, not by this.
+    The process's own relay gets a version by `PublishVersion`, not by this.
     """
 
     version: Version
@@ -62,76 +62,85 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
-    """Checked and decided: for this process's own relay, `Relay.offer`, if it has one."""
+class PublishVersion:
+    """A decided version, validated: call `Relay.publish` of this process's own relay, if it has one."""
 
     version: Version
     contents: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
-    """At this instant of the own clock a majority knew nothing newer: for `Relay.confirmed`."""
+class MajorityConfirmed:
+    """At this time of the own clock a majority knew of nothing newer: call `Relay.on_majority_confirmed`."""
 
     at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Gathered:
-    """A relay's word on its followers, its own or one that came over a link.
+class StatusReceived:
+    """A relay's status report, its own or one that came over a link.
 
-    On a voter for `ConfigurationVoter.tallied`, on any other relay for `Follower.tallied`.
+    On a voter call `ConfigurationVoter.on_status_report`, on any other relay `Follower.on_status_report`.
     """
 
-    tally: Tally
+    report: StatusReport
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Say this to another voter: Word("configuration", body)."""
+class SendToVoter:
+    """Send a message to another voter, under the task "configuration"."""
 
     to: str
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """Write contents by their digest, synced, then call `ConfigurationVoter.kept`. Not decided yet."""
+class StoreContents:
+    """Write and sync undecided contents by their digest, then call `on_contents_stored`."""
 
     digest: str
     contents: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Discard:
-    """Contents that were kept and are not needed any more."""
+class DiscardContents:
+    """Remove undecided contents from the disk."""
 
     digest: str
 
 
 @dataclass(frozen=True, slots=True)
-class Decide:
-    """Change register "configuration" from number `former` to this version, then call `registered`.
+class ChangeRegister:
+    """Change the register "configuration" by `register_change(version)`, then call `on_register_result`.
 
-    The change is `configuration.change(version)`; with no version it is only read.
+    Without a version the register is only read.
     """
 
     version: Version | None
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """How a proposal ended, for whoever asked under this ticket."""
+class ProposalResult:
+    """How the proposal with this ticket ended."""
 
     ticket: int
     won: bool
-    version: Version  # in force now, as far as known: the proposal, or the one that won
-    why: str  # where it did not win
-    held_by: tuple[str, ...] = ()  # voters that hold the contents
+    version: Version  # in force as far as is known: the proposal, or the one that won
+    why: str  # why it did not win, or empty
+    held_by: tuple[str, ...] = ()  # voters that have the contents
 
 
-FollowerAction = Dial | Say | Close | Store | Apply | Offer | Confirmed | LogMessage
-RelayAction = Say | Close | Gathered | LogMessage
+FollowerAction = Connect | Send | Close | Store | Apply | PublishVersion | MajorityConfirmed | LogMessage
+RelayAction = Send | Close | StatusReceived | LogMessage
 ConfigurationAction = (
-    Tell | Keep | Discard | Store | Apply | Offer | Confirmed | Decide | Outcome | LogMessage
+    SendToVoter
+    | StoreContents
+    | DiscardContents
+    | Store
+    | Apply
+    | PublishVersion
+    | MajorityConfirmed
+    | ChangeRegister
+    | ProposalResult
+    | LogMessage
 )
--- a/grebestack/program/cluster_member.py
+++ b/grebestack/program/cluster_member.py
@@ -29,7 +29,7 @@
 from grebestack.transport.client import Pools
 
 if TYPE_CHECKING:
-    from grebestack.program.config_updates import Configuring
+    from grebestack.program.config_updates import ConfigUpdates
     from grebestack.routing.engine import Engine
 
 log = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
     config: Config
     loop: asyncio.AbstractEventLoop
     engine: Engine
-    configuring: Configuring | None
+    configuring: ConfigUpdates | None
 
 
 class ClusterMember:
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -46,7 +46,7 @@
     from grebestack.jobs.service import JobService
     from grebestack.program.audit_recording import Auditor
     from grebestack.program.cluster_member import ClusterMember
-    from grebestack.program.config_updates import Configuring
+    from grebestack.program.config_updates import ConfigUpdates
     from grebestack.program.hot_restart import HotRestartRunner
     from grebestack.program.shared_discovery import Source
     from grebestack.protocol.membership_adapter import Roster
@@ -107,13 +107,13 @@
 
         return cluster_member.ClusterMember(self, self.config.cluster)
 
-    def _build_config_updates(self) -> Configuring | None:
+    def _build_config_updates(self) -> ConfigUpdates | None:
         if self.config.distribution is None:
             return None
         from grebestack.program import config_updates
 
         node = self.fleet.node if self.fleet is not None else None
-        configuring = config_updates.Configuring(
+        configuring = config_updates.ConfigUpdates(
             self.loop, self, self.config.distribution, self.config.name, node
         )
         self.read_config = configuring.reread
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -19,11 +19,14 @@
 
 from grebestack.config_distribution import actions as act
 from grebestack.config_distribution import timeouts
-from grebestack.config_distribution.configuration import ConfigurationVoter, View, change
-from grebestack.config_distribution.follower import Follower, region
-from grebestack.config_distribution.messages import News, decode, encode
+from grebestack.config_distribution.follower import Follower
+from grebestack.config_distribution.messages import ConfigUpdate, decode, encode
+from grebestack.config_distribution.register_access import register_change
 from grebestack.config_distribution.relay import Relay
+from grebestack.config_distribution.relay_selection import region_of
 from grebestack.config_distribution.versions import Version, digest_of
+from grebestack.config_distribution.voter import ConfigurationVoter
+from grebestack.config_distribution.voter_state import VoterView
 from grebestack.consensus.actions import LogMessage
 from grebestack.consensus.register import AcceptGranted, AcceptorState, Ballot, Phase, Round, accept, prepare
 
@@ -67,7 +70,7 @@
     acts: Iterable[InForce],
     owed: Iterable[Owed],
     until_ms: float,
-    bound_ms: float = timeouts.BOUND_MS,
+    bound_ms: float = timeouts.PROPAGATION_BOUND_MS,
 ) -> list[str]:
     """What in a history is not as it should be."""
     found: list[str] = []
@@ -167,7 +170,7 @@
         self.mesh_at: dict[tuple[str, str], float] = {}  # when the last message of a way arrives
         self.chosen: list[Chosen] = []
         self.acts: list[InForce] = []
-        self.outcomes: dict[int, act.Outcome] = {}
+        self.outcomes: dict[int, act.ProposalResult] = {}
         self.told: list[tuple[float, str, LogMessage]] = []
         self.lose_news: dict[str, int] = {}  # so many pushes to a follower are lost
         self.dials: list[tuple[float, str, str]] = []
@@ -187,7 +190,7 @@
         self.now = until_ms
 
     def way_ms(self, a: str, b: str) -> float:
-        far = region(PLACES[a]) != region(PLACES[b])
+        far = region_of(PLACES[a]) != region_of(PLACES[b])
         return self.random.uniform(20.0, 60.0) if far else self.random.uniform(0.2, 3.0)
 
     # Processes.
@@ -285,9 +288,9 @@
         if self.trace is not None:
             self.trace.append(f"{self.now:.0f} {p.name}: {str(action)[:160]}")
         links: dict[int, Any]
-        if isinstance(action, act.Dial):
+        if isinstance(action, act.Connect):
             self.dial(p, action)
-        elif isinstance(action, act.Say):
+        elif isinstance(action, act.Send):
             links = p.links if action.link > LINKS else p.dialled
             connection = links.get(action.link)
             if connection is not None and connection.open:
@@ -303,26 +306,26 @@
             self.write(p, partial(self._stored, p, action, kept))
         elif isinstance(action, act.Apply):
             self.apply(p, action)
-        elif isinstance(action, act.Offer):
+        elif isinstance(action, act.PublishVersion):
             if p.relay is not None:
-                self.do(p, p.relay.offer(self.now, action.version, action.contents))
-        elif isinstance(action, act.Confirmed):
+                self.do(p, p.relay.publish(self.now, action.version, action.contents))
+        elif isinstance(action, act.MajorityConfirmed):
             if p.relay is not None:
-                self.do(p, p.relay.confirmed(self.now, action.at_ms))
-        elif isinstance(action, act.Gathered):
+                self.do(p, p.relay.on_majority_confirmed(self.now, action.at_ms))
+        elif isinstance(action, act.StatusReceived):
             if p.voter is not None:
-                self.do(p, p.voter.tallied(self.now, action.tally, self.view(p)))
+                self.do(p, p.voter.on_status_report(self.now, action.report, self.view(p)))
             elif p.follower is not None:
-                self.do(p, p.follower.tallied(self.now, action.tally))
-        elif isinstance(action, act.Tell):
+                self.do(p, p.follower.on_status_report(self.now, action.report))
+        elif isinstance(action, act.SendToVoter):
             self.word(p.name, action.to, action.body)
-        elif isinstance(action, act.Keep):
+        elif isinstance(action, act.StoreContents):
             self.write(p, partial(self._kept, p, action))
-        elif isinstance(action, act.Discard):
+        elif isinstance(action, act.DiscardContents):
             p.kept.pop(action.digest, None)
-        elif isinstance(action, act.Decide):
+        elif isinstance(action, act.ChangeRegister):
             self.ask(p, action.version)
-        elif isinstance(action, act.Outcome):
+        elif isinstance(action, act.ProposalResult):
             self.outcomes[action.ticket] = action
         elif isinstance(action, LogMessage):
             self.told.append((self.now, p.name, action))
@@ -337,12 +340,12 @@
         p.disk[action.version.number] = action.version, action.contents
         part = p.voter or p.follower
         assert part is not None
-        self.do(p, part.stored(self.now, action.version.number))
+        self.do(p, part.on_stored(self.now, action.version.number))
 
-    def _kept(self, p: Process, action: act.Keep) -> None:
+    def _kept(self, p: Process, action: act.StoreContents) -> None:
         p.kept[action.digest] = action.contents
         assert p.voter is not None
-        self.do(p, p.voter.kept(self.now, action.digest))
+        self.do(p, p.voter.on_contents_stored(self.now, action.digest))
 
     def apply(self, p: Process, action: act.Apply) -> None:
         version, contents = action.version, action.contents
@@ -354,13 +357,13 @@
         self.at(
             0.0,
             partial(
-                self.alive, p.name, p.life, lambda: self.do(p, part.taken(self.now, version.number, why))
+                self.alive, p.name, p.life, lambda: self.do(p, part.on_applied(self.now, version.number, why))
             ),
         )
 
     # Connections of followers.
 
-    def dial(self, p: Process, action: act.Dial) -> None:
+    def dial(self, p: Process, action: act.Connect) -> None:
         self.dials.append((self.now, p.name, action.relay))
         p.dialled[action.link] = None
         server = self.processes[action.relay]
@@ -374,12 +377,12 @@
             p.dialled[action.link] = connection
             server.links[connection.number + LINKS] = connection
             assert p.follower is not None
-            self.do(p, p.follower.connected(self.now, action.link))
+            self.do(p, p.follower.on_connected(self.now, action.link))
 
         def refused() -> None:
             p.dialled.pop(action.link, None)
             assert p.follower is not None
-            self.do(p, p.follower.lost(self.now, action.link, "refused"))
+            self.do(p, p.follower.on_disconnected(self.now, action.link, "refused"))
 
         if both or (not server.up and server.name in self.quiet):
             return
@@ -390,7 +393,7 @@
 
     def say(self, sender: str, connection: Connection, data: bytes) -> None:
         to = connection.client if connection.server == sender else connection.server
-        if isinstance(decode(data), News) and self.lose_news.get(to, 0) > 0:
+        if isinstance(decode(data), ConfigUpdate) and self.lose_news.get(to, 0) > 0:
             self.lose_news[to] -= 1
             return
         self.after(sender, connection, partial(self.arrive, connection, to, data))
@@ -431,9 +434,9 @@
         def heard() -> None:
             if to == connection.client and p.follower is not None:
                 if p.dialled.get(connection.link) is connection:
-                    self.do(p, p.follower.heard(self.now, connection.link, decode(data)))
+                    self.do(p, p.follower.on_message(self.now, connection.link, decode(data)))
             elif p.relay is not None and connection.number + LINKS in p.links:
-                self.do(p, p.relay.heard(self.now, connection.number + LINKS, decode(data)))
+                self.do(p, p.relay.on_message(self.now, connection.number + LINKS, decode(data)))
 
         self.alive(to, life, heard)
 
@@ -444,18 +447,18 @@
         def lost() -> None:
             if to == connection.client and p.follower is not None:
                 if p.dialled.pop(connection.link, None) is not None:
-                    self.do(p, p.follower.lost(self.now, connection.link, "it has ended"))
+                    self.do(p, p.follower.on_disconnected(self.now, connection.link, "it has ended"))
             elif p.relay is not None and p.links.pop(connection.number + LINKS, None) is not None:
-                self.do(p, p.relay.lost(self.now, connection.number + LINKS, "it has ended"))
+                self.do(p, p.relay.on_disconnected(self.now, connection.number + LINKS, "it has ended"))
 
         self.alive(to, connection.lives[0 if to == connection.client else 1], lost)
 
     # The voters' mesh.
 
-    def view(self, p: Process) -> View:
+    def view(self, p: Process) -> VoterView:
         linked = frozenset(o for o in VOTERS if o != p.name and frozenset((o, p.name)) not in self.mesh_down)
         number = p.slot.value.number if isinstance(p.slot.value, Version) else 0
-        return View(number, 1, frozenset(VOTERS), len(VOTERS) // 2 + 1, linked)
+        return VoterView(number, 1, frozenset(VOTERS), len(VOTERS) // 2 + 1, linked)
 
     def mesh_lost(self, a: str, b: str) -> None:
         if (
@@ -485,7 +488,7 @@
         def heard() -> None:
             p = self.processes[to]
             assert p.voter is not None
-            self.do(p, p.voter.heard(self.now, sender, body, self.view(p)))
+            self.do(p, p.voter.on_message(self.now, sender, body, self.view(p)))
 
         self._mesh(sender, to, heard)
 
@@ -494,10 +497,13 @@
     def ask(self, p: Process, version: Version | None) -> None:
         p.ballot = max(p.ballot, p.slot.promised.number) + 1
         ballot = Ballot(p.ballot, p.name, p.life)
-        p.asking = Asking(Round(ballot, len(VOTERS) // 2 + 1), change(version), p.life)
+        p.asking = Asking(Round(ballot, len(VOTERS) // 2 + 1), register_change(version), p.life)
         for name in VOTERS:
             self.to_slot(p, name, ballot, None)
-        self.at(timeouts.ASK_MS, partial(self.alive, p.name, p.life, partial(self.given_up, p, ballot)))
+        self.at(
+            timeouts.REGISTER_TIMEOUT_MS,
+            partial(self.alive, p.name, p.life, partial(self.given_up, p, ballot)),
+        )
 
     def to_slot(self, p: Process, name: str, ballot: Ballot, value: Any) -> None:
         def there() -> None:
@@ -547,7 +553,7 @@
     def close_asking(self, p: Process, known: bool, value: Any) -> None:
         p.asking = None
         assert p.voter is not None
-        self.do(p, p.voter.registered(self.now, known, value, self.view(p)))
+        self.do(p, p.voter.on_register_result(self.now, known, value, self.view(p)))
 
     # What a test does.
 
@@ -714,7 +720,7 @@
         sever({way for s in SERVERS for way in ((s, follower), (follower, s))}, True)
         cuts = {follower: ((at, at + long),)}
     elif fault == "regions cut and met again":
-        near = {n for n in world.processes if region(PLACES[n]) == "r1"}
+        near = {n for n in world.processes if region_of(PLACES[n]) == "r1"}
         far = set(world.processes) - near
         sever({way for a in near for b in far for way in ((a, b), (b, a))}, True)
         cuts = {name: ((at, at + long),) for name in far}
@@ -759,7 +765,7 @@
         for one in played.world.chosen:
             owed_ms = one.at_ms
             for since, until in sorted(owes.cut):
-                if since < owed_ms + timeouts.BOUND_MS:
+                if since < owed_ms + timeouts.PROPAGATION_BOUND_MS:
                     owed_ms = max(owed_ms, until)
             came = [a.at_ms for a in acts if a.name == owes.name and a.number >= one.version.number]
             worst = max(worst, min(came, default=0.0) - owed_ms)
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -19,8 +19,8 @@
 from grebestack.config_distribution import actions as act
 from grebestack.config_distribution import timeouts
 from grebestack.config_distribution.follower import Follower
-from grebestack.config_distribution.messages import News, Said, Still
-from grebestack.config_distribution.relay import Relay, Seat
+from grebestack.config_distribution.messages import ConfigUpdate, Message, NotModified
+from grebestack.config_distribution.relay import FollowerState, Relay
 from grebestack.config_distribution.versions import Version, digest_of
 from tests import state_exploration
 from tests.state_exploration import Found, put
@@ -42,14 +42,14 @@
     "noted",
     "began_ms",
     "sequence",
-    "number_told",
-    "changed",
-    "tally_ms",
-    "whole_ms",
-    "scan_ms",
-    "bytes",
-    "bytes_ms",
-    "news",
+    "reported_number",
+    "changed_names",
+    "report_ms",
+    "full_report_ms",
+    "next_scan_ms",
+    "tokens",
+    "tokens_ms",
+    "updates",
     "random",
     "floor_of",
     "seats_told",
@@ -68,36 +68,46 @@
 
     variant = ""
 
-    def _news(self, now_ms: float, news: News) -> list[act.FollowerAction]:
+    def _on_update(self, now_ms: float, news: ConfigUpdate) -> list[act.FollowerAction]:
         if self.variant == "goes back" and news.contents is not None and self.pending is None:
-            self.wanted = news.version, news.contents
-            return [*self._begin(now_ms), *self._word(now_ms, news.version.number, news.confirmed_ms)]
+            self.next_version = news.version, news.contents
+            return [
+                *self._begin_next(now_ms),
+                *self._on_relay_number(now_ms, news.version.number, news.confirmed_ms),
+            ]
         if (
             self.variant == "half in force"
             and news.contents is not None
-            and (news.version.number > self._top() and self.pending is None)
+            and (news.version.number > self._highest_number() and self.pending is None)
         ):
-            self.wanted = news.version, news.contents
-            return [*self._begin(now_ms), *self._word(now_ms, news.version.number, news.confirmed_ms)]
-        return super()._news(now_ms, news)
-
-    def _word(self, now_ms: float, number: int, confirmed_ms: int) -> list[act.FollowerAction]:
-        actions = super()._word(now_ms, number, confirmed_ms)
+            self.next_version = news.version, news.contents
+            return [
+                *self._begin_next(now_ms),
+                *self._on_relay_number(now_ms, news.version.number, news.confirmed_ms),
+            ]
+        return super()._on_update(now_ms, news)
+
+    def _on_relay_number(self, now_ms: float, number: int, confirmed_ms: int) -> list[act.FollowerAction]:
+        actions = super()._on_relay_number(now_ms, number, confirmed_ms)
         if self.variant == "a lost push is never asked for again":
             self.poll_ms = float("inf")
         return actions
 
-    def _judge(self, now_ms: float, confirmed_ms: int, why: str = "") -> list[act.FollowerAction]:
-        return [] if self.variant == "stays with a stale relay" else super()._judge(now_ms, confirmed_ms, why)
+    def _assess_relay(self, now_ms: float, confirmed_ms: int, why: str = "") -> list[act.FollowerAction]:
+        return (
+            []
+            if self.variant == "stays with a stale relay"
+            else super()._assess_relay(now_ms, confirmed_ms, why)
+        )
 
-    def _poll(self, now_ms: float) -> list[act.FollowerAction]:
-        actions = super()._poll(now_ms)
+    def _send_poll(self, now_ms: float) -> list[act.FollowerAction]:
+        actions = super()._send_poll(now_ms)
         if self.variant == "stays with a silent relay":
             self.deadline_ms, self.poll_ms = float("inf"), now_ms + 1000.0
         return actions
 
-    def _begin(self, now_ms: float) -> list[act.FollowerAction]:
-        actions = super()._begin(now_ms)
+    def _begin_next(self, now_ms: float) -> list[act.FollowerAction]:
+        actions = super()._begin_next(now_ms)
         if self.variant == "applies before it stores":
             stores = [a for a in actions if isinstance(a, act.Store)]
             if stores:
@@ -113,7 +123,7 @@
 
     def __init__(self, of: Any) -> None:
         self.of = of
-        self.key = tuple(_frozen(v) for k, v in of.__dict__.items() if k not in UNTOLD)
+        self.key = tuple(frozen(v) for k, v in of.__dict__.items() if k not in UNTOLD)
         self.hash = hash(self.key)
 
     def __hash__(self) -> int:
@@ -130,11 +140,20 @@
         return new
 
 
-def _frozen(value: Any) -> Any:
+def frozen(value: Any) -> Any:
+    """A value in a form that can be hashed."""
     if isinstance(value, dict):
-        return tuple((k, _frozen(v)) for k, v in value.items())
-    if isinstance(value, Seat):  # when it was heard decides nothing here
-        return value.name, value.life, value.number, value.digest, value.refused, value.sent, value.sent_ms
+        return tuple((k, frozen(v)) for k, v in value.items())
+    if isinstance(value, FollowerState):  # when it was heard decides nothing here
+        return (
+            value.name,
+            value.incarnation,
+            value.number,
+            value.digest,
+            value.refused,
+            value.sent,
+            value.sent_ms,
+        )
     return None if callable(value) else value
 
 
@@ -151,15 +170,15 @@
     if new.confirmed_ms is not None:
         new.confirmed_ms = shift(new.confirmed_ms, -10_000.0)
     if isinstance(new, Relay):
-        for link, seat in new.seats.items():
-            new.seats[link] = replace(seat, sent_ms=shift(seat.sent_ms, -timeouts.RESEND_MS))
+        for link, seat in new.followers.items():
+            new.followers[link] = replace(seat, sent_ms=shift(seat.sent_ms, -timeouts.RESEND_INTERVAL_MS))
         return Part(new)
-    for name in ("deadline_ms", "poll_ms", "again_ms", "start_ms", "home_ms"):
+    for name in ("deadline_ms", "poll_ms", "reconnect_ms", "start_ms", "preferred_retry_ms"):
         setattr(new, name, shift(getattr(new, name), -1.0))
-    if new.settled_ms:
-        new.settled_ms = shift(new.settled_ms, -1.0)
+    if new.stay_until_ms:
+        new.stay_until_ms = shift(new.stay_until_ms, -1.0)
     if new.state != "paused":
-        new.again_ms = 0.0
+        new.reconnect_ms = 0.0
     if not new.disk:
         new.start_ms = 0.0
     return Part(new)
@@ -186,7 +205,7 @@
 
     line: Line
     down: bool  # from the relay
-    item: Said | str
+    item: Message | str
 
 
 class Disk(NamedTuple):
@@ -299,7 +318,7 @@
 
     def steps(self, world: World) -> Iterator[tuple[str, World]]:
         """What may happen next."""
-        if world.now - world.since > timeouts.BOUND_MS:
+        if world.now - world.since > timeouts.PROPAGATION_BOUND_MS:
             return
         budget = world.budget
         if budget.decide:
@@ -326,7 +345,7 @@
                 life = world.lives[index] + 1
                 relay = self._relay(index, life)
                 had = world.relays[index].of.version.number
-                relay.offer(world.now, VERSIONS[had], CONTENTS[had])
+                relay.publish(world.now, VERSIONS[had], CONTENTS[had])
                 yield (
                     f"{name} is back",
                     world._replace(
@@ -376,7 +395,7 @@
             )
 
     def _again(self, world: World, index: int, held: tuple[int, ...], budget: Budget) -> World:
-        life = world.followers[index].of.life + 1
+        life = world.followers[index].of.incarnation + 1
         wire = tuple(s for s in world.wire if s.line.follower != index)
         wire += tuple(Sent(line, False, "end") for line in world.lines if line.follower == index)
         lines = tuple(line for line in world.lines if line.follower != index)
@@ -396,8 +415,8 @@
         actions = []
         if relay.version.number < world.decided:
             number = world.decided
-            actions = relay.offer(world.now, VERSIONS[number], CONTENTS[number])
-        relay.confirmed(world.now, world.now)
+            actions = relay.publish(world.now, VERSIONS[number], CONTENTS[number])
+        relay.on_majority_confirmed(world.now, world.now)
         return self._relay_did(world, index, relay, actions)
 
     def _stored(self, world: World, index: int) -> World:
@@ -407,7 +426,7 @@
         held = (number, *(n for n in disk.held if n in beside))
         made = world.followers[index].copy()
         world = world._replace(disks=put(world.disks, index, Disk(held, None, disk.held)))
-        return self._did(world, index, made, made.stored(world.now, number))
+        return self._did(world, index, made, made.on_stored(world.now, number))
 
     def _messages(self, world: World) -> Iterator[tuple[str, World]]:
         budget, wire = world.budget, world.wire
@@ -433,7 +452,7 @@
                     f"twice {what}",
                     world._replace(wire=(*wire, sent), budget=budget._replace(twice=budget.twice - 1)),
                 )
-            if budget.spoil and isinstance(sent.item, News):
+            if budget.spoil and isinstance(sent.item, ConfigUpdate):
                 spoilt = sent._replace(item=_spoil(sent.item))
                 yield (
                     f"spoilt {what}",
@@ -449,32 +468,38 @@
             return self._dialled(world, line)
         if sent.down:
             made = world.followers[line.follower].copy()
-            if made.life != line.life:
+            if made.incarnation != line.life:
                 return world
             if sent.item == "end":
                 world = world._replace(lines=tuple(x for x in world.lines if x != line))
-                return self._did(world, line.follower, made, made.lost(world.now, line.link, "ended"))
+                return self._did(
+                    world, line.follower, made, made.on_disconnected(world.now, line.link, "ended")
+                )
             assert not isinstance(sent.item, str)
-            return self._did(world, line.follower, made, made.heard(world.now, line.link, sent.item))
+            return self._did(world, line.follower, made, made.on_message(world.now, line.link, sent.item))
         if not up:
             return world
         relay = world.relays[index].copy()
         if sent.item == "end":
-            return self._relay_did(world, index, relay, relay.lost(world.now, line.number, "ended"))
+            return self._relay_did(
+                world, index, relay, relay.on_disconnected(world.now, line.number, "ended")
+            )
         assert not isinstance(sent.item, str)
-        return self._relay_did(world, index, relay, relay.heard(world.now, line.number, sent.item))
+        return self._relay_did(world, index, relay, relay.on_message(world.now, line.number, sent.item))
 
     def _dialled(self, world: World, line: Line) -> World:
         made = world.followers[line.follower].copy()
-        if made.life != line.life or world.up[line.relay] == "gone":
+        if made.incarnation != line.life or world.up[line.relay] == "gone":
             return world
         if world.up[line.relay] == "killed":
-            return self._did(world, line.follower, made, made.lost(world.now, line.link, "refused"))
+            return self._did(
+                world, line.follower, made, made.on_disconnected(world.now, line.link, "refused")
+            )
         if made.link != line.link or made.state != "dialling":
             return world
         line = line._replace(up=True, relay_life=world.lives[line.relay])
         world = world._replace(lines=(*world.lines, line))
-        return self._did(world, line.follower, made, made.connected(world.now, line.link))
+        return self._did(world, line.follower, made, made.on_connected(world.now, line.link))
 
     def _time(self, world: World) -> Iterator[tuple[str, World]]:
         budget = world.budget
@@ -486,7 +511,7 @@
             budget = budget._replace(late=budget.late - 1)
             world = world._replace(since=world.now)
         due = min(part.of.due_ms(world.now) for part in world.followers)
-        passed = min(due, timeouts.BOUND_MS + 1.0) - world.now
+        passed = min(due, timeouts.PROPAGATION_BOUND_MS + 1.0) - world.now
         world = world._replace(
             since=world.since - passed,
             budget=budget,
@@ -506,14 +531,18 @@
 
     def _did(self, world: World, index: int, made: Follower, actions: list[act.FollowerAction]) -> World:
         queue: list[act.FollowerAction] = list(actions)
-        lines = {line.link: line for line in world.lines if line.follower == index and line.life == made.life}
+        lines = {
+            line.link: line
+            for line in world.lines
+            if line.follower == index and line.life == made.incarnation
+        }
         while queue:
             action = queue.pop(0)
-            if isinstance(action, act.Dial):
+            if isinstance(action, act.Connect):
                 relay = RELAYS.index(action.relay)
-                line = Line(index, made.life, action.link, relay, 0)
+                line = Line(index, made.incarnation, action.link, relay, 0)
                 world = world._replace(wire=(*world.wire, Sent(line, False, "dial")))
-            elif isinstance(action, act.Say) and action.link in lines:
+            elif isinstance(action, act.Send) and action.link in lines:
                 sent = Sent(lines[action.link], False, action.message)
                 world = world._replace(wire=(*world.wire, sent))
             elif isinstance(action, act.Close) and action.link in lines:
@@ -529,7 +558,7 @@
                 world = world._replace(disks=put(world.disks, index, disk))
             elif isinstance(action, act.Apply):
                 world = self._applied(world, index, action)
-                queue = made.taken(world.now, action.version.number) + queue
+                queue = made.on_applied(world.now, action.version.number) + queue
         return world._replace(followers=put(world.followers, index, Part(made)))
 
     def _applied(self, world: World, index: int, action: act.Apply) -> World:
@@ -545,7 +574,7 @@
     def _relay_did(self, world: World, index: int, relay: Relay, actions: list[act.RelayAction]) -> World:
         lines = {line.number: line for line in world.lines if line.relay == index}
         for action in actions:
-            if isinstance(action, act.Say) and action.link in lines:
+            if isinstance(action, act.Send) and action.link in lines:
                 world = world._replace(wire=(*world.wire, Sent(lines[action.link], True, action.message)))
             elif isinstance(action, act.Close) and action.link in lines:
                 line = lines[action.link]
@@ -559,30 +588,30 @@
         """Nothing goes back or is half, and within the bound everybody has what is decided."""
         if world.fault:
             return world.fault
-        if world.now - world.since > timeouts.BOUND_MS and "up" in world.up:
+        if world.now - world.since > timeouts.PROPAGATION_BOUND_MS and "up" in world.up:
             for index, part in enumerate(world.followers):
                 if part.of.version.number < world.decided:
                     has = f"f{index} has {part.of.version.number} and not {world.decided}"
-                    return f"{has} after {timeouts.BOUND_MS} ms"
+                    return f"{has} after {timeouts.PROPAGATION_BOUND_MS} ms"
         return ""
 
 
-def _short(item: Said | str) -> str:
+def _short(item: Message | str) -> str:
     if isinstance(item, str):
         return item
-    if isinstance(item, News):
+    if isinstance(item, ConfigUpdate):
         return f"news {item.version.number}"
-    if isinstance(item, Still):
+    if isinstance(item, NotModified):
         return f"still {item.number}"
     return f"{type(item).__name__.lower()} {getattr(item, 'number', '')}".rstrip()
 
 
-def _spoil(news: News) -> News:
+def _spoil(news: ConfigUpdate) -> ConfigUpdate:
     half = None if news.contents is None else news.contents[: len(news.contents) // 2]
     delta = news.delta
     if delta is not None:
         delta = type(delta)(delta.base, delta.prefix, delta.suffix, delta.middle[: len(delta.middle) // 2])
-    return News(news.version, news.confirmed_ms, delta, half)
+    return ConfigUpdate(news.version, news.confirmed_ms, delta, half)
 
 
 def explore(model: Model, most: int) -> Found:
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -14,14 +14,19 @@
 import sys
 from collections.abc import Iterator
 from itertools import combinations
+from random import Random
 from typing import Any, NamedTuple
 
 from grebestack.config_distribution import actions as act
-from grebestack.config_distribution.configuration import ConfigurationVoter, View, change
+from grebestack.config_distribution.learning import DecidedVersions, MajorityConfirmation
+from grebestack.config_distribution.proposing import Proposing
+from grebestack.config_distribution.register_access import register_change
 from grebestack.config_distribution.versions import Version, digest_of
+from grebestack.config_distribution.voter import ConfigurationVoter
+from grebestack.config_distribution.voter_state import VoterView
 from grebestack.consensus.register import AcceptorState, Ballot, Phase, PromiseGranted, Round, accept, prepare
 from tests import state_exploration
-from tests.configuration_states import Longest, Part
+from tests.configuration_states import UNTOLD, Longest, Part, frozen
 from tests.state_exploration import Found, put
 
 NAMES = ("v1", "v2", "v3")
@@ -35,36 +40,96 @@
 )
 
 
-class Hasty(ConfigurationVoter):
-    """It does one thing wrong."""
+class HastyProposing(Proposing):
+    """It does one thing wrong, or none."""
 
     variant = ""
 
-    def _propose(self, now_ms: float, view: View) -> list[act.ConfigurationAction]:
+    def advance(self, now_ms: float, view: VoterView) -> list[act.ConfigurationAction]:
         if self.variant == "asks before a majority holds the contents":
             view = view._replace(majority=1)
-        actions = super()._propose(now_ms, view)
-        if self.variant == "offers before the register says so" and self.proposal is not None:
+        actions = super().advance(now_ms, view)
+        proposal = self.state.proposal
+        if self.variant == "offers before the register says so" and proposal is not None:
             actions += [
-                act.Offer(self.proposal.version, self.proposal.contents)
+                act.PublishVersion(proposal.version, proposal.contents)
                 for a in actions
-                if isinstance(a, act.Decide) and a.version is not None
+                if isinstance(a, act.ChangeRegister) and a.version is not None
             ]
         return actions
 
-    def _confirm(self, now_ms: float, view: View) -> list[act.ConfigurationAction]:
+
+class HastyConfirmation(MajorityConfirmation):
+    """It does one thing wrong, or none."""
+
+    variant = ""
+
+    def confirm(self, now_ms: float, view: VoterView) -> list[act.ConfigurationAction]:
         if self.variant == "confirms what one other says":
             view = view._replace(majority=1)
-        actions = super()._confirm(now_ms, view)
+        actions = super().confirm(now_ms, view)
         if self.variant == "confirms from when the answer came":
-            return [act.Confirmed(now_ms) if isinstance(a, act.Confirmed) else a for a in actions]
+            return [
+                act.MajorityConfirmed(now_ms) if isinstance(a, act.MajorityConfirmed) else a for a in actions
+            ]
         return actions
 
-    def _look(self, now_ms: float, accepted: int) -> None:
-        if self.variant == "takes an accepted number for decided" and accepted > self.decided.number:
-            for digest, (contents, _) in self.kept_here.items():
-                self.decided = self.version = Version(accepted, digest, len(contents), "", 0)
-        super()._look(now_ms, accepted)
+
+class HastyDecidedVersions(DecidedVersions):
+    """It does one thing wrong, or none."""
+
+    variant = ""
+
+    def compare_accepted(self, now_ms: float, accepted: int) -> None:
+        state = self.state
+        if self.variant == "takes an accepted number for decided" and accepted > state.decided.number:
+            for digest, (contents, _) in self.undecided.on_disk.items():
+                state.decided = state.version = Version(accepted, digest, len(contents), "", 0)
+        super().compare_accepted(now_ms, accepted)
+
+
+class Hasty(ConfigurationVoter):
+    """A voter one of whose parts does one thing wrong, or none."""
+
+    def __init__(
+        self, name: str, fleet: str, life: int, random: Random, now_ms: float, variant: str = ""
+    ) -> None:
+        super().__init__(name, fleet, life, random, now_ms)
+        proposing = HastyProposing(self.state, self.undecided, self.register)
+        confirmation = HastyConfirmation(self.state, self.activation, now_ms)
+        decided_versions = HastyDecidedVersions(
+            self.state, self.register, self.undecided, self.fetching, proposing
+        )
+        proposing.variant = confirmation.variant = decided_versions.variant = variant
+        self.proposing, self.majority, self.decided_versions = proposing, confirmation, decided_versions
+
+
+class VoterPart(Part):
+    """A voter as it stands, which is not changed: it is copied with its parts first."""
+
+    __slots__ = ()
+
+    def __init__(self, of: ConfigurationVoter) -> None:
+        self.of = of
+        parts = [part for part in vars(of).values() if hasattr(part, "__dict__")]
+        self.key = tuple(
+            (name, frozen(value))
+            for part in (of, *parts)
+            for name, value in vars(part).items()
+            if name not in UNTOLD and not any(value is other for other in parts)
+        )
+        self.hash = hash(self.key)
+
+    def copy(self) -> Any:
+        """Copy the voter; its parts' references to each other go to the copies."""
+        parts = [part for part in vars(self.of).values() if hasattr(part, "__dict__")]
+        copies = {id(part): object.__new__(type(part)) for part in (self.of, *parts)}
+        for part in (self.of, *parts):
+            for name, value in vars(part).items():
+                if isinstance(value, dict | set | list):
+                    value = value.copy()
+                copies[id(part)].__dict__[name] = copies.get(id(value), value)
+        return copies[id(self.of)]
 
 
 class Asking(NamedTuple):
@@ -127,16 +192,14 @@
         self.variant, self.start = variant, start
 
     def _voter(self, index: int, life: int, now: float) -> Hasty:
-        made = Hasty(NAMES[index], "f", life, Longest(), now)  # type: ignore[arg-type]
-        made.variant = self.variant
-        return made
+        return Hasty(NAMES[index], "f", life, Longest(), now, self.variant)  # type: ignore[arg-type]
 
     def first(self) -> World:
         """Nothing is decided."""
         made = [self._voter(i, 1, 0.0) for i in range(3)]
         for one in made:  # else each reads the register before it asks for anything
-            one.current = "just started" not in self.start
-        voters = tuple(Part(one) for one in made)
+            one.state.current = "just started" not in self.start
+        voters = tuple(VoterPart(one) for one in made)
         empty: frozenset[bytes] = frozenset()
         world = World(
             voters,
@@ -160,15 +223,15 @@
             for sender, to in ((0, 1), (1, 0)):
                 body = next(w[3] for w in world.wire if w[:2] == (sender, to))
                 voter = world.voters[to].copy()
-                actions = voter.heard(0.0, NAMES[sender], body, self.view(world, to))
+                actions = voter.on_message(0.0, NAMES[sender], body, self.view(world, to))
                 world = self._did(world._replace(wire=frozenset()), to, voter, actions)
         return world
 
-    def view(self, world: World, index: int) -> View:
+    def view(self, world: World, index: int) -> VoterView:
         value = world.slots[index].value
         number = value.number if isinstance(value, Version) else 0
         names = frozenset(NAMES)
-        return View(number, 1, names, 2, names - {NAMES[index]})
+        return VoterView(number, 1, names, 2, names - {NAMES[index]})
 
     def steps(self, world: World) -> Iterator[tuple[str, World]]:
         """What may happen next."""
@@ -194,7 +257,7 @@
             what = f"{NAMES[sender]}>{NAMES[to]} {body[:8]!r}"
             if life == world.lives[to]:
                 voter = world.voters[to].copy()
-                actions = voter.heard(world.now, NAMES[sender], body, self.view(world, to))
+                actions = voter.on_message(world.now, NAMES[sender], body, self.view(world, to))
                 yield what, self._did(world, to, voter, actions)
         if budget.steps:
             after = world._replace(now=world.now + STEP_MS, budget=budget._replace(steps=budget.steps - 1))
@@ -238,7 +301,7 @@
                 for place in pair:
                     slots[place], answer = prepare(slots[place], round_.ballot)
                     if isinstance(answer, PromiseGranted):
-                        after = after.on_response(NAMES[place], answer, change(asking.version))
+                        after = after.on_response(NAMES[place], answer, register_change(asking.version))
                 if after.phase is Phase.ACCEPTING:
                     moved = world._replace(
                         slots=tuple(slots), askings=put(world.askings, index, asking._replace(round=after))
@@ -277,7 +340,7 @@
 
     def _ended(self, world: World, index: int, known: bool, value: Any) -> World:
         voter = world.voters[index].copy()
-        actions = voter.registered(world.now, known, value, self.view(world, index))
+        actions = voter.on_register_result(world.now, known, value, self.view(world, index))
         return self._did(world._replace(askings=put(world.askings, index, None)), index, voter, actions)
 
     # Actions.
@@ -288,29 +351,29 @@
         queue = list(actions)
         while queue:
             action = queue.pop(0)
-            if isinstance(action, act.Tell):
+            if isinstance(action, act.SendToVoter):
                 to = NAMES.index(action.to)
                 world = world._replace(wire=world.wire | {(index, to, world.lives[to], action.body)})
-            elif isinstance(action, act.Keep):
+            elif isinstance(action, act.StoreContents):
                 world = world._replace(kept=put(world.kept, index, world.kept[index] | {action.contents}))
-                queue = voter.kept(world.now, action.digest) + queue
+                queue = voter.on_contents_stored(world.now, action.digest) + queue
             elif isinstance(action, act.Store):
                 stored = (*world.stored[index], action.version)
                 kept = world.kept[index] | {action.contents}
                 world = world._replace(
                     stored=put(world.stored, index, stored), kept=put(world.kept, index, kept)
                 )
-                queue = voter.stored(world.now, action.version.number) + queue
+                queue = voter.on_stored(world.now, action.version.number) + queue
             elif isinstance(action, act.Apply):
-                queue = voter.taken(world.now, action.version.number) + queue
+                queue = voter.on_applied(world.now, action.version.number) + queue
                 world = self._only_chosen(world, index, action.version, "acts under")
-            elif isinstance(action, act.Offer):
+            elif isinstance(action, act.PublishVersion):
                 world = self._only_chosen(world, index, action.version, "offers")
-            elif isinstance(action, act.Decide):
+            elif isinstance(action, act.ChangeRegister):
                 ballot = Ballot(world.numbers + 1, NAMES[index], world.lives[index])
                 asking = Asking(Round(ballot, 2), action.version)
                 world = world._replace(numbers=world.numbers + 1, askings=put(world.askings, index, asking))
-            elif isinstance(action, act.Confirmed):
+            elif isinstance(action, act.MajorityConfirmed):
                 newer = [
                     v
                     for v, at in zip(world.chosen, world.when, strict=True)
@@ -320,11 +383,11 @@
                     world = world._replace(
                         fault=f"{NAMES[index]} confirms {voter.version.number}, {newer[0].number} is decided"
                     )
-            elif isinstance(action, act.Outcome):
+            elif isinstance(action, act.ProposalResult):
                 ours = [v for v in world.chosen if v == action.version]
                 if action.won and not ours:
                     world = world._replace(fault=f"{NAMES[index]} says it won with {action.version.number}")
-        return world._replace(voters=put(world.voters, index, Part(voter)))
+        return world._replace(voters=put(world.voters, index, VoterPart(voter)))
 
     def _only_chosen(self, world: World, index: int, version: Version, does: str) -> World:
         if version in world.chosen:
--- a/tests/golden_links.py
+++ b/tests/golden_links.py
@@ -8,8 +8,9 @@
 
 from grebestack.cluster_io.framing import FramedConnection, Traffic
 from grebestack.cluster_io.peer_connection import PeerConnection
-from grebestack.cluster_io.relay_connection import FeedLink
-from grebestack.config_distribution.messages import Said, encode
+from grebestack.cluster_io.relay_connection import RelayConnection
+from grebestack.config_distribution.messages import Message as RelayMessage
+from grebestack.config_distribution.messages import encode
 from grebestack.consensus.messages import Handshake, Message
 from grebestack.program.config.model import MetricsExportConfig
 from grebestack.program.metrics_exporter import ExportRequest
@@ -77,14 +78,14 @@
     def __init__(self) -> None:
         self.items: list[object] = []
 
-    def connected(self, link: FeedLink) -> None:
+    def on_connected(self, link: RelayConnection) -> None:
         """Nothing is said unasked."""
 
-    def heard(self, link: FeedLink, message: Said) -> None:
+    def on_message(self, link: RelayConnection, message: RelayMessage) -> None:
         """Keep a message."""
         self.items.append(message)
 
-    def ended(self, link: FeedLink, why: str) -> None:
+    def on_closed(self, link: RelayConnection, why: str) -> None:
         """Keep why it ended."""
         self.items.append(why)
 
@@ -96,10 +97,10 @@
     link = PeerConnection(loop, MemberOwner())
     link.connection_made(member)
     link.send(cast(Message, MEMBER["prepare"]))
-    feed_link = FeedLink(loop, FeedEnd(), 1, Traffic())
+    feed_link = RelayConnection(loop, FeedEnd(), 1, Traffic())
     feed_link.connection_made(feed)
-    feed_link.write(encode(cast(Said, FEED["greeting"])))
-    feed_link.write(encode(cast(Said, FEED["poll"])))
+    feed_link.write(encode(cast(RelayMessage, FEED["greeting"])))
+    feed_link.write(encode(cast(RelayMessage, FEED["poll"])))
     loop.close()
     return {"member": member.data.hex(), "feed": feed.data.hex()}
 
@@ -110,7 +111,7 @@
     member, feed = MemberOwner(), FeedEnd()
     links: dict[str, FramedConnection] = {
         "member": PeerConnection(loop, member),
-        "feed": FeedLink(loop, feed, 1, Traffic()),
+        "feed": RelayConnection(loop, feed, 1, Traffic()),
     }
     for name, link in links.items():
         data = bytes.fromhex(frames[name])
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -1,4 +1,4 @@
-"""Followers and relays over real connections in one loop; the file's keys; versions laid over the file."""
+"""Followers and relays over real connections in one loop; the file's keys; versions applied over the file."""
 
 from __future__ import annotations
 
@@ -14,20 +14,27 @@
 import pytest
 
 from grebestack.cluster_io.configuration_node import ConfigurationNode
-from grebestack.cluster_io.follower_client import FollowerNode, FollowerSettings, RelayAddress
+from grebestack.cluster_io.follower_client import FollowerClient, FollowerSettings, RelayAddress
 from grebestack.cluster_io.framing import Traffic
 from grebestack.cluster_io.node import Node
-from grebestack.cluster_io.relay_connection import FeedLink
+from grebestack.cluster_io.relay_connection import RelayConnection
 from grebestack.cluster_io.relay_server import RelayServer
 from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.config_distribution.actions import Store
-from grebestack.config_distribution.messages import MOST, Greeting, Poll, Said, Still, encode
+from grebestack.config_distribution.messages import (
+    MAX_MESSAGE_BYTES,
+    Message,
+    NotModified,
+    Poll,
+    Subscribe,
+    encode,
+)
 from grebestack.config_distribution.relay import Relay
-from grebestack.config_distribution.versions import MOST_CONTENTS, Version, digest_of
+from grebestack.config_distribution.versions import MAX_CONTENTS_BYTES, Version, digest_of
 from grebestack.program.config.errors import ConfigError
 from grebestack.program.config.model import Config
 from grebestack.program.config.operator_file import from_file
-from grebestack.program.config_updates import Laying, read_contents
+from grebestack.program.config_updates import AppliedConfig, read_contents
 from tests.follower_cluster import contents
 from tests.standins import APPLIANCE_SETTINGS
 
@@ -75,31 +82,31 @@
     """Owns one link and keeps what it heard."""
 
     def __init__(self) -> None:
-        self.messages: list[Said] = []
+        self.messages: list[Message] = []
         self.why = ""
 
-    def connected(self, link: FeedLink) -> None:
+    def on_connected(self, link: RelayConnection) -> None:
         """Nothing."""
 
-    def heard(self, link: FeedLink, message: Said) -> None:
+    def on_message(self, link: RelayConnection, message: Message) -> None:
         self.messages.append(message)
 
-    def ended(self, link: FeedLink, why: str) -> None:
+    def on_closed(self, link: RelayConnection, why: str) -> None:
         self.why = why
 
 
-def linked() -> tuple[FeedLink, Ear, Wire]:
+def linked() -> tuple[RelayConnection, Ear, Wire]:
     ear, wire = Ear(), Wire()
-    link = FeedLink(cast(asyncio.AbstractEventLoop, Loop()), ear, 1, Traffic())
+    link = RelayConnection(cast(asyncio.AbstractEventLoop, Loop()), ear, 1, Traffic())
     link.connection_made(cast(asyncio.Transport, wire))
     return link, ear, wire
 
 
-def framed(*items: Said) -> bytes:
+def framed(*items: Message) -> bytes:
     return b"".join(struct.pack(">I", len(encode(item))) + encode(item) for item in items)
 
 
-SAID: list[Said] = [Greeting(1, "farm", "f0", 3, PLACE, 0, ""), Poll(4, "d" * 64), Still(5, 7)]
+SAID: list[Message] = [Subscribe(1, "farm", "f0", 3, PLACE, 0, ""), Poll(4, "d" * 64), NotModified(5, 7)]
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -116,7 +123,10 @@
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (struct.pack(">I", MOST + 1), f"a message of {MOST + 1} bytes; allowed: {MOST}"),
+        (
+            struct.pack(">I", MAX_MESSAGE_BYTES + 1),
+            f"a message of {MAX_MESSAGE_BYTES + 1} bytes; allowed: {MAX_MESSAGE_BYTES}",
+        ),
         (struct.pack(">I", 3) + b"\xc1\xc1\xc1", "no message of form 1"),
         (struct.pack(">I", 1) + b"\x01", "no message of form 1"),
     ],
@@ -131,7 +141,7 @@
 
 def test_who_does_not_read_is_cut_off_and_nothing_more_is_kept_for_it() -> None:
     link, _, wire = linked()
-    wire.unread = 2 * MOST
+    wire.unread = 2 * MAX_MESSAGE_BYTES
     link.write(b"x")
     assert wire.aborted and link.close_reason == "it does not read" and not wire.written
 
@@ -148,7 +158,7 @@
 
 def test_one_given_up_while_it_was_opened_ends_as_it_comes_up() -> None:
     ear, wire = Ear(), Wire()
-    link = FeedLink(cast(asyncio.AbstractEventLoop, Loop()), ear, 1, Traffic())
+    link = RelayConnection(cast(asyncio.AbstractEventLoop, Loop()), ear, 1, Traffic())
     link.close("another is dialled")
     link.connection_made(cast(asyncio.Transport, wire))
     assert wire.aborted
@@ -163,7 +173,7 @@
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.tallies = 0
-        self.nodes: list[FollowerNode] = []
+        self.nodes: list[FollowerClient] = []
         self.relays: dict[str, RelayServer] = {}
 
     async def relay(self, name: str = "m0", fleet: str = "farm", most: int = 2048) -> RelayServer:
@@ -172,19 +182,19 @@
         await server.start()
         assert server.server is not None
         server.address = server.server.sockets[0].getsockname()[:2]
-        server.confirmed(monotonic_ms())
+        server.on_majority_confirmed(monotonic_ms())
         self.relays[name] = server
         return server
 
-    def _tallied(self, tally: object) -> None:
+    def _tallied(self, report: object) -> None:
         self.tallies += 1
 
     def follower(
         self, name: str, take: Callable[[Version, bytes], str] | None = None, folder: str = ""
-    ) -> FollowerNode:
+    ) -> FollowerClient:
         relays = {name: RelayAddress(server.address, PLACE) for name, server in self.relays.items()}
         settings = FollowerSettings(name, "farm", PLACE, relays, folder)
-        node = FollowerNode(self.loop, settings, take or (lambda version, data: ""))
+        node = FollowerClient(self.loop, settings, take or (lambda version, data: ""))
         self.nodes.append(node)
         node.start()
         return node
@@ -222,12 +232,12 @@
         relay = await rig.relay()
         nodes = [rig.follower(f"f{n}") for n in range(20)]
         await rig.until(lambda: relay.counts["links"] == 20)
-        relay.offer(version(1, ONE), ONE)
+        relay.publish(version(1, ONE), ONE)
         await rig.until(lambda: all(node.version.number == 1 for node in nodes))
         before = relay.counts["bytes_out"]
         assert before > 20 * len(ONE)
-        await rig.until(lambda: all(seat.number == 1 for seat in relay.relay.seats.values()))
-        relay.offer(version(2, TWO), TWO)
+        await rig.until(lambda: all(seat.number == 1 for seat in relay.relay.followers.values()))
+        relay.publish(version(2, TWO), TWO)
         await rig.until(lambda: all(node.version.number == 2 for node in nodes))
         assert relay.counts["bytes_out"] - before < 20 * len(TWO) // 2
         assert all(node.follower.contents == TWO for node in nodes)
@@ -241,12 +251,12 @@
     async def script(rig: Rig) -> None:
         relay = await rig.relay()
         node = rig.follower("f0", lambda version, data: "mostTries is 6" if version.number == 2 else "")
-        relay.offer(version(1, ONE), ONE)
+        relay.publish(version(1, ONE), ONE)
         await rig.until(lambda: node.version.number == 1)
-        relay.offer(version(2, TWO), TWO)
-        await rig.until(lambda: [s.why for s in relay.relay.seats.values()] == ["mostTries is 6"])
+        relay.publish(version(2, TWO), TWO)
+        await rig.until(lambda: [s.why for s in relay.relay.followers.values()] == ["mostTries is 6"])
         assert node.version.number == 1 and "mostTries is 6" in node.shown()
-        relay.offer(version(3, ONE), ONE)
+        relay.publish(version(3, ONE), ONE)
         await rig.until(lambda: node.version.number == 3)
 
     play(script)
@@ -256,7 +266,7 @@
     async def first(rig: Rig) -> None:
         relay = await rig.relay()
         node = rig.follower("f0", folder=str(tmp_path))
-        relay.offer(version(7, ONE), ONE)
+        relay.publish(version(7, ONE), ONE)
         await rig.until(lambda: node.version.number == 7)
 
     async def second(rig: Rig) -> None:
@@ -286,14 +296,14 @@
     async def refused_once(rig: Rig) -> None:
         relay = await rig.relay()
         node = rig.follower("f0", take, str(tmp_path))
-        relay.offer(version(1, ONE), ONE)
+        relay.publish(version(1, ONE), ONE)
         await rig.until(lambda: node.version.number == 1)
-        relay.offer(version(2, TWO), TWO)
+        relay.publish(version(2, TWO), TWO)
         await rig.until(lambda: node.follower.refused == 2)
 
     async def newer_before_the_disk_is_applied(rig: Rig) -> None:
         relay = await rig.relay()
-        relay.offer(version(3, THREE), THREE)
+        relay.publish(version(3, THREE), THREE)
         node = rig.follower("f0", take, str(tmp_path))
         await rig.until(lambda: node.version.number == 1)
         assert node.follower.refused
@@ -315,9 +325,9 @@
         voter = ConfigurationNode(cast(Node, node), str(tmp_path), lambda version, data: "")
         stored: list[int] = []
         voter._stored = lambda number, why: stored.append(number)  # type: ignore[method-assign]
-        voter._do(Store(version(1, ONE), ONE, 0))
-        voter._do(Store(version(2, TWO), TWO, 1))
-        voter._do(Store(version(3, THREE), THREE, 2, (1,)))
+        voter._perform(Store(version(1, ONE), ONE, 0))
+        voter._perform(Store(version(2, TWO), TWO, 1))
+        voter._perform(Store(version(3, THREE), THREE, 2, (1,)))
         await rig.until(lambda: stored == [1, 2, 3])
         voter.stop()
         assert len(list(tmp_path.glob("version-*"))) == 3
@@ -331,12 +341,12 @@
         await rig.relay("m1", most=0)
         good = await rig.relay("m2")
         lost = await rig.relay("m3")
-        good.offer(version(1, ONE), ONE)
-        lost.offer(version(1, ONE), ONE)
+        good.publish(version(1, ONE), ONE)
+        lost.publish(version(1, ONE), ONE)
         nodes = [rig.follower(f"f{n}") for n in range(8)]
         await rig.until(lambda: all(node.version.number == 1 for node in nodes))
         lost.stop()
-        good.offer(version(2, TWO), TWO)
+        good.publish(version(2, TWO), TWO)
         await rig.until(lambda: all(node.version.number == 2 for node in nodes))
         assert good.counts["links"] == 8
 
@@ -451,28 +461,28 @@
         return self.why
 
 
-def laying(tmp_path: Path, **kv: Any) -> Laying:
-    return Laying(Fake(load(tmp_path, f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}'), **kv))
+def applied_config(tmp_path: Path, **kv: Any) -> AppliedConfig:
+    return AppliedConfig(Fake(load(tmp_path, f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}'), **kv))
 
 
 def test_a_version_stands_in_place_of_the_files_sections_and_stays_over_a_file_read_again(
     tmp_path: Path,
 ) -> None:
-    laid = laying(tmp_path)
-    assert laid.take(version(1, TWO), TWO) == ""
+    applied = applied_config(tmp_path)
+    assert applied.apply(version(1, TWO), TWO) == ""
     assert (
-        laid.host.config.options["limits"]["mostTries"] == 6
-        and len(laid.host.config.worker_source.entries) == 1
+        applied.host.config.options["limits"]["mostTries"] == 6
+        and len(applied.host.config.worker_source.entries) == 1
     )
     (tmp_path / "a.toml").write_text(
         f'sockets = 2000\n{HEAD}[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}{APPLIANCE_SETTINGS}'
     )
-    again = laid.reread()
+    again = applied.reread()
     assert again.max_sockets == 2000 and again.options["limits"]["mostTries"] == 6
     (tmp_path / "a.toml").write_text("half a file")
     with pytest.raises(ConfigError):
-        laid.reread()
-    assert laid.take(version(2, ONE), ONE) == ""  # what was read last still holds below it
+        applied.reread()
+    assert applied.apply(version(2, ONE), ONE) == ""  # what was read last still holds below it
 
 
 @pytest.mark.parametrize(
@@ -492,27 +502,27 @@
 def test_what_can_not_be_taken_is_named_and_the_version_in_force_stays(
     tmp_path: Path, data: bytes, why: str
 ) -> None:
-    laid = laying(tmp_path, waits=("zones",))
-    assert laid.take(version(1, TWO), TWO) == ""
-    former = laid.host.config
-    assert why in laid.take(version(2, data), data)
-    assert laid.host.config is former and laid.contents == TWO
+    applied = applied_config(tmp_path, waits=("zones",))
+    assert applied.apply(version(1, TWO), TWO) == ""
+    former = applied.host.config
+    assert why in applied.apply(version(2, data), data)
+    assert applied.host.config is former and applied.contents == TWO
 
 
 def test_what_waits_for_a_restart_by_the_local_file_is_not_held_against_a_version(
     tmp_path: Path,
 ) -> None:
-    laid = laying(tmp_path, waits=("zones",))
+    applied = applied_config(tmp_path, waits=("zones",))
     path, wider = tmp_path / "a.toml", 'zones = ["here", "there"]'
     path.write_text(path.read_text().replace('zones = ["here"]', wider))
-    assert "zones" in laid.take(version(1, TWO), contents(6, zones='["here", "there"]'))
-    laid.reread()  # as SIGHUP does: it is known from now on that zones wait
-    assert laid.take(version(2, TWO), contents(6, zones='["here", "there"]')) == ""
+    assert "zones" in applied.apply(version(1, TWO), contents(6, zones='["here", "there"]'))
+    applied.reread()  # as SIGHUP does: it is known from now on that zones wait
+    assert applied.apply(version(2, TWO), contents(6, zones='["here", "there"]')) == ""
 
 
 def test_what_the_dispatcher_can_not_put_in_force_is_not_laid_over_the_file_either(tmp_path: Path) -> None:
-    laid = laying(tmp_path, why="servers: it failed")
-    assert laid.take(version(1, TWO), TWO) == "servers: it failed" and laid.contents is None
+    applied = applied_config(tmp_path, why="servers: it failed")
+    assert applied.apply(version(1, TWO), TWO) == "servers: it failed" and applied.contents is None
 
 
 def test_a_file_that_is_to_be_in_force_is_a_regular_one_of_a_bounded_size(tmp_path: Path) -> None:
@@ -520,6 +530,8 @@
         with pytest.raises(ConfigError, match=why):
             read_contents(str(path))
     with tempfile.NamedTemporaryFile(dir=tmp_path) as file:
-        file.truncate(MOST_CONTENTS + 1)
-        with pytest.raises(ConfigError, match=f"{MOST_CONTENTS + 1} bytes; allowed: {MOST_CONTENTS}"):
+        file.truncate(MAX_CONTENTS_BYTES + 1)
+        with pytest.raises(
+            ConfigError, match=f"{MAX_CONTENTS_BYTES + 1} bytes; allowed: {MAX_CONTENTS_BYTES}"
+        ):
             read_contents(file.name)
