--- a/grebestack/cluster_io/relay_connection.py
+++ b/grebestack/cluster_io/relay_connection.py
@@ -28,7 +28,8 @@
 class RelayConnection(FramedConnection):
     """Frames and decodes messages; `number` is the link number of the pure part."""
 
-    most, most_queued, greet_s = MAX_MESSAGE_BYTES, 2 * MAX_MESSAGE_BYTES, SUBSCRIBE_TIMEOUT_MS / 1000.0
+    max_message_bytes, max_queued_bytes = MAX_MESSAGE_BYTES, 2 * MAX_MESSAGE_BYTES
+    handshake_timeout_s = SUBSCRIBE_TIMEOUT_MS / 1000.0
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, owner: RelayConnectionOwner, number: int, traffic: Traffic
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -65,7 +65,7 @@
     "run.main",
     "ConnectionAttempt._open",
     "ClusterMember.start",
-    "Configuring.start",
+    "ConfigUpdates.start",
     "RelayServer.start",
 }
 
