--- a/grebestack/cluster_io/config_store.py
+++ b/grebestack/cluster_io/config_store.py
@@ -58,6 +58,7 @@
         cluster: str,
         files: Files | None = None,
     ) -> None:
+        """Begin closed; `open` locks and reads the folder."""
         self.loop, self.folder, self.cluster, self.files = loop, folder, cluster, files or Files()
         self.queue: queue.SimpleQueue[tuple[Callable[[], None], Done] | None] = queue.SimpleQueue()
         self.lock = -1
--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -48,6 +48,7 @@
     """
 
     def __init__(self, node: Node, folder: str, take: ApplyVersion, files: Files | None = None) -> None:
+        """Open the folder and build the voter; `start` begins its work."""
         self.node, self.loop, self.clock, self.take = node, node.loop, node.clock, take
         settings = node.settings
         self.contents = ConfigStore(node.loop, folder, settings.cluster, files)
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -85,17 +85,12 @@
         files: Files | None = None,
         relays: bool = False,
     ) -> None:
+        """Open the folder and build the follower; `start` connects it."""
         self.loop, self.settings, self.take, self.clock = loop, settings, take, clock
         self.contents = (
             ConfigStore(loop, settings.folder, settings.cluster, files) if settings.folder else None
         )
-        held = (
-            self.contents.open()
-            if self.contents is not None
-            else StoredConfig(incarnation=time.time_ns() // 1_000_000)
-        )
-        for doubt in held.doubts:
-            log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
+        held = self._read_disk()
         self.held = held.versions
         places = {name: relay.place for name, relay in settings.relays.items()}
         self.follower = Follower(
@@ -118,6 +113,15 @@
             self.loop, self.clock, self.follower, self._perform, lambda: self.follower.tick(self.clock())
         )
 
+    def _read_disk(self) -> StoredConfig:
+        """Return what the disk holds; without a folder, an empty configuration of a new incarnation."""
+        if self.contents is None:
+            return StoredConfig(incarnation=time.time_ns() // 1_000_000)
+        held = self.contents.open()
+        for doubt in held.doubts:
+            log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
+        return held
+
     def _performers(self) -> dict[type[FollowerAction], Callable[[Any], None]]:
         return {
             Send: self._send,
--- a/grebestack/cluster_io/relay_connection.py
+++ b/grebestack/cluster_io/relay_connection.py
@@ -34,6 +34,7 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, owner: RelayConnectionOwner, number: int, traffic: Traffic
     ) -> None:
+        """Begin unconnected."""
         super().__init__(loop, traffic)
         self.owner, self.number = owner, number
 
--- a/grebestack/cluster_io/relay_server.py
+++ b/grebestack/cluster_io/relay_server.py
@@ -33,6 +33,7 @@
         on_report: Callable[[StatusReport], None],
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
+        """Begin closed; `start` listens at the address."""
         self.loop, self.relay, self.address, self.on_report, self.clock = (
             loop,
             relay,
--- a/grebestack/config_distribution/activation.py
+++ b/grebestack/config_distribution/activation.py
@@ -18,6 +18,7 @@
     """Stores and then applies one version at a time."""
 
     def __init__(self, state: VoterState, undecided: UndecidedContents) -> None:
+        """Begin without a version in force."""
         self.state, self.undecided = state, undecided
         self.in_force: Version = NO_VERSION
         self.refused, self.refused_why = 0, ""
--- a/grebestack/config_distribution/fetching.py
+++ b/grebestack/config_distribution/fetching.py
@@ -16,6 +16,7 @@
     """Fetches the contents of the decided version from one voter after the other."""
 
     def __init__(self, state: VoterState, activation: VersionActivation) -> None:
+        """Begin with nothing to fetch."""
         self.state, self.activation = state, activation
         self.fetch_ms = inf
         self.fetched = ""  # the voter to ask next
--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -22,11 +22,7 @@
     PublishVersion,
     Send,
 )
-from grebestack.config_distribution.follower_versions import (
-    APPLYING,
-    FollowerVersions,
-    VersionContents,
-)
+from grebestack.config_distribution.follower_versions import APPLYING, FollowerVersions, VersionContents
 from grebestack.config_distribution.messages import (
     NEVER_CONFIRMED_MS,
     PROTOCOL_VERSION,
@@ -88,6 +84,7 @@
         random: Random,
         relays: bool = False,
     ) -> None:
+        """Begin unconnected; `start` reads what the disk holds."""
         self.name, self.cluster, self.place, self.incarnation = name, cluster, place, incarnation
         super().__init__(relays)
         self.random = random
@@ -394,8 +391,8 @@
 
 Handler = Callable[[Follower, float, Any], list[FollowerAction]]
 _HANDLERS: dict[tuple[str, type[Message]], Handler] = {
-    (GREETING, SubscribeRejected): lambda follower, now_ms, message: follower._on_rejected(now_ms, message),
-    (GREETING, SubscribeAccepted): lambda follower, now_ms, message: follower._on_accepted(now_ms, message),
-    (LINKED, NotModified): lambda follower, now_ms, message: follower._on_not_modified(now_ms, message),
-    (LINKED, ConfigUpdate): lambda follower, now_ms, message: follower._on_update(now_ms, message),
+    (GREETING, SubscribeRejected): Follower._on_rejected,
+    (GREETING, SubscribeAccepted): Follower._on_accepted,
+    (LINKED, NotModified): Follower._on_not_modified,
+    (LINKED, ConfigUpdate): Follower._on_update,
 }
--- a/grebestack/config_distribution/follower_versions.py
+++ b/grebestack/config_distribution/follower_versions.py
@@ -23,6 +23,7 @@
     """
 
     def __init__(self, relays: bool) -> None:
+        """Begin without a version."""
         self.relays = relays
         self.relay = ""  # the relay that is followed
         self.noted: frozenset[str] = frozenset()  # faults that were logged
--- a/grebestack/config_distribution/learning.py
+++ b/grebestack/config_distribution/learning.py
@@ -30,6 +30,7 @@
         fetching: ContentsFetching,
         proposing: Proposing,
     ) -> None:
+        """Begin with nothing decided."""
         self.state, self.register, self.undecided = state, register, undecided
         self.fetching, self.proposing = fetching, proposing
         self.others_decided: dict[str, int] = {}  # of each voter the highest number that it reported
@@ -87,6 +88,7 @@
     """Heartbeats to the other voters, and the time of the last confirmation by a majority."""
 
     def __init__(self, state: VoterState, activation: VersionActivation, now_ms: float) -> None:
+        """Begin unconfirmed; the first heartbeat is due at once."""
         self.state, self.activation = state, activation
         self.beat_ms, self.beats = now_ms, 0  # when the next heartbeat is due, and how many were sent
         self.sent: dict[int, float] = {}  # by sequence: when
--- a/grebestack/config_distribution/proposing.py
+++ b/grebestack/config_distribution/proposing.py
@@ -24,6 +24,7 @@
     """One proposal at a time; a `ProposalResult` ends it."""
 
     def __init__(self, state: VoterState, undecided: UndecidedContents, register: RegisterAccess) -> None:
+        """Begin without a proposal."""
         self.state, self.undecided, self.register = state, undecided, register
 
     def propose(
--- a/grebestack/config_distribution/published_version.py
+++ b/grebestack/config_distribution/published_version.py
@@ -15,6 +15,7 @@
     """The newest version, when a majority confirmed it, and former contents as bases of deltas."""
 
     def __init__(self) -> None:
+        """Begin without a version."""
         self.version: Version = NO_VERSION
         self.contents = b""
         self.confirmed_ms: float | None = None
--- a/grebestack/config_distribution/register_access.py
+++ b/grebestack/config_distribution/register_access.py
@@ -26,6 +26,7 @@
     """One access at a time, and when the next read is due."""
 
     def __init__(self) -> None:
+        """Begin with no access under way."""
         self.deciding = False  # an access is under way
         self.read_ms = inf
 
--- a/grebestack/config_distribution/relay.py
+++ b/grebestack/config_distribution/relay.py
@@ -88,6 +88,7 @@
         most: int = MAX_FOLLOWERS,
         floor: Callable[[str], int] = lambda name: 0,
     ) -> None:
+        """Begin without followers."""
         super().__init__()
         self.name, self.cluster, self.incarnation, self.most = name, cluster, incarnation, most
         self.random, self.floor = random, floor
--- a/grebestack/config_distribution/status.py
+++ b/grebestack/config_distribution/status.py
@@ -49,6 +49,7 @@
     """The reports of all relays."""
 
     def __init__(self, state: VoterState) -> None:
+        """Begin without reports."""
         self.state = state
         self.relays: dict[str, RelayEntry] = {}
         self.acknowledged: dict[str, int] = {}  # by follower: the highest number
--- a/grebestack/config_distribution/undecided.py
+++ b/grebestack/config_distribution/undecided.py
@@ -15,6 +15,7 @@
     """Contents that were proposed, by digest, until they are decided or their time is over."""
 
     def __init__(self, state: VoterState) -> None:
+        """Begin without contents."""
         self.state = state
         self.on_disk: dict[str, tuple[bytes, float]] = {}  # with the time when they were stored
         self.writing: dict[str, tuple[bytes, frozenset[str]]] = {}  # with the voters to acknowledge to
--- a/grebestack/config_distribution/voter.py
+++ b/grebestack/config_distribution/voter.py
@@ -52,6 +52,7 @@
     """
 
     def __init__(self, name: str, cluster: str, incarnation: int, random: Random, now_ms: float) -> None:
+        """Begin with nothing decided; `start` reads what the disk holds."""
         self.cluster, self.incarnation = cluster, incarnation
         self.state = VoterState(name, random)
         self.register = RegisterAccess()
--- a/grebestack/config_distribution/voter_state.py
+++ b/grebestack/config_distribution/voter_state.py
@@ -50,6 +50,7 @@
     """
 
     def __init__(self, name: str, random: Random) -> None:
+        """Begin with nothing decided."""
         self.name, self.random = name, random
         self.decided: Version = NO_VERSION  # the newest that is known to be decided
         self.version: Version = NO_VERSION  # the newest decided version whose contents are here
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -88,6 +88,7 @@
     """What is in force here: the local file as it was last read, merged with a version."""
 
     def __init__(self, host: Host) -> None:
+        """Begin with the local file alone."""
         self.host = host
         self.path = host.config.path
         self.text = read(self.path)
@@ -165,6 +166,7 @@
         name: str,
         node: Node | None,
     ) -> None:
+        """Open the folder and build the parts; `start` begins their work."""
         self.loop, self.config, self.name = loop, config, name
         self.applied = AppliedConfig(host)
         self.reread = self.applied.reread
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import ast
+import tomllib
 from pathlib import Path
 
 import pytest
@@ -106,6 +107,12 @@
     return sorted(left)
 
 
+def test_the_distribution_names_all_packages() -> None:
+    named = tomllib.loads((PACKAGE.parent / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"]
+    folders = {path.parent.relative_to(PACKAGE.parent) for path in PACKAGE.rglob("__init__.py")}
+    assert sorted(named) == sorted(".".join(folder.parts) for folder in folders)
+
+
 def test_a_circle_is_found() -> None:
     assert circle_of({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": set()}) == ["a", "b", "c"]
     assert circle_of({"a": {"a"}}) == ["a"]
@@ -141,8 +148,8 @@
     assert found == COROUTINES
     assert sorted(tasks) == [
         "Adoption._take_up",
+        "ConnectionAttempt.__init__",
         "DiscoveryWatcher._open",
         "HotRestartRunner._accept_clients",
-        "Opening.__init__",
         "Pools.dial",
     ]
--- /dev/null
+++ b/tests/test_module_limits.py
@@ -0,0 +1,47 @@
+"""The limits that hold for the packages which have been split by concern: size, docstrings, no circles."""
+
+from __future__ import annotations
+
+import ast
+from pathlib import Path
+
+import pytest
+
+from tests.test_layers import PACKAGE, circle_of, modules_imported
+
+PACKAGES = (
+    "admin",
+    "cluster_io",
+    "cluster_tasks",
+    "config_distribution",
+    "consensus",
+    "core",
+    "endpoint_watch",
+    "hot_restart",
+    "program",
+)
+MODULES = sorted(path for package in PACKAGES for path in (PACKAGE / package).rglob("*.py"))
+FUNCTIONS = ast.FunctionDef | ast.AsyncFunctionDef
+MAX_FILE_LINES, MAX_FUNCTION_LINES = 400, 40
+
+
+def name_of(path: Path) -> str:
+    return str(path.relative_to(PACKAGE))
+
+
+@pytest.mark.parametrize("path", MODULES, ids=name_of)
+def test_files_and_functions_are_short(path: Path) -> None:
+    text = path.read_text()
+    assert len(text.splitlines()) <= MAX_FILE_LINES
+    functions = [node for node in ast.walk(ast.parse(text)) if isinstance(node, FUNCTIONS)]
+    assert not [f.name for f in functions if (f.end_lineno or 0) - f.lineno + 1 > MAX_FUNCTION_LINES]
+
+
+@pytest.mark.parametrize("package", PACKAGES)
+def test_no_modules_of_a_package_import_each_other_in_a_circle(package: str) -> None:
+    imports = {}
+    for path in (PACKAGE / package).rglob("*.py"):
+        parts = path.relative_to(PACKAGE.parent).with_suffix("").parts
+        name = ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+        imports[name] = modules_imported(path)
+    assert not circle_of(imports)
