--- a/grebestack/cluster_io/config_store.py
+++ b/grebestack/cluster_io/config_store.py
@@ -41,7 +41,7 @@
     versions: tuple[tuple[Version, bytes], ...] = ()
     kept: dict[str, bytes] = field(default_factory=dict)  # undecided contents by digest
     doubts: tuple[str, ...] = ()
-    incarnation: int = 1  # process incarnation: higher than any before
+    incarnation: int = 1  # of this start, for configuration messages; higher than any before
 
 
 class CorruptFileError(Exception):
--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -74,7 +74,7 @@
 
     @property
     def version(self) -> Version:
-        """The version in force here."""
+        """The newest decided version whose contents are here; it may not be stored yet, or be refused."""
         return self.voter.version
 
     @property
@@ -83,16 +83,16 @@
         return self.counted
 
     def shown(self) -> list[str]:
-        """Describe the version in force, and who has it, to operators."""
+        """Describe the newest decided version, and who has it, to operators."""
         return self.voter.shown(self.clock())
 
     def start(self) -> None:
-        """Begin."""
+        """Begin to take messages, from what the disk holds."""
         self.node.message_handlers[TASK] = self._on_message
         self.turns.run(self.voter.start(self.clock(), list(self.held.versions), self.held.kept))
 
     def stop(self) -> None:
-        """End."""
+        """Carry out no more actions and close the disk."""
         self.turns.stop()
         self.contents.close()
 
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -83,7 +83,7 @@
         clock: Callable[[], float] = monotonic_ms,
         random: Random | None = None,
         files: Files | None = None,
-        relays: bool = False,
+        is_relay: bool = False,
     ) -> None:
         """Open the folder and build the follower; `start` connects it."""
         self.loop, self.settings, self.take, self.clock = loop, settings, take, clock
@@ -100,7 +100,7 @@
             held.incarnation,
             places,
             random or Random(int.from_bytes(os.urandom(8), "big")),
-            relays,
+            is_relay,
         )
         self.relay: LocalRelay | None = None
         self.settled: Callable[[], None] = lambda: None  # called when a version or a confirmation has come
--- a/grebestack/cluster_io/node.py
+++ b/grebestack/cluster_io/node.py
@@ -207,7 +207,8 @@
         Parameters
         ----------
         on_ended
-            Called with whether the value is known to be chosen, and the value.
+            Called with whether the value is known to be chosen, and the value; at once with False if a
+            proposal for the register is open here or too few members are connected.
         """
         if self.replica.has_open_proposal(register) or not self.replica.can_reach_quorum():
             on_ended(False, None)
--- a/grebestack/config_distribution/fetching.py
+++ b/grebestack/config_distribution/fetching.py
@@ -19,11 +19,11 @@
         """Begin with nothing to fetch."""
         self.state, self.activation = state, activation
         self.fetch_ms = inf
-        self.fetched = ""  # the voter to ask next
+        self.next_voter = ""  # the voter to ask next
 
     def begin(self, now_ms: float, name: str) -> None:
         """Fetch at the next tick, first from this voter."""
-        self.fetch_ms, self.fetched = now_ms, name
+        self.fetch_ms, self.next_voter = now_ms, name
 
     def fetch(self, now_ms: float, view: VoterView) -> list[ConfigurationAction]:
         """Ask the next voter."""
@@ -31,8 +31,8 @@
         others = self.state.peers(view)
         if not others:
             return []
-        name = self.fetched if self.fetched in others else others[0]
-        self.fetched = others[(others.index(name) + 1) % len(others)]
+        name = self.next_voter if self.next_voter in others else others[0]
+        self.next_voter = others[(others.index(name) + 1) % len(others)]
         return [self.state.send(name, FetchContents(self.state.decided.digest))]
 
     def received(self, name: str, message: Contents) -> list[ConfigurationAction]:
--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -2,8 +2,9 @@
 
 It is connected to one relay, polls it, and changes to another relay when one is silent or has had no
 confirmation by a majority for long. A version is validated and stored before it is put in force, so that
-after a crash the disk is never behind what was in force. At a start the disk's version waits a moment for a
-relay, so that an old disk is not used where a relay can be reached.
+after a crash the disk is not behind what was in force; if storing fails it is put in force all the same. At
+a start the disk's version waits a moment for a relay, so that an old disk is not used where a relay can be
+reached.
 """
 
 from __future__ import annotations
@@ -70,7 +71,7 @@
         Process incarnation: a later start has a higher number.
     places
         "region/zone" of each relay.
-    relays
+    is_relay
         The follower is a relay itself: it polls faster and returns `PublishVersion` and `MajorityConfirmed`.
     """
 
@@ -82,11 +83,11 @@
         incarnation: int,
         places: Mapping[str, str],
         random: Random,
-        relays: bool = False,
+        is_relay: bool = False,
     ) -> None:
         """Begin unconnected; `start` reads what the disk holds."""
         self.name, self.cluster, self.place, self.incarnation = name, cluster, place, incarnation
-        super().__init__(relays)
+        super().__init__(is_relay)
         self.random = random
         self.order = relay_order(name, place, places)
         self.link, self.state = 0, PAUSED
@@ -181,7 +182,7 @@
         return self._leave_relay(now_ms, f"not taken: {message.why}")
 
     def _on_not_modified(self, now_ms: float, message: NotModified) -> list[FollowerAction]:
-        return self._on_relay_number(now_ms, message.number, message.confirmed_ms)
+        return self._on_relay_number(now_ms, message.number, message.confirmed_age_ms)
 
     def _on_accepted(self, now_ms: float, message: SubscribeAccepted) -> list[FollowerAction]:
         for field, value, allowed in (
@@ -219,7 +220,7 @@
         known = confirmed_ms < NEVER_CONFIRMED_MS and number >= self.version.number
         if known and (self.confirmed_ms is None or at_ms > self.confirmed_ms):
             self.confirmed_ms = at_ms
-            if self.relays and not self.announced:
+            if self.is_relay and not self.announced:
                 actions.append(MajorityConfirmed(self.confirmed_ms))
         self.poll_ms = now_ms + self._poll_delay_ms()
         if self.disk and self.disk[0][0].number >= number:
@@ -267,7 +268,7 @@
                     "number", number, f"{self.floor} and more, which this follower had acknowledged"
                 )
                 noted = self._log_invalid_once(f"floor/{self.relay}", why)
-            return noted + self._on_relay_number(now_ms, number, update.confirmed_ms)
+            return noted + self._on_relay_number(now_ms, number, update.confirmed_age_ms)
         if update.contents is not None:
             if why := contents_problem(version, update.contents):
                 return self._reject_message(now_ms, why)
@@ -276,7 +277,7 @@
             try:
                 contents = apply_delta(self._base_contents(update.delta.base), update.delta, version)
             except DeltaError as error:
-                actions = self._on_relay_number(now_ms, number, update.confirmed_ms)
+                actions = self._on_relay_number(now_ms, number, update.confirmed_age_ms)
                 if self.state == LINKED:
                     self.deadline_ms = now_ms + timeouts.RESPONSE_TIMEOUT_MS
                     actions.append(Send(self.link, FetchFullContents(number)))
@@ -284,15 +285,19 @@
         else:
             return self._reject_message(now_ms, invalid_value("contents", None, "whole or by difference"))
         self.next_version = version, contents
-        offer: list[FollowerAction] = [PublishVersion(version, contents)] if self.relays else []
+        offer: list[FollowerAction] = [PublishVersion(version, contents)] if self.is_relay else []
         begun = self._begin_next(now_ms)
-        return [*offer, *begun, *self._on_relay_number(now_ms, number, update.confirmed_ms)]
+        return [*offer, *begun, *self._on_relay_number(now_ms, number, update.confirmed_age_ms)]
 
     # The link.
 
     def _poll_delay_ms(self) -> float:
         return self.random.uniform(
-            *(timeouts.FAST_POLL_INTERVAL_MS if self.announced or self.relays else timeouts.POLL_INTERVAL_MS)
+            *(
+                timeouts.FAST_POLL_INTERVAL_MS
+                if self.announced or self.is_relay
+                else timeouts.POLL_INTERVAL_MS
+            )
         )
 
     def _send_poll(self, now_ms: float) -> list[FollowerAction]:
--- a/grebestack/config_distribution/follower_versions.py
+++ b/grebestack/config_distribution/follower_versions.py
@@ -18,15 +18,15 @@
 
     Parameters
     ----------
-    relays
+    is_relay
         The follower is a relay itself.
     """
 
-    def __init__(self, relays: bool) -> None:
+    def __init__(self, is_relay: bool) -> None:
         """Begin without a version."""
-        self.relays = relays
+        self.is_relay = is_relay
         self.relay = ""  # the relay that is followed
-        self.noted: frozenset[str] = frozenset()  # faults that were logged
+        self.logged_faults: frozenset[str] = frozenset()  # faults that were logged
         self.version: Version = NO_VERSION  # in force
         self.contents = b""
         self.disk: tuple[VersionContents, ...] = ()  # newest first; until a version is in force
@@ -48,7 +48,7 @@
             else:
                 valid.append((version, contents))
         self.disk = tuple(sorted(valid, key=lambda held: -held[0].number))
-        if self.relays and self.disk:
+        if self.is_relay and self.disk:
             actions.append(PublishVersion(*self.disk[0]))
         return actions
 
@@ -108,7 +108,7 @@
 
     def _log_invalid_once(self, key: str, why: str) -> list[FollowerAction]:
         """As `_log_invalid`, once for each key."""
-        if key in self.noted:
+        if key in self.logged_faults:
             return []
-        self.noted |= {key}
+        self.logged_faults |= {key}
         return self._log_invalid(why)
--- a/grebestack/config_distribution/learning.py
+++ b/grebestack/config_distribution/learning.py
@@ -90,19 +90,22 @@
     def __init__(self, state: VoterState, activation: VersionActivation, now_ms: float) -> None:
         """Begin unconfirmed; the first heartbeat is due at once."""
         self.state, self.activation = state, activation
-        self.beat_ms, self.beats = now_ms, 0  # when the next heartbeat is due, and how many were sent
+        self.next_heartbeat_ms, self.heartbeat_count = (
+            now_ms,
+            0,
+        )  # when the next heartbeat is due, and how many were sent
         self.sent: dict[int, float] = {}  # by sequence: when
         self.others: dict[str, PeerReport] = {}
         self.confirmed_ms: float | None = None
 
     def send_heartbeat(self, now_ms: float, view: VoterView) -> list[ConfigurationAction]:
         """Send a heartbeat to each connected voter."""
-        self.beats += 1
-        self.sent[self.beats] = now_ms
+        self.heartbeat_count += 1
+        self.sent[self.heartbeat_count] = now_ms
         while len(self.sent) > MAX_HEARTBEATS_OUTSTANDING:
             del self.sent[next(iter(self.sent))]
-        self.beat_ms = now_ms + self.state.random.uniform(*timeouts.HEARTBEAT_INTERVAL_MS)
-        heartbeat = Heartbeat(self.beats, view.epoch, view.accepted, self.state.decided)
+        self.next_heartbeat_ms = now_ms + self.state.random.uniform(*timeouts.HEARTBEAT_INTERVAL_MS)
+        heartbeat = Heartbeat(self.heartbeat_count, view.epoch, view.accepted, self.state.decided)
         return [self.state.send(name, heartbeat) for name in self.state.peers(view)]
 
     def received(self, name: str, response: HeartbeatResponse) -> None:
@@ -133,6 +136,6 @@
         at_ms = times[view.majority - 1]
         if self.confirmed_ms is not None and at_ms <= self.confirmed_ms:
             return []
-        self.confirmed_ms, self.state.current = at_ms, True
+        self.confirmed_ms, self.state.is_number_known = at_ms, True
         begun = self.activation.begin() if self.activation.start_ms < inf else []  # the disk's is the newest
         return [MajorityConfirmed(at_ms), *begun]
--- a/grebestack/config_distribution/messages.py
+++ b/grebestack/config_distribution/messages.py
@@ -12,7 +12,7 @@
 
 PROTOCOL_VERSION = 1
 MAX_MESSAGE_BYTES = MAX_CONTENTS_BYTES + 64 * 1024  # without the length before it
-NEVER_CONFIRMED_MS = 1 << 40  # `confirmed_ms` of a relay that has no confirmation
+NEVER_CONFIRMED_MS = 1 << 40  # `confirmed_age_ms` of a relay that has no confirmation
 
 
 class Subscribe(Struct, frozen=True, array_like=True, tag="greeting"):
@@ -44,10 +44,10 @@
 
 
 class ConfigUpdate(Struct, frozen=True, array_like=True, tag="news"):
-    """A decided version with its contents, in full or as a delta; `confirmed_ms` as in `NotModified`."""
+    """A decided version with its contents, in full or as a delta; `confirmed_age_ms` as in `NotModified`."""
 
     version: Version
-    confirmed_ms: int
+    confirmed_age_ms: int
     delta: Delta | None = None
     contents: bytes | None = None
 
@@ -65,7 +65,7 @@
     """The newest number the relay has, and how long ago, in ms, a majority of voters knew of no newer one."""
 
     number: int
-    confirmed_ms: int
+    confirmed_age_ms: int
 
 
 class FetchFullContents(Struct, frozen=True, array_like=True, tag="fetch"):
@@ -80,9 +80,9 @@
     name: str
     incarnation: int
     number: int  # in force at its last message
-    heard_ms: int  # since its last message
+    heard_age_ms: int  # since its last message
     linked: bool
-    behind_ms: int = 0  # since the relay has had a newer version; 0: it is not behind
+    behind_age_ms: int = 0  # since the relay has had a newer version; 0: it is not behind
     refused: int = 0
     why: str = ""
 
--- a/grebestack/config_distribution/proposing.py
+++ b/grebestack/config_distribution/proposing.py
@@ -45,7 +45,7 @@
         elif digest not in self.undecided.writing:
             self.undecided.writing[digest] = contents, frozenset()
             store.append(StoreContents(digest, contents))
-        read = [] if state.current or self.register.deciding else self.register.read(now_ms)
+        read = [] if state.is_number_known or self.register.is_busy else self.register.read(now_ms)
         return [*store, *read, *self.advance(now_ms, view)]
 
     def _why_rejected(self, contents: bytes, view: VoterView) -> str:
@@ -86,18 +86,18 @@
         held = ", ".join(sorted(proposal.holders)) or "nobody"
         if proposal.asked:
             return "not known whether it is in force"
-        if not self.state.current:
+        if not self.state.is_number_known:
             return f"the register can't be read: no majority of the voters has answered; held by {held}"
         return f"its contents are held by {held}; needed: {view.majority} voters"
 
     def _change_register(self, now_ms: float, proposal: Proposal) -> list[ConfigurationAction]:
         state = self.state
-        if not state.current:  # the number to propose is not known yet
+        if not state.is_number_known:  # the number to propose is not known yet
             state.proposal = replace(proposal, again_ms=self.register.read_ms)
             return []
-        if self.register.deciding or (proposal.asked and now_ms < proposal.again_ms):
+        if self.register.is_busy or (proposal.asked and now_ms < proposal.again_ms):
             return []
-        self.register.deciding = True
+        self.register.is_busy = True
         again_ms = now_ms + state.register_read_delay_ms()
         state.proposal = replace(proposal, again_ms=again_ms, asked=True)
         return [ChangeRegister(proposal.version)]
@@ -124,7 +124,7 @@
         state, proposal = self.state, self.state.proposal
         if proposal is None or decided.number < proposal.version.number:
             return []
-        if not state.current:  # decided before the proposal as far as is known, which comes next
+        if not state.is_number_known:  # decided before the proposal as far as is known, which comes next
             version = msgspec.structs.replace(proposal.version, number=decided.number + 1)
             state.proposal = replace(proposal, version=version)
             return []
--- a/grebestack/config_distribution/register_access.py
+++ b/grebestack/config_distribution/register_access.py
@@ -27,14 +27,14 @@
 
     def __init__(self) -> None:
         """Begin with no access under way."""
-        self.deciding = False  # an access is under way
+        self.is_busy = False  # an access is under way
         self.read_ms = inf
 
     def read(self, now_ms: float) -> list[ConfigurationAction]:
         """Read the register; it is read again if that does not end."""
-        self.deciding, self.read_ms = True, now_ms + timeouts.REGISTER_TIMEOUT_MS
+        self.is_busy, self.read_ms = True, now_ms + timeouts.REGISTER_TIMEOUT_MS
         return [ChangeRegister(None)]
 
     def read_due_ms(self) -> float:
         """Return when the next read is due."""
-        return inf if self.deciding else self.read_ms
+        return inf if self.is_busy else self.read_ms
--- a/grebestack/config_distribution/relay.py
+++ b/grebestack/config_distribution/relay.py
@@ -102,7 +102,7 @@
         self.reported_number = -1
         self.sequence = 0
         self.report_ms, self.full_report_ms, self.next_scan_ms = 0.0, 0.0, 0.0
-        self.noted: frozenset[str] = frozenset()
+        self.logged_faults: frozenset[str] = frozenset()
 
     # What it serves.
 
@@ -292,9 +292,11 @@
         ]
 
     def _log_invalid_once(self, key: str, name: str, why: str) -> list[RelayAction]:
-        if key in self.noted:
+        if key in self.logged_faults:
             return []
-        self.noted = (self.noted if len(self.noted) < MAX_STATUSES else frozenset()) | {key}
+        self.logged_faults = (
+            self.logged_faults if len(self.logged_faults) < MAX_STATUSES else frozenset()
+        ) | {key}
         return [LogMessage("configuration_wrong", {"follower": name, "why": why})]
 
     # Time.
@@ -373,7 +375,7 @@
         return max(due, now_ms + 1.0)
 
     def shown(self, now_ms: float) -> str:
-        """Describe the relay and the followers that are behind to operators, in one line."""
+        """Describe the relay and the followers behind, also those that refused the version, in one line."""
         behind = sorted(
             follower.name for follower in self.followers.values() if follower.behind_ms is not None
         )
--- a/grebestack/config_distribution/status.py
+++ b/grebestack/config_distribution/status.py
@@ -114,10 +114,10 @@
         ):
             why = invalid_value("number", status.number, f"{former.status.number} and more of {name}")
             return self.state.report_invalid(f"standing/{by}/{name}", by, why)
-        behind = now_ms - status.behind_ms if status.behind_ms else None
+        behind = now_ms - status.behind_age_ms if status.behind_age_ms else None
         if former is not None and former.behind_ms is not None and behind is not None:
             behind = min(behind, former.behind_ms) if status.number == former.status.number else behind
-        relay.followers[name] = FollowerEntry(status, now_ms - status.heard_ms, behind)
+        relay.followers[name] = FollowerEntry(status, now_ms - status.heard_age_ms, behind)
         if status.number > self.acknowledged.get(name, 0):
             self.acknowledged.pop(name, None)
             self.acknowledged[name] = status.number
--- a/grebestack/config_distribution/voter.py
+++ b/grebestack/config_distribution/voter.py
@@ -77,7 +77,7 @@
         self, now_ms: float, disk: list[tuple[Version, bytes]], kept: dict[str, bytes]
     ) -> list[ConfigurationAction]:
         """Start with the decided versions on the disk, and with undecided contents by digest."""
-        self.majority.beat_ms = now_ms
+        self.majority.next_heartbeat_ms = now_ms
         self.undecided.start(now_ms, kept)
         return self.activation.start(now_ms, disk)
 
@@ -118,19 +118,19 @@
     ) -> list[ConfigurationAction]:
         """`ChangeRegister` has ended; `known`: with this value in the register."""
         state, register = self.state, self.register
-        register.deciding, state.view = False, view
+        register.is_busy, state.view = False, view
         if not known:
             if register.read_ms < inf:
                 register.read_ms = now_ms + state.register_read_delay_ms()
             return self.proposing.advance(now_ms, view)
         register.read_ms = inf
         if not isinstance(value, Version):
-            state.current = True
+            state.is_number_known = True
             return self.proposing.advance(now_ms, view)
         newer = value.number > state.decided.number
         actions = self.decided_versions.learn(now_ms, value, state.name)
         actions += self.proposing.settle(value)
-        state.current = True
+        state.is_number_known = True
         if newer:
             actions += self.majority.send_heartbeat(now_ms, view)
         return actions + self.proposing.advance(now_ms, view)
@@ -212,7 +212,7 @@
         return self.status.counts(now_ms)
 
     def shown(self, now_ms: float) -> list[str]:
-        """Describe the version in force and the followers to operators, in a few lines."""
+        """Describe the newest decided version and the followers to operators, in a few lines."""
         state, version = self.state, self.state.decided
         if version.number:
             first = f"version {version.number} decided, digest {version.digest[:12]}, by {version.by}"
@@ -236,7 +236,7 @@
         actions: list[ConfigurationAction] = []
         self.state.view = view
         self.decided_versions.compare_accepted(now_ms, view.accepted)
-        if now_ms >= self.majority.beat_ms:
+        if now_ms >= self.majority.next_heartbeat_ms:
             actions += self.majority.send_heartbeat(now_ms, view)
             actions += self.majority.confirm(now_ms, view)
         actions += self.proposing.advance(now_ms, view)
@@ -251,12 +251,12 @@
 
     def due_ms(self, now_ms: float) -> float:
         """Return when `tick` is to be called at the latest."""
-        due = min(self.majority.beat_ms, self.fetching.fetch_ms, self.activation.start_ms)
+        due = min(self.majority.next_heartbeat_ms, self.fetching.fetch_ms, self.activation.start_ms)
         due = min(due, self.register.read_due_ms())
         proposal = self.state.proposal
         if proposal is not None:
             due = min(due, proposal.until_ms)
-            if not self.register.deciding:
+            if not self.register.is_busy:
                 due = min(due, proposal.again_ms)
         return max(due, now_ms + 1.0)
 
--- a/grebestack/config_distribution/voter_state.py
+++ b/grebestack/config_distribution/voter_state.py
@@ -55,10 +55,10 @@
         self.decided: Version = NO_VERSION  # the newest that is known to be decided
         self.version: Version = NO_VERSION  # the newest decided version whose contents are here
         self.contents = b""  # of `version`
-        self.current = False  # the decided number has been learned from a majority since the start
+        self.is_number_known = False  # the decided number has been learned from a majority since the start
         self.proposal: Proposal | None = None
         self.view = VoterView(-1, 0, frozenset(), 1, frozenset())  # the last one given
-        self.noted: frozenset[str] = frozenset()  # faults that were reported
+        self.logged_faults: frozenset[str] = frozenset()  # faults that were reported
 
     def peers(self, view: VoterView) -> list[str]:
         """List the other members that are connected, in order of name."""
@@ -74,7 +74,7 @@
 
     def report_invalid(self, key: str, by: str, why: str) -> list[ConfigurationAction]:
         """Log a fault of another process, once for each key."""
-        if key in self.noted or len(self.noted) >= MAX_NAMES:
+        if key in self.logged_faults or len(self.logged_faults) >= MAX_NAMES:
             return []
-        self.noted |= {key}
+        self.logged_faults |= {key}
         return [LogMessage("configuration_wrong", {"voter": by, "why": why})]
--- a/grebestack/consensus/lease.py
+++ b/grebestack/consensus/lease.py
@@ -24,7 +24,7 @@
 
 from grebestack.consensus.register import Change, Value
 
-NEVER_MS = float("-inf")  # the expiry of a lease that is not held
+NOT_HELD_MS = float("-inf")  # the expiry of a lease that is not held
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True, tag="lease"):
@@ -156,7 +156,7 @@
     observed: Lease = FREE  # the last value seen
     observed_ms: float = 0.0  # when it was first seen
     has_observed: bool = False  # whether any value was ever seen
-    valid_until_ms: float = NEVER_MS  # this member may act until then
+    valid_until_ms: float = NOT_HELD_MS  # this member may act until then
     proposed_ms: float | None = None  # when the open proposal began
     proposal_count: int = 0  # in this process incarnation
     next_proposal_ms: float = 0.0  # no proposal before this
@@ -169,7 +169,7 @@
     @property
     def is_held(self) -> bool:
         """Whether the lease is this member's as far as it knows; its term may have passed."""
-        return self._is_own(self.observed) and self.valid_until_ms > NEVER_MS
+        return self._is_own(self.observed) and self.valid_until_ms > NOT_HELD_MS
 
     def _is_own(self, lease: Lease) -> bool:
         return lease.holder == self.name and lease.process_incarnation == self.process_incarnation
@@ -226,7 +226,7 @@
         if self._is_own(lease) and lease != lease_of(previous):
             return replace(after, valid_until_ms=proposed_ms + self.terms.usable_ms)
         is_still_held = self.is_held and is_same_grant(lease, self.observed)
-        return after if is_still_held else replace(after, valid_until_ms=NEVER_MS)
+        return after if is_still_held else replace(after, valid_until_ms=NOT_HELD_MS)
 
     def on_failed(self, next_proposal_ms: float) -> LeaseHolder:
         """Handle a proposal whose outcome is not known: a higher ballot came, or no quorum in time."""
@@ -234,7 +234,7 @@
 
     def resign(self) -> LeaseHolder:
         """Stop acting and proposing, whatever becomes of the open proposal."""
-        return replace(self, valid_until_ms=NEVER_MS, is_candidate=False, proposed_ms=None)
+        return replace(self, valid_until_ms=NOT_HELD_MS, is_candidate=False, proposed_ms=None)
 
 
 @dataclass(slots=True)
--- a/grebestack/consensus/membership_change.py
+++ b/grebestack/consensus/membership_change.py
@@ -66,7 +66,7 @@
         self.name, self.names = name, names
         self.acceptor, self.proposals, self.random = acceptor, proposals, random
         self.applicants: dict[str, _Applicant] = {}  # by name
-        self.removed: set[str] = set()  # members that an operator removes
+        self.removed: set[str] = set()  # members that an operator removes; not on the disk
         self.stopped: dict[str, tuple[RegisterEntry, ...]] = {}  # by member that votes no more
         self.next_step_ms = now_ms
 
--- a/grebestack/consensus/proposals.py
+++ b/grebestack/consensus/proposals.py
@@ -30,10 +30,11 @@
     Value,
 )
 
-PROPOSAL_TIMEOUT_MS = 800.0
+PROPOSAL_TIMEOUT_MS = 800.0  # for both phases together; config_distribution.timeouts has the same value
 RETRY_BACKOFF_MS, MAX_RETRY_BACKOFF_MS = 60.0, 500.0  # doubled with each failure in a row, with jitter
 MAX_BACKOFF_DOUBLINGS = 10
-OUTCOMES = {Phase.CHOSEN: "CHOSEN", Phase.PREEMPTED: "BEATEN"}  # as operators' tools read them in the log
+# As operators' tools read them in the log. BEATEN: a higher ballot, or no quorum within the time-out.
+OUTCOMES = {Phase.CHOSEN: "CHOSEN", Phase.PREEMPTED: "BEATEN"}
 
 # Called when a proposal has ended: the time, how it ended, the previous value, the new value.
 OnEnded = Callable[[float, Phase, Value, Value], list[Action]]
@@ -153,7 +154,7 @@
         return actions
 
     def abandon_all(self, now_ms: float) -> list[Action]:
-        """Give up all proposals of an epoch that has ended; their outcomes are not known."""
+        """Give up all proposals of an epoch that has ended, unlogged; their outcomes are not known."""
         abandoned, self.open = self.open, {}
         actions: list[Action] = []
         for proposal in abandoned.values():
--- a/grebestack/consensus/recovery.py
+++ b/grebestack/consensus/recovery.py
@@ -46,6 +46,7 @@
         self.next_config = record.next_config
 
     def _on_process_started(self, record: ProcessStarted) -> None:
+        # The records are counted; the count in them is not used.
         self.start_count += 1
 
     def _on_incarnation_started(self, record: IncarnationStarted) -> None:
@@ -57,7 +58,10 @@
         return tuple((name, s.promised, s.accepted, s.value) for name, s in sorted(self.registers.items()))
 
     def compacted_records(self) -> list[LogRecord]:
-        """Return the shortest list of records from which the same state is recovered."""
+        """Return the shortest list of records from which the same registers and membership are recovered.
+
+        The count of starts is not kept: it is recovered as one at the most.
+        """
         records: list[LogRecord] = [IncarnationStarted(self.cluster, self.disk_incarnation, self.config)]
         records += [ProcessStarted(0)] * min(self.start_count, 1)
         records.append(EpochEntered(self.config, self.register_entries()))
--- a/grebestack/consensus/register.py
+++ b/grebestack/consensus/register.py
@@ -26,7 +26,7 @@
 
     number: int = 0
     member: str = ""
-    process_incarnation: int = 0  # from a start count on the member's disk
+    process_incarnation: int = 0  # a start count and random bits: unique, but it need not grow
 
     def next_above(self, other: Ballot) -> Ballot:
         """Return this member's next ballot that is higher than another one."""
@@ -92,7 +92,7 @@
     PREPARING = "waits for promises"
     ACCEPTING = "waits for acceptances"  # from here on the value may be chosen, whatever responses arrive
     CHOSEN = "chosen"
-    PREEMPTED = "a higher ballot came first"
+    PREEMPTED = "a higher ballot came first"  # also after a timeout or the end of an epoch: outcome unknown
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebestack/consensus/task_leases.py
+++ b/grebestack/consensus/task_leases.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from grebestack.consensus.actions import Action, LeaseChanged, LogMessage
-from grebestack.consensus.lease import NEVER_MS, LeaseHolder, LeaseTerms, release
+from grebestack.consensus.lease import NOT_HELD_MS, LeaseHolder, LeaseTerms, release
 from grebestack.consensus.proposals import Proposals
 from grebestack.consensus.register import Phase, Value
 
@@ -63,7 +63,7 @@
 
     def on_fenced(self, now_ms: float, task: str) -> list[Action]:
         """Stop acting under a token that a resource has rejected for a later one."""
-        self.holders[task] = replace(self.holders[task], valid_until_ms=NEVER_MS)
+        self.holders[task] = replace(self.holders[task], valid_until_ms=NOT_HELD_MS)
         return self._log_change(now_ms, task)
 
     def become_candidate(self, now_ms: float, task: str) -> None:
--- a/grebestack/core/actions.py
+++ b/grebestack/core/actions.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the next attempt of a request; without a timeout it runs until the client gives up.
+    """Start the next attempt of a request; without a timeout it runs until the deadline at the latest.
 
     The first byte must be sent by `by_ms` or not at all: the connection may be established late.
     """
@@ -56,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
-    """Subscribe to changes of the endpoint list."""
+    """Subscribe to changes of the endpoint list. Only the simulator acts on it: the engine always does."""
 
     on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Request the whole endpoint list once."""
+    """Request the whole endpoint list once. The policy never returns it."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebestack/core/admission.py
+++ b/grebestack/core/admission.py
@@ -9,14 +9,14 @@
 ADMISSION_DECREASE_FACTOR = 0.5  # by each overdue start of a job that cannot be moved
 MIN_ADMISSION_PROBABILITY = 0.05
 ADMISSION_PROBE_INTERVAL_MS = 1000.0  # one request is admitted if none was sent for this long
-QUOTA_BURST_S = 2.0
+QUOTA_BURST_S = 2.0  # seconds of the rate that may come at once
 
 
 class TokenBucket:
     """Token bucket with a burst of two seconds, or of one token at low rates."""
 
     def __init__(self) -> None:
-        """Start with one token."""
+        """Start at clock 0 with one token: the first take on a later clock finds a full bucket."""
         self.tokens, self.updated_ms = 1.0, 0.0
 
     def take(self, now_ms: float, rate_per_s: float) -> bool:
@@ -31,7 +31,7 @@
 
 
 class AdmissionControl:
-    """Sheds classes whose late answers are worth nothing while workers' queues do not drain."""
+    """Sheds requests, at random, of classes whose late answers are worth nothing, while starts are late."""
 
     def __init__(self, context: DecisionContext) -> None:
         """Start with every request admitted."""
@@ -41,7 +41,7 @@
         self.quotas: list[TokenBucket] = []
 
     def on_settings_changed(self) -> None:
-        """Start with full quotas for the tenants of the new settings."""
+        """Start new buckets for the tenants: each has a full burst again after a reload."""
         self.quotas = [TokenBucket() for _ in self.context.settings.tenants]
 
     def is_within_quota(self, tenant: int) -> bool:
@@ -79,7 +79,7 @@
         self.admission_probability = max(MIN_ADMISSION_PROBABILITY, self.admission_probability * factor)
 
     def retry_after_ms(self, class_index: int, queued_count: int) -> float | None:
-        """Return when a rejected client should retry: once those queued before it may have been served.
+        """Return after how many ms a rejected client should retry: about when those queued before are served.
 
         None if the settings have no Retry-After.
         """
--- a/grebestack/core/context.py
+++ b/grebestack/core/context.py
@@ -26,5 +26,5 @@
         self.workers: dict[str, TrackedWorker] = {}
 
     def jittered_ms(self, mean_ms: float, doublings: int = 0) -> float:
-        """Return a random delay with exponential backoff: 0.5 to 1.5 of the mean, doubled so often."""
+        """Return a random delay in ms: 0.5 to 1.5 times the mean, which is doubled so often."""
         return mean_ms * 2.0 ** min(doublings, MAX_BACKOFF_DOUBLINGS) * self.random.uniform(0.5, 1.5)
--- a/grebestack/core/estimates.py
+++ b/grebestack/core/estimates.py
@@ -9,8 +9,8 @@
 from grebestack.core.settings import JobClass
 
 LEARNING_RATE = 0.02  # share of each sample in a moving average
-START_DELAY_DECREASE = 0.2  # share by which the least start delay follows a sample below it
-LOAD_MEMORY_MS = 2000.0  # known load of other dispatchers is forgotten within this
+START_DELAY_DECREASE = 0.2  # at each sample that is not above it; others raise it by LEARNING_RATE / 4
+LOAD_MAX_AGE_MS = 2000.0  # known load of other dispatchers is forgotten within this
 MAX_HINT_RATIO = 8.0  # a running time counts at most this many times its hint
 
 
@@ -40,7 +40,9 @@
         self.run_ms: list[float] = []  # by class
         self.run_ms_per_hinted_ms: list[float] = []  # by class
         self.slots: list[float] = []  # by class
-        self.request_value = 1.0  # mean priority weight of a request
+        self.request_value = (
+            1.0  # mean of a request: its priority weight, times hinted ms with weight_by_work
+        )
         self.kind_slots: dict[int, float] = {}  # most slots seen in use on one worker of a kind
         self.kind_weight: dict[int, float] = {}  # highest weight in the endpoint list of a kind
         self.others_load = (0.0, 0.0)  # slots and memory of the other dispatchers at an average worker
@@ -86,7 +88,7 @@
 
     def update_others_load(self, workers: Sequence[LoadObservation], now_ms: float) -> None:
         """Learn the mean load of other dispatchers from the workers whose load was reported lately."""
-        recent = [worker for worker in workers if worker.load_known_ms > now_ms - LOAD_MEMORY_MS]
+        recent = [worker for worker in workers if worker.load_known_ms > now_ms - LOAD_MAX_AGE_MS]
         if recent:
             slots = sum(worker.others_slots for worker in recent) / len(recent)
             memory = sum(worker.others_memory for worker in recent) / len(recent)
--- a/grebestack/core/events.py
+++ b/grebestack/core/events.py
@@ -37,7 +37,7 @@
     OK = "ok"
     ERROR = "error"  # the worker answered with an error; it may have run
     REJECTED = "rejected"  # not executed
-    TIMEOUT = "timeout"  # no answer in time; it may have run, or may still run
+    TIMEOUT = "timeout"  # cut off at the deadline; it may have run, or may still run
     CONNECT_FAILED = "connect_failed"  # never reached the worker
     RESET = "reset"  # the connection broke; it may have run
     CANCELLED = "cancelled"  # it may have run
@@ -88,7 +88,7 @@
     slots: float = 1.0
     memory: float = 0.0
     tenant: int = 0
-    key: int | None = None
+    key: int | None = None  # cache key: data that a worker may still have; not the idempotency key
     cost_ms: float | None = None
     retry: bool = False
     aged: bool = False  # waited so long that it goes before all others
@@ -137,7 +137,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestDropped:
-    """The client disconnected; no answer is due."""
+    """No answer is due any more.
+
+    The client disconnected or cancelled, the request was handed over, or the engine answered at the deadline.
+    """
 
     request: int
 
--- a/grebestack/core/outliers.py
+++ b/grebestack/core/outliers.py
@@ -17,7 +17,7 @@
 SLOWNESS_LEARNING_RATE = 0.2
 MAX_SLOWNESS = 4.0  # a job counts as no slower: it may be an unusually large one
 SLUGGISH_FACTOR = 1.5  # slower than typical by this: a worker is ranked later and given fewer jobs
-OUTLIER_FACTOR = 2.5  # slower than typical by this: a worker is ejected
+OUTLIER_FACTOR = 2.5  # slower than typical by this: an outlier, ejected between trial requests
 TRIAL_INTERVAL_RUNS = 4.0  # running times until the first trial request; it doubles each time
 ERROR_LEARNING_RATE = 0.3
 MIN_OUTLIER_ERROR_RATE = 0.1  # a lower error rate never ejects
@@ -51,7 +51,7 @@
             worker.slowness = max(worker.slowness, min(MAX_SLOWNESS, ratios[len(ratios) // 2]))
 
     def is_outlier(self, worker: TrackedWorker, class_index: int) -> bool:
-        """Whether a worker is ejected: far slower than others, or failing a class that they do not fail.
+        """Whether a worker is far slower than others, or fails a class that they do not fail.
 
         Such a worker always has free slots and would otherwise attract most of the work.
         """
@@ -119,7 +119,10 @@
         return context.now_ms < worker.backoff_until_ms + wait_ms
 
     def on_overload(self, worker: TrackedWorker, concurrency_limit: float, backoff_ms: float) -> None:
-        """Lower the concurrency limit, in slots, and back off; the backoff doubles each time."""
+        """Lower the concurrency limit, in slots, and back off; the backoff (ms) doubles each time.
+
+        Called for an overdue start, a rejection, a timeout, a failed connection and a reset.
+        """
         context = self.context
         worker.concurrency_limit = min(worker.concurrency_limit, concurrency_limit)
         worker.backoff_until_ms = context.now_ms + context.jittered_ms(
--- a/grebestack/core/policy.py
+++ b/grebestack/core/policy.py
@@ -125,7 +125,10 @@
             self._serve_queue()
 
     def _on_list_failed(self) -> None:
-        """Retry well before the poll deadline, at a random time: all dispatchers share the list service."""
+        """Retry well before the poll deadline, at a random time: all dispatchers share the list service.
+
+        Only the simulator reports failed lists; a real dispatcher's watch is in endpoint_watch/.
+        """
         context = self.context
         pause_ms = context.jittered_ms(
             context.settings.poll_deadline_ms / LIST_RETRIES_PER_DEADLINE,
@@ -187,7 +190,7 @@
     def _place(self, request: Request) -> None:
         """Send a request to a valid worker, queue it, or answer it if it cannot be sent any more."""
         if not may_send(request, self.context.now_ms, self.settings):
-            if not request.in_flight():
+            if not request.awaited_attempts():
                 self._give_up(request)
             return
         is_new = not request.attempts
@@ -226,7 +229,7 @@
         self.actions.append(api.Send(arrival.request, worker.entry.worker, None, by_ms))
 
     def _cancel_attempts(self, request: Request) -> None:
-        for attempt in request.in_flight():
+        for attempt in request.awaited_attempts():
             attempt.is_cancelled = True
             if self.settings.cancel:
                 self.actions.append(api.Cancel(request.arrival.request, request.attempts.index(attempt)))
@@ -264,7 +267,7 @@
 
     def _on_queue_timeout(self, request: Request) -> None:
         """Reject a request queued past its objective, or keep it if a late answer is worth something."""
-        if not request.is_queued or request.in_flight():
+        if not request.is_queued or request.awaited_attempts():
             return
         if request.job_class.late_priority_weight > 0 or not may_reject(request):
             request.is_queued = False
@@ -348,7 +351,7 @@
         self._on_load_report(event)
         if event.closed or request.is_closed:
             self._close(request)
-        elif not request.in_flight():
+        elif not request.awaited_attempts():
             self._place(request)
         self._serve_queue(worker)
         if worker.used_slots < worker.concurrency_limit:
--- a/grebestack/core/queueing.py
+++ b/grebestack/core/queueing.py
@@ -68,7 +68,7 @@
         """
         queue = self.queue
         heads = [r for key in queue.keys for r in queue.heads(key, QUEUE_HEADS)]
-        if any(r.arrival.cost_ms or r.has_key for r in heads):
+        if any(r.arrival.cost_ms or r.has_cache_key for r in heads):
             heads = [r for key in queue.keys for r in queue.heads(key, QUEUE_LOOKAHEAD)]
             heads.sort(key=lambda r: (not r.queue_key.is_aged, -self._gain(r, freed)))
             return heads[: 2 * QUEUE_HEADS]
--- a/grebestack/core/requests.py
+++ b/grebestack/core/requests.py
@@ -33,16 +33,16 @@
     is_queued: bool = False
 
     @property
-    def has_key(self) -> bool:
-        """Whether its data may be cached at a worker; 0 is a key like any other."""
+    def has_cache_key(self) -> bool:
+        """Whether it names a cache key; 0 is a key like any other."""
         return self.arrival.key is not None
 
     def value_units(self, settings: Settings) -> float:
         """Return what the priority weight is multiplied by: hinted milliseconds of work, or 1."""
         return (settings.weight_by_work and self.arrival.cost_ms) or 1.0
 
-    def in_flight(self) -> list[Attempt]:
-        """Return the attempts whose result is awaited."""
+    def awaited_attempts(self) -> list[Attempt]:
+        """Return the attempts without an outcome that are not cancelled; cancelled ones may still run."""
         return [a for a in self.attempts if a.outcome is None and not a.is_cancelled]
 
     def may_run_at(self, worker: TrackedWorker) -> bool:
--- a/grebestack/core/retries.py
+++ b/grebestack/core/retries.py
@@ -14,8 +14,8 @@
 def may_reject(request: Request) -> bool:
     """Whether a rejection, which tells the client that a retry is harmless, would be true.
 
-    It is true for an idempotent request, for one with a key that all workers recognise, and for one that
-    was certainly not executed.
+    It is true for an idempotent request, for one with an idempotency key that all workers recognise, and for
+    one that was certainly not executed.
     """
     effect, everywhere = request.job_class.effect, request.job_class.group is Group.ALL
     return (
@@ -58,7 +58,7 @@
 def retry_scope(request: Request) -> tuple[int | None, int | None]:
     """Return the zone and cell in which a retry must stay; None: any.
 
-    Once a request with a key may have been executed, only the workers of its group recognise the key.
+    Once a request with an idempotency key may have been executed, only the workers of its group recognise it.
     """
     group, executed = request.job_class.group, request.possibly_executed()
     if not executed or request.job_class.effect is not Effect.IDEMPOTENT_WITH_KEY or group is Group.ALL:
--- a/grebestack/core/script.py
+++ b/grebestack/core/script.py
@@ -15,8 +15,8 @@
     """
     rule = "capacity_used" if "free_slots" in settings.report_fields else "max_concurrent_invocations"
     blocks = tuple(Block(invalidate=rule, place=p) for p in ("own", "other"))
-    spill = tuple(Block(strategy="platform", invalidate="overload", place=p) for p in ("own", "other"))
-    return {c.name: Tag(blocks) for c in settings.classes} | {"default": Tag(spill, followup="fail")}
+    fallback = tuple(Block(strategy="platform", invalidate="overload", place=p) for p in ("own", "other"))
+    return {c.name: Tag(blocks) for c in settings.classes} | {"default": Tag(fallback, followup="fail")}
 
 
 class ResolvedScript:
--- a/grebestack/core/selection.py
+++ b/grebestack/core/selection.py
@@ -151,7 +151,7 @@
         """Return the workers of a block in the order in which a request tries them."""
         order, settings = self._order(key), self.context.settings
         if only:  # the platform strategy walks by keys: a single worker is for requests that have one
-            allowed = only in order and (block.strategy != "platform" or request.has_key)
+            allowed = only in order and (block.strategy != "platform" or request.has_cache_key)
             return [only] if allowed else []
         if block.strategy == "platform":
             # With the dispatcher in the hash, not all dispatchers start at the same worker.
@@ -161,7 +161,7 @@
         if block.open and self.is_load_unknown:
             now_ms = self.context.now_ms
             return sorted(order, key=lambda w: (w.warm_at_ms > now_ms, w.used_slots))
-        if block.open and request.has_key and settings.reports_attempt_start:
+        if block.open and request.has_cache_key and settings.reports_attempt_start:
             hash_key = request.arrival.key or 0
             return sorted(
                 order, key=lambda w: (not w.is_reinstated, rendezvous_distance(hash_key, w.name_hash))
--- a/grebestack/core/settings.py
+++ b/grebestack/core/settings.py
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """Whether a request may be executed twice: always, with a key inside its group, or never."""
+    """Whether a request may be executed twice: always, with an idempotency key inside its group, or never."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENT_WITH_KEY = "keyed"
@@ -56,8 +56,9 @@
     """A worker block: which workers, how one is picked, and what makes one invalid.
 
     `workers` names worker ids or is ("*",); `place` narrows it to the dispatcher's own zone or to the others.
-    `threshold` is a share (0 to 1) for capacity_used and a number of slots for max_concurrent_invocations;
-    without one the learned concurrency limit applies.
+    `threshold` of max_concurrent_invocations: slots; None: the learned concurrency limit. Of capacity_used: a
+    share (0 to 1) of the worker's slots; None: all of them, and some requests queued ahead. `overload` uses
+    it, as slots, only for a worker without load reports whose starts are not reported either.
     """
 
     workers: tuple[str, ...] = ("*",)
@@ -125,28 +126,28 @@
     tenants: tuple[Tenant, ...] = ()
     over_quota_weight_factor: float = 1.0
     polls_endpoint_list: bool = False  # the endpoint list arrives only on request
-    poll_deadline_ms: float = 10_000.0
-    drain_grace_ms: float = 0.0
-    answer_grace_ms: float = 0.0
+    poll_deadline_ms: float = 10_000.0  # within which a failed list is retried; used in the simulator only
+    drain_grace_ms: float = 0.0  # after the news of a drain, in which a request may still be sent
+    answer_grace_ms: float = 0.0  # read, but decides nothing
     slow_start_initial_share: float = 1.0  # the share of its capacity that a worker starts with
     slow_start_ms: float = 0.0
-    overload_factor: float = 1.0
-    overload_window_ms: float = 1000.0
+    overload_factor: float = 1.0  # a warming worker fails above this multiple of its share
+    overload_window_ms: float = 1000.0  # over which its load is counted
     max_attempts: int = 1
     hedging_enabled: bool = False
-    cancel: bool = False
+    cancel: bool = False  # workers accept cancellation
     probing: bool = False
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 250.0
     reports_attempt_start: bool = False
-    progress_ms: float = 0.0
+    progress_ms: float = 0.0  # read, but decides nothing
     cross_zone_cost: float = 0.0
-    late_failure_cost: float = 0.0
+    late_failure_cost: float = 0.0  # read, but decides nothing
     weight_by_work: bool = False
     weights_follow_load: bool = False  # a weight in the endpoint list falls with the load
     report_fields: frozenset[str] = frozenset()  # active, waiting, cpu, run_ms, free_slots ...
-    tick_ms: float = 1.0
+    tick_ms: float = 1.0  # margin kept before deadlines, and the least start delay
     retired: frozenset[int] = frozenset()  # classes that take no new requests
     script: Mapping[str, Tag] | None = None  # by class name, and "default"; None: the built-in one
 
--- a/grebestack/core/slow_start.py
+++ b/grebestack/core/slow_start.py
@@ -44,9 +44,11 @@
         most = warmth * budget * s.overload_window_ms / (slots * run_ms)
         budget *= (math.sqrt(BUDGET_DEVIATIONS**2 + 4.0 * most) - BUDGET_DEVIATIONS) ** 2 / (4.0 * most)
         # The delay accounts for the growth of the budget until then.
-        delay = self.context.random.expovariate(1.0) * slots * run_ms * s.dispatcher_count / budget
-        worker.warming_turn_start_ms = since_ms + 2.0 * delay / (
-            warmth + math.sqrt(warmth * warmth + 2.0 * warming_per_ms * delay)
+        full_budget_delay_ms = (
+            self.context.random.expovariate(1.0) * slots * run_ms * s.dispatcher_count / budget
+        )
+        worker.warming_turn_start_ms = since_ms + 2.0 * full_budget_delay_ms / (
+            warmth + math.sqrt(warmth * warmth + 2.0 * warming_per_ms * full_budget_delay_ms)
         )
         worker.warming_turn_end_ms = worker.warming_turn_start_ms + max(
             1.0, TURN_DEVIATIONS * s.overload_window_ms / math.sqrt(max(1.0, most))
--- a/grebestack/core/timers.py
+++ b/grebestack/core/timers.py
@@ -20,7 +20,7 @@
     attempt: Attempt | None
 
     def is_obsolete(self) -> bool:
-        """Whether its request was answered, or its attempt has started or ended."""
+        """Whether its attempt has started, ended or been cancelled; without one, its request was answered."""
         attempt = self.attempt
         if attempt is not None:
             return attempt.started_ms is not None or attempt.outcome is not None or attempt.is_cancelled
--- a/grebestack/core/workers.py
+++ b/grebestack/core/workers.py
@@ -5,14 +5,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from grebestack.core.estimates import LOAD_MEMORY_MS, Estimates
+from grebestack.core.estimates import LOAD_MAX_AGE_MS, Estimates
 from grebestack.core.events import Outcome, RequestArrived, WorkerEntry, WorkerState
 from grebestack.core.hashing import stable_hash
 
 LOAD_LEARNING_RATE = 0.3  # least share of a load report in the known load of other dispatchers
 RECENT_SUCCESS_MS = 1500.0  # a success this recent speaks for a worker
 MAX_LOAD_PER_SLOT = 16.0  # a weight of the endpoint list shows at most so many requests for each slot
-ENDED_ATTEMPT_MEMORY_MS = 1500.0  # a load report may still show an attempt that ended this long ago
+ENDED_ATTEMPT_MAX_AGE_MS = 1500.0  # a load report may still show an attempt that ended this long ago
 REPORT_DELAY_MS = 500.0  # a load report shows a worker as it was this long before
 
 
@@ -55,7 +55,7 @@
     others_slots: float = 0.0
     others_memory: float = 0.0
     max_free_memory: float = 0.0
-    max_free_slots: float = 1.0
+    max_free_slots: float = 1.0  # most ever reported or inferred: stands for its size in slots
     # Its place on the ring of dispatchers and workers.
     ring_distance: float = 0.0  # from this dispatcher, 0 to 0.5
     closer_dispatchers: float = 0.0  # estimated number of other dispatchers that are closer
@@ -76,7 +76,7 @@
         self.warming_turn_end_ms = now_ms
 
     def count_attempt(self, arrival: RequestArrived, sign: int) -> None:
-        """Add an attempt to the counts (1) or remove it (-1)."""
+        """Add an attempt to the counts (1), which ends is_reinstated, or remove it (-1)."""
         self.attempt_count += sign
         self.is_reinstated = self.is_reinstated and sign < 0
         self.used_slots += sign * arrival.slots
@@ -130,7 +130,7 @@
             # Otherwise the budget of warming workers could stay at a single slot.
             estimates.on_slots_seen(self.entry.kind, self.max_free_slots)
         self.recent_attempts = [
-            a for a in self.recent_attempts if a.ended_ms > now_ms - ENDED_ATTEMPT_MEMORY_MS
+            a for a in self.recent_attempts if a.ended_ms > now_ms - ENDED_ATTEMPT_MAX_AGE_MS
         ]
 
     def on_load_weight(self, now_ms: float, estimates: Estimates) -> None:
@@ -165,7 +165,7 @@
         self.rounding, self.load_known_ms = estimates.random.random(), now_ms
 
     def _load_freshness(self, now_ms: float) -> float:
-        return max(0.0, 1.0 - (now_ms - self.load_known_ms) / LOAD_MEMORY_MS)
+        return max(0.0, 1.0 - (now_ms - self.load_known_ms) / LOAD_MAX_AGE_MS)
 
     def others_load(self, now_ms: float, estimates: Estimates) -> tuple[float, float]:
         """Return the slots and memory that other dispatchers are estimated to use here.
--- a/grebestack/endpoint_watch/state_machine.py
+++ b/grebestack/endpoint_watch/state_machine.py
@@ -1,7 +1,7 @@
 """The watch of one source's endpoint list. Pure: events in, actions out, time as an argument.
 
-What the source has had for longer than the protocol allows must be in the worker table. A watch is a request
-to which the source responds with lines for as long as it is open. Where lists are pushed, an agent on this
+The worker table may lag behind the source by at most the time that the protocol allows (timing.py). A watch
+is a request to which the source responds with lines for as long as it is open. Where lists are pushed, an agent on this
 machine responds at once and at no cost, and the time allowed is the grace of a drain: there is always a
 request out that the agent can answer. Where lists are polled, all dispatchers poll one source of limited
 capacity, and the time allowed is some seconds: their requests are spread at random.
@@ -123,7 +123,7 @@
     active_ms: float
 
     @property
-    def timeout_ms(self) -> float:
+    def overdue_at_ms(self) -> float:
         """When its next line is overdue."""
         return self.active_ms + HEARTBEAT_TIMEOUT_MS
 
@@ -230,14 +230,14 @@
 
     def _give_up_silent(self, now_ms: float) -> list[Action]:
         silent = self.silent
-        if silent is None or now_ms < silent.timeout_ms + DELIVERY_DEADLINE_MS:
+        if silent is None or now_ms < silent.overdue_at_ms + DELIVERY_DEADLINE_MS:
             return []
         self.silent = None
         return _close([silent])
 
     def _detect_silence(self, now_ms: float) -> list[Action]:
         """Open others beside a watch whose source may be dead or cut off, so that no drain is missed."""
-        if self.current is None or now_ms < self.current.timeout_ms:
+        if self.current is None or now_ms < self.current.overdue_at_ms:
             return []
         self.silent, self.current = self.current, None  # kept open, since it may be the first to go on
         if self.stage is Stage.MOVING:
@@ -248,7 +248,7 @@
 
     def _give_up_pending(self, now_ms: float) -> list[Action]:
         closed: list[WatchRequest] = []
-        while self.pending and now_ms >= self.pending[0].timeout_ms:
+        while self.pending and now_ms >= self.pending[0].overdue_at_ms:
             request = self.pending.pop(0)
             closed.append(request)
             if self.next_open_ms is None:
@@ -312,11 +312,11 @@
         """The earliest time at which something is due."""
         times_ms = [] if self.next_open_ms is None else [self.next_open_ms]
         if self.current is not None:
-            times_ms.append(self.current.timeout_ms)
+            times_ms.append(self.current.overdue_at_ms)
         if self.pending:
-            times_ms.append(self.pending[0].timeout_ms)
+            times_ms.append(self.pending[0].overdue_at_ms)
         if self.silent is not None:
-            times_ms.append(self.silent.timeout_ms + DELIVERY_DEADLINE_MS)
+            times_ms.append(self.silent.overdue_at_ms + DELIVERY_DEADLINE_MS)
         return min(times_ms, default=None)
 
     def _retry_delay_ms(self, now_ms: float, failed_since_ms: float, min_delay_ms: float = 0.0) -> float:
--- a/grebestack/job_queue/job_queue.py
+++ b/grebestack/job_queue/job_queue.py
@@ -12,10 +12,10 @@
 from grebestack.job_queue.dependencies import NEVER, Cascade, Graph, Group, Node, Queue
 from grebestack.job_queue.interface import Cause, Stage
 
-LEAST_PAUSE_MS = 50.0  # an aged job that was refused is tried again after this at the soonest
-PAUSE_PART = 0.25  # and at the latest after this part of the time that is left of its wanted time
+LEAST_PAUSE_MS = 50.0  # an advised pause is never cut below this
+PAUSE_PART = 0.25  # an advised pause is cut to this share of the time until the job is aged, or due
 NAMED = 8  # of the jobs that one waits for, a console is shown so many
-RATE_SHARE = 0.05  # of each gap between two sends in their lane's mean
+RATE_SHARE = 0.05  # weight of the newest gap between two sends in the mean of a class
 
 
 class LaneState:
--- a/grebestack/program/client_listener.py
+++ b/grebestack/program/client_listener.py
@@ -31,6 +31,7 @@
 
 def connection_limits(config: Config, processes: int = 1) -> ConnectionLimits:
     """Divide the configured sockets among the processes of a hot restart, or for the one without."""
+    # A front accepts an eighth more clients than its limit, to answer those that it turns away.
     if processes == 1:
         reserved = _OWN_SOCKETS + (_ADMIN_SOCKETS if config.control else 0)
         budget = max(_MIN_CONNECTIONS, config.max_sockets - reserved)
--- a/grebestack/program/cluster_member.py
+++ b/grebestack/program/cluster_member.py
@@ -115,7 +115,7 @@
         replica, own_name = self.node.replica, self.node.settings.name
         if self.node.connections.get(name) is not None or name == own_name:
             return CommandResponse(False, f"{name} is connected: stop it first, or it is admitted again")
-        refusal = replica.remove_member(name)
+        refusal = replica.remove_member(name)  # requested from now on, also if this member can't vote yet
         if not refusal and not replica.acceptor.may_vote:
             refusal = f"{own_name} itself {replica.acceptor.describe()}"
         done = f"{name} leaves the set; `fleet` shows the epoch after {replica.config.epoch}"
@@ -181,6 +181,9 @@
 def form(config: Config) -> str:
     """Write the first log of a member that founds a cluster; return a line that says where.
 
+    To be run once for each founding member, before its first start. A member whose disk was lost starts with
+    an empty folder instead and is admitted; founded again, it would vote under its former incarnation.
+
     Raises
     ------
     ConfigError
--- a/grebestack/program/cluster_task.py
+++ b/grebestack/program/cluster_task.py
@@ -27,8 +27,8 @@
     on_message
         Called with the sender and the decoded message.
     on_tick
-        Does what is due at a time, in milliseconds, and returns the milliseconds until the next tick; None
-        ends the ticks.
+        Does what is due at a time of `clock`, in milliseconds (not of the node's clock), and returns the
+        milliseconds until the next tick; None ends the ticks.
     """
 
     def __init__(
--- a/grebestack/program/config/model.py
+++ b/grebestack/program/config/model.py
@@ -17,14 +17,14 @@
 class WorkerMembershipConfig:
     """When reports of worker sources are acted on; times in seconds."""
 
-    flaps: int = 3
+    flaps: int = 3  # a worker that falls from ready more often within flap_window_s is held back
     flap_window_s: float = 60.0
-    hold_s: float = 2.0
+    hold_s: float = 2.0  # for so long, doubled by each further fall up to hold_most_s
     hold_most_s: float = 60.0
-    removed_share: float = 0.5
-    keep_least: int = 1
-    moved_s: float = 60.0
-    stale_s: float = 60.0
+    removed_share: float = 0.5  # an update that removes a larger share of a source's workers is held back
+    keep_least: int = 1  # and so is one that leaves fewer
+    moved_s: float = 60.0  # how long work at a worker's former address is awaited
+    stale_s: float = 60.0  # a source that is silent for longer is stale
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebestack/program/config_reload.py
+++ b/grebestack/program/config_reload.py
@@ -87,11 +87,13 @@
     def apply(self, config: Config) -> str:
         """Apply a checked configuration, all of it or nothing.
 
-        Returns why it can't be applied, or nothing.
+        Returns why it can't be applied; the empty string if it is. After `reloaded`, a `reload_failed` says
+        that all was undone.
         """
         before = self.dispatcher.config
         has_moved = (config.discovery, config.worker_source) != (before.discovery, before.worker_source)
         waiting = fields_requiring_restart(config, before)
+        # With [drmaa] settings need a restart: stored jobs name their classes by number.
         has_new_settings = before.drmaa is None and config.options != before.options
         if has_new_settings:
             self._apply_settings(config)
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -33,7 +33,7 @@
 from grebestack.program.config.platform import check_reload
 
 log = logging.getLogger(__name__)
-PROPOSAL_ANSWER_S = 0.7  # shorter than admin.server.ANSWER_S
+PROPOSAL_ANSWER_S = 0.7  # shorter than admin.server.RESPONSE_TIMEOUT_S
 START_MARGIN_S = 0.3  # a start waits this long beyond the follower's own wait
 FOLDER = "configuration"  # within the cluster's folder
 # Replaced in tests only.
@@ -56,7 +56,7 @@
 
 
 def value_of(config: Config, name: str) -> object:
-    """Return the value of a field that `Host.waits` has named."""
+    """Return the value of a field that `Host.fields_requiring_restart` has named."""
     found: Any = config.options
     for part in name.split("."):
         found = found.get(part) if isinstance(found, Mapping) else None
@@ -143,6 +143,7 @@
         self.contents, self.merged = contents, config
         # Log what the dispatcher holds now, not what it was given.
         now = self.host.config
+        # since_ms is Unix time, at_ms this machine's clock since its boot.
         kv |= {"by": version.by, "since_ms": version.since_ms, "at_ms": round(monotonic_ms(), 1)}
         kv |= {"settings": digest(now.options), "servers": digest([*map(dict, now.worker_source.entries)])}
         log.info("configuration_laid", extra={"kv": kv})
@@ -183,7 +184,7 @@
                     self.applied.apply,
                     CLOCK,
                     files=FILES(),
-                    relays=name in config.relays,
+                    is_relay=name in config.relays,
                 )
         except (OSError, FolderTakenError) as error:
             raise StartError(f"[fleet] folder {config.folder!r} can't be used: {error}") from error
@@ -218,7 +219,7 @@
         return relay
 
     async def start(self) -> None:
-        """Start, and return once a version is in force here, or there is none to wait for."""
+        """Start, and return once a version was applied, refused or confirmed, or the time to wait is over."""
         if self.relay is not None:
             await self.relay.start()
         part = self.voter or self.follower
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -90,7 +90,7 @@
         self.worker_sources = WorkerSources(loop, self.engine, self.reader, self.roster, self.fleet)
         self.worker_source: Source | None = self.worker_sources.create(config)
         self.reloader = ConfigReloader(self)
-        self.control = LifecycleControl(self)
+        self.lifecycle_control = LifecycleControl(self)
         self.traffic_log = TrafficLog(loop, self.engine, self.pools, self.acceptor, self._list_calls)
 
     def _build_roster(self) -> Roster | None:
@@ -156,11 +156,11 @@
 
     def apply_lifecycle(self) -> None:
         """Have readiness and the clients' connections follow `lifecycle`."""
-        self.control.apply()
+        self.lifecycle_control.apply()
 
     def stop(self) -> None:
         """Begin a stop, which is over when all requests are answered."""
-        self.control.stop()
+        self.lifecycle_control.stop()
 
     # The run.
 
@@ -179,7 +179,7 @@
         sweep_periodically(self.loop, self.acceptor)
         gc.collect()
         gc.freeze()
-        await self.control.stopped
+        await self.lifecycle_control.stopped
         self.is_stopped = True
         self._close_parts()
 
--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -31,7 +31,7 @@
 FOLDER_NAME = "grebestack"  # in $TMPDIR
 BAN_FILE_NAME = "bans"
 INHERIT_TIMEOUT_S = 2.0  # for a predecessor that does not respond
-BUSY_TIMEOUT_S = 4.0  # for one that is in another restart; a start may take 6 s
+BUSY_TIMEOUT_S = 4.0  # for one that is in another restart; then this process serves beside it
 BUSY_RETRY_S = 0.1
 INHERIT_POLL_S = 0.005
 HANDOVER_TIMEOUT_S = 1.0  # for a predecessor that does not stop accepting
@@ -276,7 +276,10 @@
     # Admin commands.
 
     def run(self, command: Command, respond: Respond) -> None:
-        """Run an operator's command here and in the other process; it succeeds if it does in both."""
+        """Run an operator's command here, then in the other process; it succeeds if it does in both.
+
+        After a failure of the other process the effect here stays. Commands may be repeated.
+        """
         response = self._execute_locally(command)
         if command.verb is Verb.RESUME and self.dispatcher.lifecycle.retired:
             response = CommandResponse(True, "said to the process that serves")  # this one may be stopping
--- a/grebestack/program/hot_restart_adoption.py
+++ b/grebestack/program/hot_restart_adoption.py
@@ -64,7 +64,7 @@
             str(message["server"]),
             float(message["deadline_ms"]),
         )
-        runners, answer = self.dispatcher.runners, LateAnswer()
+        runners, answer = self.dispatcher.runners, PendingAnswer()
 
         def on_ended(outcome: Outcome, result: bytes) -> None:
             timer.cancel()
@@ -72,7 +72,7 @@
             answer.set(*_response_to(outcome, result))
 
         def on_deadline() -> None:
-            runners.adopt(call_id, worker, None)
+            runners.adopt(call_id, worker, None)  # its call-back is no longer awaited
             on_ended(Outcome.TIMEOUT, b"")
 
         timer = self.dispatcher.clock.call_at(deadline_ms, on_deadline)
@@ -101,7 +101,7 @@
 
 
 @dataclass(slots=True)
-class LateAnswer:
+class PendingAnswer:
     """An answer and the connection that it goes to, which come in any order."""
 
     connection: Connection | None = None
--- a/grebestack/program/hot_restart_peers.py
+++ b/grebestack/program/hot_restart_peers.py
@@ -44,7 +44,7 @@
         return peer
 
     def send(self, peer: int, message: Message, descriptors: Sequence[int] = ()) -> None:
-        """Send a message; without descriptors it is dropped if the peer is gone."""
+        """Send a message, which is dropped if the peer is gone; with descriptors that is a KeyError."""
         if descriptors:
             self.by_peer[peer].send(message, descriptors)
         elif peer in self.by_peer:
--- a/grebestack/program/hot_restart_state.py
+++ b/grebestack/program/hot_restart_state.py
@@ -43,6 +43,7 @@
             _inherit_workers(dispatcher, state)
     except (KeyError, ValueError, TypeError, AttributeError) as error:
         log.warning("welcome_refused", extra={"kv": {"why": repr(error)}})
+    # Also after welcome_refused: the counts then say how far the reading came.
     counts = {"servers": len(dispatcher.table.servers), "bans": len(cordoned)}
     log.info("upgrade_welcomed", extra={"kv": counts})
 
--- a/grebestack/program/lifecycle.py
+++ b/grebestack/program/lifecycle.py
@@ -69,7 +69,7 @@
         self._update_stage(now_ms)
 
     def quiesce(self, now_ms: float) -> None:
-        """Drain the dispatcher."""
+        """Quiesce: not ready, and its clients are led away (`client_handling`)."""
         self.quiesced = True
         self._update_stage(now_ms)
 
@@ -79,7 +79,7 @@
         self._update_stage(now_ms)
 
     def resume(self, now_ms: float) -> bool:
-        """End the drain; False where a stop has begun, which can't be reverted."""
+        """End the quiesce; False where a stop has begun, which can't be reverted."""
         self.quiesced = False
         self._update_stage(now_ms)
         return self.stage is not Stage.STOPPING
--- a/grebestack/program/rolling_restart.py
+++ b/grebestack/program/rolling_restart.py
@@ -40,6 +40,7 @@
 REPORT_INTERVAL_MS = 1000.0
 TICK_INTERVAL_MS, HOLDER_TICK_INTERVAL_MS = 1000.0, 100.0
 STOP_DELAY_MS = 400.0  # after the clients have had time to leave
+# Also sent when a proposal for the plan is open here or a higher ballot came; calling again is right, too.
 NO_QUORUM = "no majority has answered; look with `fleet`, then call again"
 
 
--- a/grebestack/program/worker_sources.py
+++ b/grebestack/program/worker_sources.py
@@ -62,7 +62,9 @@
             self.loop.call_soon(listings[0].update, ListKind.FULL, workers)
             return None
         if self.fleet is not None and self.fleet.config.share_worker_source:
-            return self.fleet.share(listings, lambda tapped: self._own_source(config, tapped, None))
+            return self.fleet.share(
+                listings, lambda shared_listings: self._own_source(config, shared_listings, None)
+            )
         return self._own_source(config, listings, previous)
 
     def _listings(self, config: Config) -> Sequence[Listing]:
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -73,7 +73,7 @@
             self.next_version = news.version, news.contents
             return [
                 *self._begin_next(now_ms),
-                *self._on_relay_number(now_ms, news.version.number, news.confirmed_ms),
+                *self._on_relay_number(now_ms, news.version.number, news.confirmed_age_ms),
             ]
         if (
             self.variant == "half in force"
@@ -83,7 +83,7 @@
             self.next_version = news.version, news.contents
             return [
                 *self._begin_next(now_ms),
-                *self._on_relay_number(now_ms, news.version.number, news.confirmed_ms),
+                *self._on_relay_number(now_ms, news.version.number, news.confirmed_age_ms),
             ]
         return super()._on_update(now_ms, news)
 
@@ -611,7 +611,7 @@
     delta = news.delta
     if delta is not None:
         delta = type(delta)(delta.base, delta.prefix, delta.suffix, delta.middle[: len(delta.middle) // 2])
-    return ConfigUpdate(news.version, news.confirmed_ms, delta, half)
+    return ConfigUpdate(news.version, news.confirmed_age_ms, delta, half)
 
 
 def explore(model: Model, most: int) -> Found:
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -198,7 +198,7 @@
         """Nothing is decided."""
         made = [self._voter(i, 1, 0.0) for i in range(3)]
         for one in made:  # else each reads the register before it asks for anything
-            one.state.current = "just started" not in self.start
+            one.state.is_number_known = "just started" not in self.start
         voters = tuple(VoterPart(one) for one in made)
         empty: frozenset[bytes] = frozenset()
         world = World(
--- a/tests/consensus_model.py
+++ b/tests/consensus_model.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from grebestack.consensus.lease import NEVER_MS, Lease, LeaseHolder, LeaseTerms, lease_of
+from grebestack.consensus.lease import NOT_HELD_MS, Lease, LeaseHolder, LeaseTerms, lease_of
 from grebestack.consensus.register import (
     NO_BALLOT,
     AcceptGranted,
@@ -236,7 +236,7 @@
             after = after._replace(late=frozenset())
         elif round_.phase is Phase.CHOSEN:
             holder = proposer.holder.on_chosen(now, round_.previous_value, round_.proposed_value)
-            if self.variant == "counted from the answer" and holder.valid_until_ms > NEVER_MS:
+            if self.variant == "counted from the answer" and holder.valid_until_ms > NOT_HELD_MS:
                 holder = replace(holder, valid_until_ms=now + TERMS.usable_ms)
             after = after._replace(holder=holder, round=None, late=frozenset())
         return self._noted(world._replace(proposers=put(world.proposers, i, after), sent=sent))
--- a/tests/test_config_distribution.py
+++ b/tests/test_config_distribution.py
@@ -279,7 +279,7 @@
             self.next_version = news.version, news.contents
             return [
                 *self._begin_next(now_ms),
-                *self._on_relay_number(now_ms, news.version.number, news.confirmed_ms),
+                *self._on_relay_number(now_ms, news.version.number, news.confirmed_age_ms),
             ]
         return super()._on_update(now_ms, news)
 
--- a/tests/test_configuration_voter.py
+++ b/tests/test_configuration_voter.py
@@ -118,7 +118,7 @@
     made.on_contents_stored(1.0, digest_of(b"one"))
     made.on_message(2.0, "v2", body(StoreAck(digest_of(b"one"))), VIEW)
     while made.state.proposal is not None and now < 2 * timeouts.PROPOSAL_TIMEOUT_MS:
-        if made.register.deciding:
+        if made.register.is_busy:
             asked += 1
             now += timeouts.REGISTER_TIMEOUT_MS
             found += made.on_register_result(now, False, None, VIEW)
@@ -183,7 +183,7 @@
         "SendToVoter"
     ]
     now = made.due_ms(0.0)
-    while not made.register.deciding:
+    while not made.register.is_busy:
         assert now <= timeouts.REGISTER_READ_DELAY_MS[1] + 1.0
         found = list(made.tick(now, VIEW))
         now = made.due_ms(now)
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -7,7 +7,7 @@
 import pytest
 
 from grebestack.core import api
-from grebestack.core.estimates import LOAD_MEMORY_MS
+from grebestack.core.estimates import LOAD_MAX_AGE_MS
 from grebestack.core.hashing import rendezvous_distance, stable_hash
 from grebestack.core.policy import Policy
 from grebestack.core.script import built_in_script
@@ -104,8 +104,8 @@
     estimates = d.policy.estimates
     estimates.others_load = (1.0, 0.0)  # what they have elsewhere
     assert view.others_load(d.now, estimates)[0] == pytest.approx(4, abs=0.1)
-    assert view.others_load(d.now + LOAD_MEMORY_MS / 2, estimates)[0] == pytest.approx(2.5, abs=0.1)
-    assert view.others_load(d.now + LOAD_MEMORY_MS, estimates)[0] == 1.0
+    assert view.others_load(d.now + LOAD_MAX_AGE_MS / 2, estimates)[0] == pytest.approx(2.5, abs=0.1)
+    assert view.others_load(d.now + LOAD_MAX_AGE_MS, estimates)[0] == 1.0
 
 
 def test_jobs_of_ours_that_ended_since_a_report_was_made_do_not_pass_for_the_others() -> None:
