--- a/grebestack/endpoint_watch/state_machine.py
+++ b/grebestack/endpoint_watch/state_machine.py
@@ -1,10 +1,10 @@
 """The watch of one source's endpoint list. Pure: events in, actions out, time as an argument.
 
 The worker table may lag behind the source by at most the time that the protocol allows (timing.py). A watch
-is a request to which the source responds with lines for as long as it is open. Where lists are pushed, an agent on this
-machine responds at once and at no cost, and the time allowed is the grace of a drain: there is always a
-request out that the agent can answer. Where lists are polled, all dispatchers poll one source of limited
-capacity, and the time allowed is some seconds: their requests are spread at random.
+is a request to which the source responds with lines for as long as it is open. Where lists are pushed, an
+agent on this machine responds at once and at no cost, and the time allowed is the grace of a drain: there
+is always a request out that the agent can answer. Where lists are polled, all dispatchers poll one source
+of limited capacity, and the time allowed is some seconds: their requests are spread at random.
 
 All times are milliseconds on one monotonic clock.
 """
