--- a/grebestack/cluster_io/config_store.py
+++ b/grebestack/cluster_io/config_store.py
@@ -41,7 +41,7 @@
     versions: tuple[tuple[Version, bytes], ...] = ()
     kept: dict[str, bytes] = field(default_factory=dict)  # undecided contents by digest
     doubts: tuple[str, ...] = ()
-    incarnation: int = 1  # process incarnation: higher than any before
+    incarnation: int = 1  # of this start, for configuration messages; higher than any before
 
 
 class CorruptFileError(Exception):
@@ -58,6 +58,7 @@
         cluster: str,
         files: Files | None = None,
     ) -> None:
+        """Begin closed; `open` locks and reads the folder."""
         self.loop, self.folder, self.cluster, self.files = loop, folder, cluster, files or Files()
         self.queue: queue.SimpleQueue[tuple[Callable[[], None], Done] | None] = queue.SimpleQueue()
         self.lock = -1
--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -48,6 +48,7 @@
     """
 
     def __init__(self, node: Node, folder: str, take: ApplyVersion, files: Files | None = None) -> None:
+        """Open the folder and build the voter; `start` begins its work."""
         self.node, self.loop, self.clock, self.take = node, node.loop, node.clock, take
         settings = node.settings
         self.contents = ConfigStore(node.loop, folder, settings.cluster, files)
@@ -73,7 +74,7 @@
 
     @property
     def version(self) -> Version:
-        """The version in force here."""
+        """The newest decided version whose contents are here; it may not be stored yet, or be refused."""
         return self.voter.version
 
     @property
@@ -82,16 +83,16 @@
         return self.counted
 
     def shown(self) -> list[str]:
-        """Describe the version in force, and who has it, to operators."""
+        """Describe the newest decided version, and who has it, to operators."""
         return self.voter.shown(self.clock())
 
     def start(self) -> None:
-        """Begin."""
+        """Begin to take messages, from what the disk holds."""
         self.node.message_handlers[TASK] = self._on_message
         self.turns.run(self.voter.start(self.clock(), list(self.held.versions), self.held.kept))
 
     def stop(self) -> None:
-        """End."""
+        """Carry out no more actions and close the disk."""
         self.turns.stop()
         self.contents.close()
 
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -83,19 +83,14 @@
         clock: Callable[[], float] = monotonic_ms,
         random: Random | None = None,
         files: Files | None = None,
-        relays: bool = False,
+        is_relay: bool = False,
     ) -> None:
+        """Open the folder and build the follower; `start` connects it."""
         self.loop, self.settings, self.take, self.clock = loop, settings, take, clock
         self.contents = (
             ConfigStore(loop, settings.folder, settings.cluster, files) if settings.folder else None
         )
-        held = (
-            self.contents.open()
-            if self.contents is not None
-            else StoredConfig(incarnation=time.time_ns() // 1_000_000)
-        )
-        for doubt in held.doubts:
-            log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
+        held = self._read_disk()
         self.held = held.versions
         places = {name: relay.place for name, relay in settings.relays.items()}
         self.follower = Follower(
@@ -105,7 +100,7 @@
             held.incarnation,
             places,
             random or Random(int.from_bytes(os.urandom(8), "big")),
-            relays,
+            is_relay,
         )
         self.relay: LocalRelay | None = None
         self.settled: Callable[[], None] = lambda: None  # called when a version or a confirmation has come
@@ -118,6 +113,15 @@
             self.loop, self.clock, self.follower, self._perform, lambda: self.follower.tick(self.clock())
         )
 
+    def _read_disk(self) -> StoredConfig:
+        """Return what the disk holds; without a folder, an empty configuration of a new incarnation."""
+        if self.contents is None:
+            return StoredConfig(incarnation=time.time_ns() // 1_000_000)
+        held = self.contents.open()
+        for doubt in held.doubts:
+            log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
+        return held
+
     def _performers(self) -> dict[type[FollowerAction], Callable[[Any], None]]:
         return {
             Send: self._send,
