--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -1,10 +1,8 @@
 """One follower: puts in force what voters have decided, as relays send it. Pure.
 
-It is connected to one relay, polls it, and changes to another relay when one is silent or has had no
-confirmation by a majority for long. A version is validated and stored before it is put in force, so that
-after a crash the disk is not behind what was in force; if storing fails it is put in force all the same. At
-a start the disk's version waits a moment for a relay, so that an old disk is not used where a relay can be
-reached.
+It is connected to one relay, polls it, and changes to another when one is silent or has had no confirmation
+by a majority for long. A version is stored before it is put in force, so that after a crash the disk is not
+behind; if storing fails it is put in force all the same.
 """
 
 from __future__ import annotations
@@ -59,9 +57,7 @@
 
 
 class Follower(FollowerVersions):
-    """Events in, actions out. One link at a time, numbered by `Connect`; events of earlier links are ignored.
-
-    Times are monotonic milliseconds.
+    """Events in, actions out; times are monotonic ms. One link at a time: events of earlier ones are ignored.
 
     Parameters
     ----------
@@ -396,8 +392,8 @@
 
 Handler = Callable[[Follower, float, Any], list[FollowerAction]]
 _HANDLERS: dict[tuple[str, type[Message]], Handler] = {
-    (GREETING, SubscribeRejected): Follower._on_rejected,
-    (GREETING, SubscribeAccepted): Follower._on_accepted,
-    (LINKED, NotModified): Follower._on_not_modified,
-    (LINKED, ConfigUpdate): Follower._on_update,
+    (GREETING, SubscribeRejected): lambda follower, now_ms, message: follower._on_rejected(now_ms, message),
+    (GREETING, SubscribeAccepted): lambda follower, now_ms, message: follower._on_accepted(now_ms, message),
+    (LINKED, NotModified): lambda follower, now_ms, message: follower._on_not_modified(now_ms, message),
+    (LINKED, ConfigUpdate): lambda follower, now_ms, message: follower._on_update(now_ms, message),
 }
--- a/tests/test_golden_fields.py
+++ b/tests/test_golden_fields.py
@@ -88,14 +88,14 @@
     poll = decoded("feed", "poll")
     assert (poll.number, poll.refused, poll.why) == (16, 17, "names no class")
     still = decoded("feed", "still")
-    assert (still.number, still.confirmed_ms) == (17, 130)
+    assert (still.number, still.confirmed_age_ms) == (17, 130)
     delta = decoded("feed", "news by difference").delta
     assert (delta.prefix, delta.suffix) == (10, 20)
     tally = decoded("feed", "tally")
     assert (tally.incarnation, tally.sequence, tally.number) == (3, 41, 17)
     standing = tally.statuses[0]
-    assert (standing.incarnation, standing.number, standing.heard_ms) == (14, 16, 250)
-    assert (standing.behind_ms, standing.refused) == (350, 15)
+    assert (standing.incarnation, standing.number, standing.heard_age_ms) == (14, 16, 250)
+    assert (standing.behind_age_ms, standing.refused) == (350, 15)
     assert (standing.name, standing.why) == ("d-1", "names no class")
 
 
