--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -47,6 +47,7 @@
 
 
 def test_what_goes_wrong_is_one_line_and_an_exit_code(world: World) -> None:
+    world.runner("s-1", seconds=60.0)  # the one job stays open, however long the next call takes
     world.start_appliance(settings="most_open = 1")
     assert console(world, "drain", "nobody").returncode == 1
     assert console(world, "submit", "nothing").returncode == 1
