--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -97,6 +97,16 @@
     return names
 
 
+def imports_within(package: str) -> dict[str, set[str]]:
+    """What each module of a package imports, by the module's name."""
+    imports = {}
+    for path in (PACKAGE / package).rglob("*.py"):
+        parts = path.relative_to(PACKAGE.parent).with_suffix("").parts
+        name = ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+        imports[name] = modules_imported(path)
+    return imports
+
+
 def circle_of(imports: dict[str, set[str]]) -> list[str]:
     """Modules that import each other in a circle; none: there is no such."""
     left = {name: imported & set(imports) for name, imported in imports.items()}
@@ -120,11 +130,7 @@
 
 
 def test_no_modules_of_the_program_import_each_other_in_a_circle() -> None:
-    imports = {}
-    for path in (PACKAGE / "program").rglob("*.py"):
-        parts = path.relative_to(PACKAGE.parent).with_suffix("").parts
-        name = ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
-        imports[name] = modules_imported(path)
+    imports = imports_within("program")
     assert "grebestack.program.config.model" in imports["grebestack.program.dispatcher"]
     assert not circle_of(imports)
 
--- a/tests/test_module_limits.py
+++ b/tests/test_module_limits.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.test_layers import PACKAGE, circle_of, modules_imported
+from tests.test_layers import PACKAGE, circle_of, imports_within
 
 PACKAGES = (
     "admin",
@@ -39,9 +39,4 @@
 
 @pytest.mark.parametrize("package", PACKAGES)
 def test_no_modules_of_a_package_import_each_other_in_a_circle(package: str) -> None:
-    imports = {}
-    for path in (PACKAGE / package).rglob("*.py"):
-        parts = path.relative_to(PACKAGE.parent).with_suffix("").parts
-        name = ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
-        imports[name] = modules_imported(path)
-    assert not circle_of(imports)
+    assert not circle_of(imports_within(package))
