--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -25,7 +25,7 @@
 
 from grebestack.core import api
 from grebestack.core.api import ListKind
-from grebestack.protocol.lists import ListReader, Objects
+from grebestack.protocol.worker_list import ListReader, Objects
 from grebestack.routing.worker_table import ServerTable
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -64,10 +64,10 @@
 from grebestack.program.config.operator_file import from_file
 from grebestack.program.config.platform import check_reload
 from grebestack.program.shared_discovery import encode_entry
-from grebestack.protocol.lists import ListReader, Objects
+from grebestack.protocol.http_workers import Said
 from grebestack.protocol.platform import PlatformFront
-from grebestack.protocol.runners import Said
 from grebestack.protocol.settings import merged
+from grebestack.protocol.worker_list import ListReader, Objects
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
--- a/grebestack/program/admin_command.py
+++ b/grebestack/program/admin_command.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 
 from grebestack.admin.commands import ALLOWED_COMMANDS
-from grebestack.protocol.lists import address_of
+from grebestack.protocol.worker_list import address_of
 from grebestack.transport.client import Address
 
 TIMEOUT_S = 5.0
--- a/grebestack/program/appliance.py
+++ b/grebestack/program/appliance.py
@@ -24,8 +24,8 @@
 from grebestack.membership.interface import Drained, MembershipSettings
 from grebestack.program.config.errors import StartError
 from grebestack.program.config.model import Config, ConsulConfig, DrmaaConfig, WorkerMembershipConfig
+from grebestack.protocol.http_workers import Runners
 from grebestack.protocol.membership_adapter import Roster
-from grebestack.protocol.runners import Runners
 from grebestack.routing.engine import Engine
 from grebestack.routing.interfaces import Clock, Listing
 from grebestack.transport.client import Pools
--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -28,7 +28,7 @@
 if TYPE_CHECKING:
     from grebestack.program.cluster_member import ClusterMember
     from grebestack.program.shared_discovery import Source
-    from grebestack.protocol.runners import Runners
+    from grebestack.protocol.http_workers import Runners
     from grebestack.routing.engine import Engine
     from grebestack.routing.worker_table import ServerTable
 
--- a/grebestack/program/config/cluster.py
+++ b/grebestack/program/config/cluster.py
@@ -8,7 +8,7 @@
 
 from grebestack.program.config.model import ClusterConfig, MetricsExportConfig
 from grebestack.program.config.validation import read_flag, read_number, read_string, read_table
-from grebestack.protocol.lists import address_of
+from grebestack.protocol.worker_list import address_of
 from grebestack.transport.client import Address
 
 FLEET_KEYS = (
--- a/grebestack/program/config/distribution.py
+++ b/grebestack/program/config/distribution.py
@@ -10,7 +10,7 @@
 from grebestack.program.config.cluster import member_addresses
 from grebestack.program.config.model import DistributionConfig, RelayConfig
 from grebestack.program.config.validation import read_flag, read_string, read_table
-from grebestack.protocol.lists import address_of
+from grebestack.protocol.worker_list import address_of
 
 _PLACE_PATTERN = r"[\w.-]+/[\w.-]+"
 _FOLLOWER_KEYS = "name folder follow place relays members"
--- a/grebestack/program/config/files.py
+++ b/grebestack/program/config/files.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from grebestack.program.config.errors import ConfigError
-from grebestack.protocol.lists import address_of
+from grebestack.protocol.worker_list import address_of
 from grebestack.transport.client import Address
 
 
--- a/grebestack/program/config/jobs.py
+++ b/grebestack/program/config/jobs.py
@@ -8,7 +8,7 @@
 
 from grebestack.program.config.model import DrmaaConfig, JobsConfig
 from grebestack.program.config.validation import read_flag, read_integer, read_number, read_table
-from grebestack.protocol.lists import address_of
+from grebestack.protocol.worker_list import address_of
 
 DRMAA_KEYS = "listen store most_open keep_days most_body"
 JOBS_KEYS = "wanted_s most_waiting most_conditions ahead ripe classes"
--- a/grebestack/program/config/operator_file.py
+++ b/grebestack/program/config/operator_file.py
@@ -17,8 +17,8 @@
 from grebestack.program.config.validation import read_integer, read_table
 from grebestack.program.config.worker_membership import MEMBERSHIP_KEYS, worker_membership_config
 from grebestack.program.config.worker_source import SERVERS_KEYS, source_kind, worker_source
-from grebestack.protocol.lists import address_of
 from grebestack.protocol.settings import WireError, settings_of
+from grebestack.protocol.worker_list import address_of
 
 _KEYS = {
     "name",
--- a/grebestack/program/config/platform.py
+++ b/grebestack/program/config/platform.py
@@ -10,8 +10,8 @@
 from grebestack.program.config.errors import ConfigError
 from grebestack.program.config.files import control_address, read
 from grebestack.program.config.model import Config
-from grebestack.protocol.lists import address_of
 from grebestack.protocol.settings import WireError, check_figures, keys_of, settings_of
+from grebestack.protocol.worker_list import address_of
 
 _ONLY_AT_START = ("known", "seed")
 _REQUIRED_PREFIXES = (".settings.limits.", ".settings.rules.", ".settings.services[].")
--- a/grebestack/program/config/worker_source.py
+++ b/grebestack/program/config/worker_source.py
@@ -9,7 +9,7 @@
 from grebestack.program.config.files import read
 from grebestack.program.config.model import ConsulConfig, WorkerSource
 from grebestack.program.config.validation import read_number, read_string, read_strings
-from grebestack.protocol.lists import ListReader, address_of
+from grebestack.protocol.worker_list import ListReader, address_of
 
 SERVERS_KEYS = (
     "source list snapshot address addresses service services token_file wait_s datacenter namespace"
--- a/grebestack/program/console_client.py
+++ b/grebestack/program/console_client.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 from typing import Any
 
-from grebestack.protocol.lists import address_of
+from grebestack.protocol.worker_list import address_of
 
 _FIRST_ERROR_STATUS = 400
 
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -32,10 +32,10 @@
 from grebestack.program.traffic_log import TrafficLog
 from grebestack.program.worker_sources import WorkerSources
 from grebestack.protocol.discovery import DiscoveryWatcher
-from grebestack.protocol.lists import ListReader
+from grebestack.protocol.http_workers import Reports, Runners
 from grebestack.protocol.platform import PlatformFront
-from grebestack.protocol.runners import Reports, Runners
 from grebestack.protocol.settings import report_names
+from grebestack.protocol.worker_list import ListReader
 from grebestack.routing.engine import Engine
 from grebestack.routing.interfaces import Clock
 from grebestack.routing.worker_table import ServerTable
--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -22,7 +22,7 @@
 from grebestack.program.hot_restart_interface import RestartableDispatcher
 from grebestack.program.hot_restart_peers import PeerChannels
 from grebestack.program.hot_restart_state import cordon_all, inherit_state, inherited_state
-from grebestack.protocol.runners import Said
+from grebestack.protocol.http_workers import Said
 
 if TYPE_CHECKING:
     from grebestack.admin.server import Respond
--- a/grebestack/program/hot_restart_interface.py
+++ b/grebestack/program/hot_restart_interface.py
@@ -9,9 +9,9 @@
 from grebestack.program import admin_operations
 
 if TYPE_CHECKING:
-    from grebestack.protocol.lists import ListReader
+    from grebestack.protocol.http_workers import Runners
     from grebestack.protocol.platform import PlatformFront
-    from grebestack.protocol.runners import Runners
+    from grebestack.protocol.worker_list import ListReader
     from grebestack.routing.engine import Engine
     from grebestack.transport.server import Acceptor
 
--- a/grebestack/program/worker_sources.py
+++ b/grebestack/program/worker_sources.py
@@ -9,8 +9,8 @@
 from grebestack.core.api import ListKind
 from grebestack.program.config.model import Config
 from grebestack.protocol.discovery import DiscoveryWatcher, watch_settings_of
-from grebestack.protocol.lists import ListReader
 from grebestack.protocol.settings import name_odd_discovery
+from grebestack.protocol.worker_list import ListReader
 from grebestack.routing.engine import Engine
 from grebestack.routing.interfaces import Listing
 from grebestack.transport.client import Pools
--- a/grebestack/protocol/discovery.py
+++ b/grebestack/protocol/discovery.py
@@ -13,7 +13,7 @@
 from grebestack.endpoint_watch import state_machine
 from grebestack.endpoint_watch.state_machine import EndpointWatch, Stage
 from grebestack.endpoint_watch.timing import CONNECT_TIMEOUT_MS, WatchSettings
-from grebestack.protocol.lists import ListReader, Objects
+from grebestack.protocol.worker_list import ListReader, Objects
 from grebestack.routing.interfaces import Listing
 from grebestack.routing.worker_table import Server
 from grebestack.transport.client import Address, LineStream
--- a/grebestack/protocol/platform.py
+++ b/grebestack/protocol/platform.py
@@ -9,7 +9,7 @@
 from hashlib import blake2b
 
 from grebestack.core.api import Effect, Settings
-from grebestack.protocol.runners import Said
+from grebestack.protocol.http_workers import Said
 from grebestack.routing.engine import Engine
 from grebestack.routing.requests import Dispatch, Payload, Session
 from grebestack.transport.server import Connection, Request
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -12,8 +12,8 @@
 from grebestack.core.policy import Policy
 from grebestack.hot_restart import framing, messages, state_machine
 from grebestack.program.hot_restart import HotRestartRunner
+from grebestack.protocol.http_workers import Said
 from grebestack.protocol.platform import Answer
-from grebestack.protocol.runners import Said
 from grebestack.routing.requests import Dispatch, Payload, Session
 from grebestack.routing.worker_table import ServerTable
 from grebestack.transport.server import Request
--- a/tests/loop_dispatcher.py
+++ b/tests/loop_dispatcher.py
@@ -17,8 +17,8 @@
 
 from grebestack.core import api
 from grebestack.program.loop_clock import LoopClock
+from grebestack.protocol.http_workers import Reports, Runners
 from grebestack.protocol.platform import PlatformFront
-from grebestack.protocol.runners import Reports, Runners
 from grebestack.routing.engine import Engine
 from grebestack.routing.worker_table import Server, ServerTable
 from grebestack.transport.client import Pool, Pools
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -11,8 +11,8 @@
 import pytest
 
 from grebestack.core.api import Effect, Group, WorkerState
-from grebestack.protocol.lists import ListReader
 from grebestack.protocol.settings import settings_of
+from grebestack.protocol.worker_list import ListReader
 
 SECOND: dict[str, Any] = {
     "accounts": [
--- a/tests/test_hard_peers.py
+++ b/tests/test_hard_peers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from grebestack.protocol import discovery, lists
+from grebestack.protocol import discovery, worker_list
 from grebestack.transport import client, server
 from tests.test_connections import Keeper, Wire
 
@@ -92,7 +92,7 @@
     )
     table = cast(Any, SimpleNamespace(heard=lambda: None, update=lambda kind, servers: None))
     watch = discovery.DiscoveryWatcher(
-        cast(asyncio.AbstractEventLoop, loop), ("h", 1), lists.ListReader({}), table
+        cast(asyncio.AbstractEventLoop, loop), ("h", 1), worker_list.ListReader({}), table
     )
     watch.start()
     wire = Wire(watch.connections[1].stream)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -10,8 +10,8 @@
 import pytest
 
 from grebestack.core.api import ListKind, WorkerState
-from grebestack.protocol.lists import ListReader, Objects
 from grebestack.protocol.settings import name_odd_discovery, settings_of
+from grebestack.protocol.worker_list import ListReader, Objects
 from grebestack.routing.worker_table import ServerTable
 from grebestack.transport.client import LineStream
 
--- a/tests/test_many_dispatchers.py
+++ b/tests/test_many_dispatchers.py
@@ -27,8 +27,8 @@
 from grebestack.program.log import KeyValueFormatter
 from grebestack.program.traffic_log import TrafficCounts
 from grebestack.protocol.discovery import DiscoveryWatcher
-from grebestack.protocol.lists import ListReader
 from grebestack.protocol.settings import settings_of
+from grebestack.protocol.worker_list import ListReader
 from grebestack.routing.requests import Dispatch
 from grebestack.routing.worker_table import ServerTable
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,8 +6,8 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
+from grebestack.protocol.http_workers import Said
 from grebestack.protocol.platform import PlatformFront
-from grebestack.protocol.runners import Said
 from grebestack.protocol.settings import settings_of
 from grebestack.routing.engine import Engine
 from grebestack.transport import server
