--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -16,8 +16,8 @@
 from grebestack.core import api
 from grebestack.core.api import ListKind, Outcome, WorkerEntry
 from grebestack.routing.engine import Engine
-from grebestack.routing.requests import Dispatch, Payload, Session, Stage
-from grebestack.routing.worker_table import Server, ServerTable
+from grebestack.routing.requests import Attempt, AttemptStage, Payload, Request
+from grebestack.routing.worker_table import WorkerEndpoint, WorkerTable
 
 
 class SimTimer:
@@ -78,14 +78,14 @@
         seed: int,
         count: int,
         slots: int,
-        run_ms: Callable[[Dispatch, random.Random], float],
+        run_ms: Callable[[Attempt, random.Random], float],
         zones: int = 1,
     ) -> None:
         self.clock, self.slots, self.run_ms = clock, slots, run_ms
         self.random = random.Random(seed)
         self.free: dict[str, float] = {}
         self.shown: dict[str, float] = {}
-        self.queues: dict[str, list[tuple[SimServers, Dispatch]]] = {}
+        self.queues: dict[str, list[tuple[SimServers, Attempt]]] = {}
         self.zone: dict[str, int] = {}
         self.started: dict[str, float] = {}  # when a server came up; those of long ago are not named
         self.silent: set[str] = set()  # cut off: nothing comes up, nothing comes back
@@ -117,7 +117,7 @@
 
     def held(self, name: str) -> float:
         """Slots of what a server runs and keeps waiting."""
-        waiting = sum(dispatch.session.asked.slots for _, dispatch in self.queues[name])
+        waiting = sum(dispatch.request.arrival.slots for _, dispatch in self.queues[name])
         return self.slots - self.free[name] + waiting
 
     def warmth(self, name: str, settings: api.Settings, at_ms: float) -> float:
@@ -127,10 +127,10 @@
         age = (at_ms - self.started[name]) / max(1.0, settings.slow_start_ms)
         return min(1.0, settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * age)
 
-    def entries(self) -> tuple[Server, ...]:
+    def entries(self) -> tuple[WorkerEndpoint, ...]:
         """The list of them, with weights that fall the more a server holds."""
         return tuple(
-            Server(
+            WorkerEndpoint(
                 WorkerEntry(
                     name,
                     zone,
@@ -146,58 +146,58 @@
         self.shown[name] = self.free[name]
         self.clock.call_at(self.clock.now + self.REFRESH_MS, lambda: self._show(name))
 
-    def send(self, port: SimServers, dispatch: Dispatch) -> None:
+    def send(self, port: SimServers, dispatch: Attempt) -> None:
         """A dispatch is on its way."""
-        if dispatch.server in self.silent:
-            self.tried.append((self.clock.now, dispatch.server))
-            call = partial(port.engine.settle, dispatch, Outcome.CONNECT_FAILED)
+        if dispatch.worker in self.silent:
+            self.tried.append((self.clock.now, dispatch.worker))
+            call = partial(port.engine.finish_attempt, dispatch, Outcome.CONNECT_FAILED)
             self.clock.call_at(self.clock.now + self.CONNECT_MS, call)
         else:
             self.clock.call_at(self.clock.now + self.WIRE_MS, lambda: self._arrive(port, dispatch))
 
-    def _arrive(self, port: SimServers, dispatch: Dispatch) -> None:
-        if not port.engine.may_send(dispatch):
-            port.engine.settle(dispatch, Outcome.CONNECT_FAILED)
+    def _arrive(self, port: SimServers, dispatch: Attempt) -> None:
+        if not port.engine.confirm_send(dispatch):
+            port.engine.finish_attempt(dispatch, Outcome.CONNECT_FAILED)
             return
-        dispatch.stage = Stage.ACCEPTED
-        asked = dispatch.session.asked
-        self.arrivals.append((self.clock.now, dispatch.server, asked.slots))
-        if dispatch.server in self.failing:
+        dispatch.stage = AttemptStage.ACCEPTED
+        asked = dispatch.request.arrival
+        self.arrivals.append((self.clock.now, dispatch.worker, asked.slots))
+        if dispatch.worker in self.failing:
             self._answer(port, dispatch, Outcome.ERROR)
             return
-        self.queues[dispatch.server].append((port, dispatch))
-        self._begin(dispatch.server)
+        self.queues[dispatch.worker].append((port, dispatch))
+        self._begin(dispatch.worker)
 
     def _begin(self, name: str) -> None:
         queue = self.queues[name]
-        while queue and self.free[name] >= queue[0][1].session.asked.slots:
+        while queue and self.free[name] >= queue[0][1].request.arrival.slots:
             port, dispatch = queue.pop(0)
-            self.free[name] -= dispatch.session.asked.slots
-            call_id = dispatch.session.call_id
+            self.free[name] -= dispatch.request.arrival.slots
+            call_id = dispatch.request.call_id
             self.runs[call_id] = self.runs.get(call_id, 0) + 1
             took = self.run_ms(dispatch, self.random)
-            self.busy_ms += took * dispatch.session.asked.slots
+            self.busy_ms += took * dispatch.request.arrival.slots
             took /= self.warmth(name, port.engine.settings, self.clock.now)
             self.clock.call_at(self.clock.now + took, partial(self._end, port, dispatch))
 
-    def _end(self, port: SimServers, dispatch: Dispatch) -> None:
-        name = dispatch.server
-        self.free[name] += dispatch.session.asked.slots
+    def _end(self, port: SimServers, dispatch: Attempt) -> None:
+        name = dispatch.worker
+        self.free[name] += dispatch.request.arrival.slots
         if name not in self.silent:
             self._answer(port, dispatch, Outcome.OK)
         self._begin(name)
 
-    def _answer(self, port: SimServers, dispatch: Dispatch, outcome: Outcome) -> None:
-        report = {"free_slots": self.shown[dispatch.server]}
+    def _answer(self, port: SimServers, dispatch: Attempt, outcome: Outcome) -> None:
+        report = {"free_slots": self.shown[dispatch.worker]}
         self.clock.call_at(
             self.clock.now + self.WIRE_MS,
-            lambda: port.engine.settle(dispatch, outcome, report, b"done"),
+            lambda: port.engine.finish_attempt(dispatch, outcome, report, b"done"),
         )
 
-    def drop(self, port: SimServers, dispatch: Dispatch) -> None:
+    def drop(self, port: SimServers, dispatch: Attempt) -> None:
         """What waits is dropped; what runs goes on."""
-        if (port, dispatch) in self.queues[dispatch.server]:
-            self.queues[dispatch.server].remove((port, dispatch))
+        if (port, dispatch) in self.queues[dispatch.worker]:
+            self.queues[dispatch.worker].remove((port, dispatch))
 
 
 class SimServers:
@@ -206,27 +206,29 @@
     def __init__(self, engine: Engine, machines: Machines) -> None:
         self.engine, self.machines = engine, machines
 
-    def dispatch(self, dispatch: Dispatch) -> None:
+    def send_attempt(self, dispatch: Attempt) -> None:
         """Send it on its way."""
         self.machines.send(self, dispatch)
 
-    def give_up(self, dispatch: Dispatch) -> None:
+    def abandon_attempt(self, dispatch: Attempt) -> None:
         """What waits is dropped; what runs goes on."""
         self.machines.drop(self, dispatch)
 
-    def cancel(self, dispatch: Dispatch) -> None:
+    def cancel_attempt(self, dispatch: Attempt) -> None:
         """Running work goes on after a cancel."""
 
     def probe(self, server: str) -> None:
         """No probes."""
 
-    def adopt(self, call_id: str, server: str, ended: Callable[[Outcome, bytes], None] | None) -> None:
+    def set_callback_handler(
+        self, call_id: str, server: str, ended: Callable[[Outcome, bytes], None] | None
+    ) -> None:
         """Nothing of before a restart runs here."""
 
-    def cancel_at(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
+    def cancel_job(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
         """Nothing of before a restart runs here."""
 
-    def give_up_at(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
+    def abandon_job(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
         """Nothing of before a restart runs here."""
         return True
 
@@ -238,27 +240,27 @@
         self.clock, self.ends, self.late = clock, Counter[str](), 0
         self.arrived: dict[str, float] = {}
 
-    def sending(self, dispatch: Dispatch) -> bool:
+    def before_send(self, dispatch: Attempt) -> bool:
         """Whatever the module sends may go."""
         return True
 
-    def ended(self, dispatch: Dispatch) -> None:
+    def on_attempt_ended(self, dispatch: Attempt) -> None:
         """Nothing is kept of it."""
 
-    def served(self, session: Session, result: bytes) -> None:
+    def on_served(self, session: Request, result: bytes) -> None:
         """One final answer."""
         self.ends["served"] += 1
         self.late += self.clock.now - self.arrived[session.call_id] > 2000.0
 
-    def denied(self, session: Session, retry_after_ms: float | None) -> None:
+    def on_rejected(self, session: Request, retry_after_ms: float | None) -> None:
         """One final answer."""
         self.ends["denied"] += 1
 
-    def failed(self, session: Session) -> None:
+    def on_failed(self, session: Request) -> None:
         """One final answer."""
         self.ends["failed"] += 1
 
-    cancelled = failed
+    on_cancelled = on_failed
 
 
 class Fleet:
@@ -279,7 +281,7 @@
         for n in range(count):
             settings = replace(settings, dispatcher=n, dispatcher_count=count, zone=n % zones)
             self.engines.append(engine_on(clock, settings, seed * 1000 + n))
-            self.engines[-1].servers = SimServers(self.engines[-1], machines)
+            self.engines[-1].workers = SimServers(self.engines[-1], machines)
             self.engines[-1].table.update(ListKind.FULL, machines.entries())
             self._later(n)
 
@@ -299,7 +301,7 @@
         call_id = f"c-{self.number}"
         self.counting.arrived[call_id] = self.clock.now
         deadline_ms = self.clock.now + engine.settings.classes[job_class].deadline_ms
-        engine.open(self.counting, call_id, Payload(b"", b""), job_class, deadline_ms)
+        engine.open_request(self.counting, call_id, Payload(b"", b""), job_class, deadline_ms)
 
     def load(self, per_s: float, until_ms: float, classes: int = 1) -> None:
         """Sessions come at random, spread over the dispatchers, up to then."""
@@ -315,7 +317,7 @@
 
 def engine_on(clock: Any, settings: api.Settings, seed: int) -> Engine:
     """An engine with an empty server table."""
-    return Engine(settings, seed, clock, ServerTable())
+    return Engine(settings, seed, clock, WorkerTable())
 
 
 def resident_kb() -> float:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -32,9 +32,9 @@
 from grebestack.consul.source import Asking, Query, ServiceWatch, Token
 from grebestack.core import api
 from grebestack.membership.interface import Listed, MembershipSettings, Standing
-from grebestack.protocol.membership_adapter import Roster
+from grebestack.protocol.membership_adapter import MembershipAdapter
 from grebestack.routing.engine import Engine
-from grebestack.routing.worker_table import ServerTable
+from grebestack.routing.worker_table import WorkerTable
 from grebestack.transport.client import Response
 from tests.ports import reserved_port
 
@@ -254,11 +254,11 @@
     def __init__(self, count: int) -> None:
         self.clock: Any = SoonClock()
         settings = api.Settings(classes=(ORDER,))
-        self.engine = Engine(settings, 1, self.clock, ServerTable())
-        self.engine.servers = self  # type: ignore[assignment]
+        self.engine = Engine(settings, 1, self.clock, WorkerTable())
+        self.engine.workers = self  # type: ignore[assignment]
         settings_of = MembershipSettings(flaps=1_000_000)
-        self.roster = Roster(settings_of, self.clock, self.engine.table)
-        (listing,) = self.roster.sources(["consul job"], 60_000.0, "")
+        self.roster = MembershipAdapter(settings_of, self.clock, self.engine.table)
+        (listing,) = self.roster.replace_sources(["consul job"], 60_000.0, "")
         pools: Any = NoPools()
         self.watch = ServiceWatch(
             pools,
@@ -298,7 +298,7 @@
         began = time.process_time()
         for n in range(rounds):
             told = (replace(claim, standing=standing[n % 2]),)
-            self.roster.feed(Listed("consul job", told, whole=False))
+            self.roster.handle_event(Listed("consul job", told, whole=False))
         return (time.process_time() - began) / rounds * 1e6
 
     def _note(self, began: float) -> None:
@@ -311,7 +311,7 @@
     for count in (1000, 10_000):
         made = Fleet(count)
         made.answer([], "passing")
-        assert len(made.engine.table.servers) == count
+        assert len(made.engine.table.workers) == count
         made.longest_ms = 0.0
         gc.collect()
         gc.freeze()
--- a/benchmarks/scaling/hollow.py
+++ b/benchmarks/scaling/hollow.py
@@ -27,7 +27,7 @@
 from grebestack.program.config.model import Config
 from grebestack.program.config.operator_file import from_file
 from grebestack.program.config_updates import AppliedConfig
-from grebestack.protocol.settings import unmoved
+from grebestack.protocol.settings import changed_restart_fields
 from scaling.marks import whole
 
 FLUSH_S, COUNTS_S = 0.2, 1.0
@@ -41,7 +41,7 @@
 
     def fields_requiring_restart(self, config: Config) -> Sequence[str]:
         """The fields that need a restart, of those that a version may have."""
-        return unmoved(self.config.options, config.options)
+        return changed_restart_fields(self.config.options, config.options)
 
     def apply_config(self, config: Config) -> str:
         """Act under it."""
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -25,8 +25,8 @@
 
 from grebestack.core import api
 from grebestack.core.api import ListKind
-from grebestack.protocol.worker_list import ListReader, Objects
-from grebestack.routing.worker_table import ServerTable
+from grebestack.protocol.worker_list import JsonObjectReader, WorkerListReader
+from grebestack.routing.worker_table import WorkerTable
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from tests.ports import reserved_port  # noqa: E402
@@ -122,13 +122,13 @@
     """The processor time of one indented list, from its lines to the server table, the best of five."""
     lines, best = listing(count).split(b"\n")[:-1], float("inf")
     for _ in range(5):
-        objects, reader, table = Objects(), ListReader(OPTIONS), ServerTable()
+        objects, reader, table = JsonObjectReader(), WorkerListReader(OPTIONS), WorkerTable()
         began = time.process_time()
         for line in lines:
-            if (raw := objects.line(line)) is not None:
-                table.update(ListKind.FULL, reader.message(raw)[2])
+            if (raw := objects.feed_line(line)) is not None:
+                table.update(ListKind.FULL, reader.read_list(raw)[2])
         best = min(best, (time.process_time() - began) * 1000.0)
-        assert len(table.servers) == count
+        assert len(table.workers) == count
     return best
 
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -64,10 +64,10 @@
 from grebestack.program.config.operator_file import from_file
 from grebestack.program.config.platform import check_reload
 from grebestack.program.shared_discovery import encode_entry
-from grebestack.protocol.http_workers import Said
-from grebestack.protocol.platform import PlatformFront
-from grebestack.protocol.settings import merged
-from grebestack.protocol.worker_list import ListReader, Objects
+from grebestack.protocol.http_workers import CallbackResult
+from grebestack.protocol.platform import PlatformApi
+from grebestack.protocol.settings import merge_settings
+from grebestack.protocol.worker_list import JsonObjectReader, WorkerListReader
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
@@ -516,13 +516,13 @@
         slow_start_ms=24_000.0,
     )
     engine = engine_on(SimClock(), settings, seed)
-    reader, drawn = ListReader(OPTIONS), random.Random(seed)
+    reader, drawn = WorkerListReader(OPTIONS), random.Random(seed)
 
     def take(text: bytes) -> float:
-        began, objects = time.thread_time(), Objects()
+        began, objects = time.thread_time(), JsonObjectReader()
         for line in text.split(b"\n")[:-1]:
-            if (raw := objects.line(line)) is not None:
-                _, every, servers = reader.message(raw)
+            if (raw := objects.feed_line(line)) is not None:
+                _, every, servers = reader.read_list(raw)
                 engine.table.update(ListKind.FULL if every else ListKind.CHANGES, servers)
         return (time.thread_time() - began) * 1000.0
 
@@ -537,13 +537,13 @@
         zone = list(range(min(80, count)))
         take(change_of(zone, "Terminating"))
         back = take(change_of(zone, "Ready"))
-    assert len(engine.table.servers) == count
+    assert len(engine.table.workers) == count
     agent = ConsulFleet(count)
     with undisturbed():
         agent.answer([], "passing")
         answered = [agent.answer([n % count], ("critical", "passing")[n % 2]) for n in range(6)]
     line = encode_entry
-    shared = sum(len(msgspec.msgpack.encode(line(0.0, server))) for server in engine.table.servers.values())
+    shared = sum(len(msgspec.msgpack.encode(line(0.0, server))) for server in engine.table.workers.values())
     return {
         "bytes": float(len(whole_text)),
         "bytes_change": float(len(change_of([1], "Ready"))),
@@ -610,7 +610,7 @@
             settings, classes=settings.classes + old, retired=frozenset(range(size, size + retired))
         )
     engine = engine_on(SimClock(), settings, 1)
-    front = PlatformFront(engine, settings, lambda body: Said.UNKNOWN)
+    front = PlatformApi(engine, settings, lambda body: CallbackResult.UNKNOWN)
     parse, settle = [], []
     with undisturbed():
         for n in range(turns):
@@ -619,9 +619,9 @@
             config = from_file(str(path))
             check_reload(config, former)
             parsed = time.thread_time()
-            settings = merged(engine.settings, config.settings)
-            engine.resettle(settings)
-            front.resettle(settings)
+            settings = merge_settings(engine.settings, config.settings)
+            engine.update_settings(settings)
+            front.update_settings(settings)
             settle.append((time.thread_time() - parsed) * 1000.0)
             parse.append((parsed - began) * 1000.0)
     text = contents(size, size).encode()
@@ -640,13 +640,13 @@
         "from harness import SimClock, engine_on, resident_kb\n"
         "from slopes import ORDER\n"
         "from grebestack.core import api\n"
-        "from grebestack.protocol.settings import merged\n"
+        "from grebestack.protocol.settings import merge_settings\n"
         "engine = engine_on(SimClock(), api.Settings(classes=(ORDER, replace(ORDER, name='other'))), 1)\n"
         "before = resident_kb()\n"
         "for n in range(int(sys.argv[3])):\n"
         "    order = replace(ORDER, latency_objective_ms=601.0 + n)\n"
         "    new = api.Settings(classes=(order, engine.settings.classes[1]))\n"
-        "    engine.resettle(merged(engine.settings, new))\n"
+        "    engine.update_settings(merge_settings(engine.settings, new))\n"
         "print((resident_kb() - before) / 1024.0, len(engine.settings.classes))\n"
     )
     here = Path(__file__).resolve().parent
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -31,8 +31,8 @@
 from grebestack.jobs.store import JobStore
 from grebestack.program.loop_clock import LoopClock
 from grebestack.routing.engine import Engine
-from grebestack.routing.requests import Dispatch, Payload, Session, Stage
-from grebestack.routing.worker_table import Server
+from grebestack.routing.requests import Attempt, AttemptStage, Payload, Request
+from grebestack.routing.worker_table import WorkerEndpoint
 
 ORDER = api.JobClass(
     "order",
@@ -78,31 +78,31 @@
         self.arrived: dict[int, float] = {}
         self.ran: dict[int, float] = {}
 
-    def sending(self, dispatch: Dispatch) -> bool:
+    def before_send(self, dispatch: Attempt) -> bool:
         """Whatever the module sends may go."""
         return True
 
-    def ended(self, dispatch: Dispatch) -> None:
+    def on_attempt_ended(self, dispatch: Attempt) -> None:
         """Nothing is kept of it."""
 
-    def served(self, session: Session, result: bytes) -> None:
+    def on_served(self, session: Request, result: bytes) -> None:
         """In time if within the aim and so many times the job's own running time."""
-        job_class = SETTINGS.classes[session.asked.job_class]
+        job_class = SETTINGS.classes[session.arrival.job_class]
         took = self.clock.now - self.arrived.pop(session.number)
         aim = job_class.latency_objective_ms + job_class.objective_stretch * self.ran.pop(
             session.number, RUN_MS
         )
         self.worth += job_class.priority_weight * (1.0 if took <= aim else job_class.late_priority_weight)
 
-    def denied(self, session: Session, retry_after_ms: float | None) -> None:
+    def on_rejected(self, session: Request, retry_after_ms: float | None) -> None:
         """Nothing is earned."""
         self.arrived.pop(session.number, None)
 
-    def failed(self, session: Session) -> None:
+    def on_failed(self, session: Request) -> None:
         """Nothing is earned."""
         self.arrived.pop(session.number, None)
 
-    cancelled = failed
+    on_cancelled = on_failed
 
 
 class Watched:
@@ -151,13 +151,13 @@
     # Running times come from a stream of their own: both runs are played with the same ones.
     frontend = Flooding(clock)
 
-    def run_ms(dispatch: Dispatch, _: random.Random) -> float:
-        took = random.Random(f"{seed} {dispatch.session.call_id}").expovariate(1.0 / RUN_MS)
-        frontend.ran[dispatch.session.number] = took
+    def run_ms(dispatch: Attempt, _: random.Random) -> float:
+        took = random.Random(f"{seed} {dispatch.request.call_id}").expovariate(1.0 / RUN_MS)
+        frontend.ran[dispatch.request.number] = took
         return took
 
     machines = Machines(clock, seed, SERVERS, SLOTS, run_ms)
-    servers = engine.servers = SimServers(engine, machines)
+    servers = engine.workers = SimServers(engine, machines)
     templates = Templates(SETTINGS)
     limits = JobLimits(wanted=(10.0, 10.0))
     service = JobService(
@@ -175,8 +175,10 @@
         counts[0] += 1
         job_class = SETTINGS.classes[index]
         frontend.asked += job_class.priority_weight
-        frontend.arrived[engine.last + 1] = clock.now
-        engine.open(frontend, f"f{counts[0]}", Payload(b"", b""), index, clock.now + job_class.deadline_ms)
+        frontend.arrived[engine.last_number + 1] = clock.now
+        engine.open_request(
+            frontend, f"f{counts[0]}", Payload(b"", b""), index, clock.now + job_class.deadline_ms
+        )
         gap = source.expovariate(CAPACITY_PER_S * FLOOD / 1000.0)
         clock.call_at(clock.now + gap, arrive)
 
@@ -258,29 +260,29 @@
     def __init__(self, engine: Engine, clock: LoopClock) -> None:
         self.engine, self.clock = engine, clock
 
-    def dispatch(self, dispatch: Dispatch) -> None:
+    def send_attempt(self, dispatch: Attempt) -> None:
         """Send it."""
-        if not self.engine.may_send(dispatch):
-            self.engine.settle(dispatch, Outcome.CONNECT_FAILED)
+        if not self.engine.confirm_send(dispatch):
+            self.engine.finish_attempt(dispatch, Outcome.CONNECT_FAILED)
             return
-        dispatch.stage = Stage.ACCEPTED
+        dispatch.stage = AttemptStage.ACCEPTED
         report = {"free_slots": 1e6}
-        self.clock.call_at(0.0, lambda: self.engine.settle(dispatch, Outcome.OK, report, b"done"))
+        self.clock.call_at(0.0, lambda: self.engine.finish_attempt(dispatch, Outcome.OK, report, b"done"))
 
-    def give_up(self, dispatch: Dispatch) -> None:
+    def abandon_attempt(self, dispatch: Attempt) -> None:
         """Nothing is out for long."""
 
-    cancel = give_up
+    cancel_attempt = abandon_attempt
 
     def probe(self, server: str) -> None:
         """No probes."""
 
-    def adopt(self, *_: object) -> None:
+    def set_callback_handler(self, *_: object) -> None:
         """Nothing runs since before a restart."""
 
-    cancel_at = adopt
+    cancel_job = set_callback_handler
 
-    def give_up_at(self, *_: object) -> bool:
+    def abandon_job(self, *_: object) -> bool:
         """Nothing runs since before a restart."""
         return True
 
@@ -293,7 +295,7 @@
 
     def service_on() -> JobService:
         engine = engine_on(clock, SETTINGS, 1)
-        engine.servers = Instant(engine, clock)
+        engine.workers = Instant(engine, clock)
         return JobService(engine, Instant(engine, clock), SETTINGS, JobStore(path), templates, limits)
 
     service = service_on()
@@ -332,7 +334,7 @@
         hour = first + source.uniform(0.0, seconds)
         job, _ = service.submit(f"due{n}", templates.new_job({"jobCategory": "reading", "startTime": hour}))
         hours[job.id] = hour
-    service.engine.table.update(ListKind.FULL, [Server(api.WorkerEntry("s-1"), ("127.0.0.1", 1))])
+    service.engine.table.update(ListKind.FULL, [WorkerEndpoint(api.WorkerEntry("s-1"), ("127.0.0.1", 1))])
     while len(lateness) < due and time.time() < first + seconds + 10.0:
         await asyncio.sleep(0.05)
     assert len(lateness) == due, "not all were let in"
@@ -350,7 +352,7 @@
     """The longest turn while the first of a chain fails and all others end with it, in a store on disk."""
     clock = SimClock()
     engine = engine_on(clock, SETTINGS, 1)
-    servers = engine.servers = SimServers(engine, Machines(clock, 1, 0, 1, lambda d, r: 1.0))
+    servers = engine.workers = SimServers(engine, Machines(clock, 1, 0, 1, lambda d, r: 1.0))
     templates = Templates(SETTINGS)
     service = JobService(
         engine,
--- a/grebestack/consul/entries.py
+++ b/grebestack/consul/entries.py
@@ -11,8 +11,8 @@
 from netaddr import AddrFormatError, IPAddress, IPNetwork, IPSet
 
 from grebestack.core.api import WorkerEntry, WorkerState
-from grebestack.protocol.settings import Places
-from grebestack.routing.worker_table import Server
+from grebestack.protocol.settings import PlaceNumbers
+from grebestack.routing.worker_table import WorkerEndpoint
 
 log = logging.getLogger(__name__)
 NODE_MAINTENANCE, SERVICE_MAINTENANCE = "_node_maintenance", "_service_maintenance:"
@@ -125,11 +125,11 @@
     """Reads instances into servers. Zone, kind and cell come from the metadata."""
 
     def __init__(self, options: Mapping[str, Any], reading: Reading) -> None:
-        self.places, self.reading = Places(options), reading
+        self.places, self.reading = PlaceNumbers(options), reading
         self.outside: set[str] = set()  # told of once each
         self.health, self.catalogue = msgspec.json.Decoder(Instance), msgspec.json.Decoder(Listed)
 
-    def read(self, raw: msgspec.Raw | bytes, health: bool) -> Server | None:
+    def read(self, raw: msgspec.Raw | bytes, health: bool) -> WorkerEndpoint | None:
         """One line; None for a server that may not be sent to. msgspec.ValidationError: it can't be read."""
         instance = self.health.decode(raw) if health else self.catalogue.decode(raw).instance()
         service, node = instance.service, instance.node
@@ -148,7 +148,7 @@
             state=standing,
             weight=weight or 1.0,
         )
-        return Server(entry, (host, port), reason=reason)
+        return WorkerEndpoint(entry, (host, port), reason=reason)
 
     def _address(self, service: Service, node: Node) -> tuple[str, int]:
         tagged = (service.tagged_addresses or {}).get(self.reading.prefer)
--- a/grebestack/consul/source.py
+++ b/grebestack/consul/source.py
@@ -16,8 +16,8 @@
 from grebestack.consul.agents import Agents, AgentSettings, Reply, Verdict
 from grebestack.consul.entries import Entries
 from grebestack.core.api import ListKind
-from grebestack.routing.interfaces import Clock, Listing, Timer
-from grebestack.routing.worker_table import Server
+from grebestack.routing.interfaces import Clock, Timer, WorkerListReceiver
+from grebestack.routing.worker_table import WorkerEndpoint
 from grebestack.transport.client import Exchange, Pools, Response
 
 log = logging.getLogger(__name__)
@@ -108,7 +108,7 @@
         asking: Asking,
         token: Token,
         entries: Entries,
-        listing: Listing,
+        listing: WorkerListReceiver,
     ) -> None:
         self.pools, self.clock, self.asking, self.token = pools, clock, asking, token
         self.agents = Agents(settings, random.Random())
@@ -118,7 +118,7 @@
         self.timer: Timer | None = None
         self.stopped = False
         self.took_ms = 0.0  # reading the list that is being read
-        self.known: dict[bytes, Server | None] = {}  # lines as they were read last, by digest
+        self.known: dict[bytes, WorkerEndpoint | None] = {}  # lines as they were read last, by digest
 
     def start(self) -> None:
         """Send the first query."""
@@ -183,7 +183,7 @@
         at = ":".join(map(str, agent.address))
         kv = {"why": agent.why, "agent": at, "service": self.asking.service, "source": self.source}
         log.warning("consul_failed", extra={"kv": kv})
-        self.listing.silent(f"{at}: {agent.why}")
+        self.listing.on_silent(f"{at}: {agent.why}")
         self._next()
 
     def answered(self, query: Query, response: Response) -> None:
@@ -209,7 +209,7 @@
                 self._read(query, lines, 0, {}, [])
             case Verdict.SAME:
                 self._rest()
-                self.listing.heard()
+                self.listing.on_unchanged()
                 self._next()
             case _:
                 self._failed(query)
@@ -223,8 +223,8 @@
         query: Query,
         lines: Sequence[msgspec.Raw],
         first: int,
-        known: dict[bytes, Server | None],
-        servers: list[Server],
+        known: dict[bytes, WorkerEndpoint | None],
+        servers: list[WorkerEndpoint],
     ) -> None:
         """Read some lines and go on at the next turn: ten thousand would stop the loop for too long."""
         if query is not self.query or self.stopped:
@@ -256,7 +256,7 @@
         else:
             self._told(query, servers)
 
-    def _told(self, query: Query, servers: list[Server]) -> None:
+    def _told(self, query: Query, servers: list[WorkerEndpoint]) -> None:
         if query is not self.query or self.stopped:
             return
         began = self.clock.now_ms()
--- a/grebestack/drmaa/console.py
+++ b/grebestack/drmaa/console.py
@@ -13,13 +13,13 @@
 class Members(Protocol):
     """What is believed of the servers."""
 
-    def shown(self) -> dict[str, Any]:
+    def describe(self) -> dict[str, Any]:
         """The sources, and each server with its state, reason and what its sources say."""
 
-    def drain(self, server: str, on: bool) -> None:
+    def set_drained(self, server: str, on: bool) -> None:
         """The operator drains a server, or does no longer; KeyError if none has this name."""
 
-    def accept(self, source: str) -> None:
+    def accept_removals(self, source: str) -> None:
         """The operator accepts what a source takes away; KeyError if there is no such source."""
 
 
@@ -53,13 +53,13 @@
             case ("POST", "drain"):
                 return self._drain(raw)
             case ("GET", "membership") if self.roster is not None:
-                return self.roster.shown()
+                return self.roster.describe()
             case ("GET", "fleet") if self.fleet is not None:
                 return self.fleet.members()
             case ("GET", "leases") if self.fleet is not None:
                 return self.fleet.tasks_held()
             case ("POST", "accept") if self.roster is not None and isinstance(raw, dict):
-                self.roster.accept(str(raw.get("source")))
+                self.roster.accept_removals(str(raw.get("source")))
                 return {"source": raw.get("source")}
         raise KeyError(f"{method} {what}")
 
@@ -68,9 +68,9 @@
         return {
             "name": self.name,
             "up_seconds": round(time.time() - self.started, 1),
-            "servers": len(engine.table.servers),
-            "ready_servers": sum(engine.table.accepts(name) for name in engine.table.servers),
-            "list_is_live": engine.table.known,
+            "servers": len(engine.table.workers),
+            "ready_servers": sum(engine.table.accepts_work(name) for name in engine.table.workers),
+            "list_is_live": engine.table.has_live_list,
             "open_sessions": len(engine.open_by_call_id),
             "jobs": self.store.counts(),
             "waiting_room": {
@@ -84,11 +84,13 @@
 
     def _servers(self) -> list[dict[str, Any]]:
         table, drained = self.engine.table, self.store.drains()
-        believed = {s["server"]: s for s in self.roster.shown()["servers"]} if self.roster is not None else {}
+        believed = (
+            {s["server"]: s for s in self.roster.describe()["servers"]} if self.roster is not None else {}
+        )
         out: dict[str, int] = {}
-        for session in self.engine.sessions.values():
-            for dispatch in session.out():
-                out[dispatch.server] = out.get(dispatch.server, 0) + 1
+        for session in self.engine.requests.values():
+            for dispatch in session.open_attempts():
+                out[dispatch.worker] = out.get(dispatch.worker, 0) + 1
         return [
             {
                 "server": name,
@@ -98,7 +100,7 @@
                 "drained_here": name in drained,
                 "dispatches": out.get(name, 0),
             }
-            for name, server in sorted(table.servers.items())
+            for name, server in sorted(table.workers.items())
         ]
 
     def _drain(self, raw: Any) -> dict[str, Any]:
@@ -108,6 +110,6 @@
             raise KeyError("drain needs a server and whether it is on")
         if self.roster is None:
             raise KeyError("no membership")
-        self.roster.drain(server, on)
+        self.roster.set_drained(server, on)
         self.store.drain(server, on)
         return {"server": server, "drained_here": on}
--- a/grebestack/jobs/recovery.py
+++ b/grebestack/jobs/recovery.py
@@ -80,7 +80,7 @@
         service.store.set_state(job.id, JobState.UNDETERMINED)
         ticket = service.tickets[job.id] = ReleasedJob(service, job.id, job.direct)
         ticket.adopted = server
-        service.servers.adopt(job.id, server, partial(self._adopted_ended, job.id))
+        service.servers.set_callback_handler(job.id, server, partial(self._adopted_ended, job.id))
         if job.category in service.classes:
             job_class = service.settings.classes[service.classes[job.category]]
             limit = retry_limit(job_class, service.settings, earlier)
@@ -100,7 +100,7 @@
         ticket = service.tickets.get(job_id)
         if ticket is None or ticket.adopted is None or service.wall() >= limit.until_s:
             return
-        if not service.servers.give_up_at(ticket.adopted, job_id, partial(self._send_again, job_id, limit)):
+        if not service.servers.abandon_job(ticket.adopted, job_id, partial(self._send_again, job_id, limit)):
             again = partial(self._ask_back, job_id, limit)
             service.engine.clock.call_at(service.engine.clock.now_ms() + ASK_BACK_AGAIN_MS, again)
 
@@ -113,7 +113,7 @@
         log.info("job_sent_again", extra={"kv": {"job": job_id, "server": ticket.adopted}})
         if ticket.timer is not None:
             ticket.timer.cancel()
-        service.servers.adopt(job_id, ticket.adopted, None)
+        service.servers.set_callback_handler(job_id, ticket.adopted, None)
         service.retries[job_id] = limit
         service.store.set_state(job_id, JobState.REQUEUED)
         if limit.until_s < math.inf:
@@ -127,7 +127,9 @@
         if job_id not in self.service.retries:
             return
         ticket = self.service.tickets.get(job_id)
-        if ticket is None or (ticket.session is not None and self.service.engine.withdraw(ticket.session)):
+        if ticket is None or (
+            ticket.session is not None and self.service.engine.withdraw_unsent(ticket.session)
+        ):
             self.on_overdue(job_id)
 
     def _adopted_ended(self, job_id: str, outcome: Outcome, result: bytes) -> None:
--- a/grebestack/jobs/released_job.py
+++ b/grebestack/jobs/released_job.py
@@ -9,7 +9,7 @@
 from grebestack.job_queue import interface as room_api
 from grebestack.jobs.records import JobState
 from grebestack.routing.interfaces import Timer
-from grebestack.routing.requests import Dispatch, Session
+from grebestack.routing.requests import Attempt, Request
 
 if TYPE_CHECKING:
     from grebestack.jobs.service import JobService
@@ -23,7 +23,7 @@
 
     def __init__(self, service: JobService, job_id: str, direct: bool) -> None:
         self.service, self.id, self.direct = service, job_id, direct
-        self.session: Session | None = None
+        self.session: Request | None = None
         self.rows: dict[int, int] = {}  # the record of each dispatch, by number
         self.deny_ms: float | None = None  # refused before it was acknowledged: when to come back
         self.acknowledged = True
@@ -31,18 +31,18 @@
         self.retry = service.retries.get(job_id)  # set: it is sent again after a restart
         self.timer: Timer | None = None
 
-    def may_have_run(self, session: Session) -> bool:
+    def may_have_run(self, session: Request) -> bool:
         """Whether some attempt, also one of before a restart, is not proven never to have run."""
         return session.may_have_run or self.retry is not None
 
-    def sending(self, dispatch: Dispatch) -> bool:
+    def before_send(self, dispatch: Attempt) -> bool:
         """Record the dispatch; a dispatch that can't be recorded is not sent."""
         retry = self.retry
         if retry is not None and (self.service.wall() > retry.until_s or dispatch.number >= retry.attempts):
             return False
         try:
             self.rows[dispatch.number] = self.service.store.sending(
-                self.id, self.service.engine.table.uid(dispatch.server), self.service.wall()
+                self.id, self.service.engine.table.callback_id(dispatch.worker), self.service.wall()
             )
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"job": self.id, "error": error}})
@@ -50,7 +50,7 @@
         self.service.feed(room_api.Sent(self.id))
         return True
 
-    def ended(self, dispatch: Dispatch) -> None:
+    def on_attempt_ended(self, dispatch: Attempt) -> None:
         """Record how a dispatch ended: one that never ran may be sent again, after a restart too."""
         outcome, row = dispatch.outcome, self.rows.get(dispatch.number)
         if outcome is None or row is None:
@@ -66,11 +66,11 @@
         except sqlite3.Error as error:  # then the record says that it may have run, which is the safe side
             log.error("store_failed", extra={"kv": {"job": self.id, "error": error}})
 
-    def served(self, session: Session, result: bytes) -> None:
+    def on_served(self, session: Request, result: bytes) -> None:
         """A server did the job."""
         self.service.finish(self.id, JobState.DONE, result=result)
 
-    def denied(self, session: Session, retry_after_ms: float | None) -> None:
+    def on_rejected(self, session: Request, retry_after_ms: float | None) -> None:
         """Refused: final for a job that asked for no waiting; another goes back to the waiting room."""
         if not self.acknowledged:
             self.deny_ms = retry_after_ms or 0.0
@@ -86,14 +86,14 @@
                 retry_after=(retry_after_ms or 0.0) / 1000.0,
             )
 
-    def failed(self, session: Session) -> None:
+    def on_failed(self, session: Request) -> None:
         """Failed; it may have run."""
         self._unserved(session, "failed")
 
-    def cancelled(self, session: Session) -> None:
+    def on_cancelled(self, session: Request) -> None:
         """Terminated as asked."""
         self._unserved(session, "terminated")
 
-    def _unserved(self, session: Session, how: str) -> None:
+    def _unserved(self, session: Request, how: str) -> None:
         ran = "it may have run" if self.may_have_run(session) else "it has not run"
         self.service.finish(self.id, JobState.FAILED, annotation=f"{how}: {ran}")
--- a/grebestack/jobs/service.py
+++ b/grebestack/jobs/service.py
@@ -51,13 +51,15 @@
 class Servers(Protocol):
     """What is asked of the servers' side for jobs that were sent before a restart."""
 
-    def adopt(self, call_id: str, server: str, ended: Callable[[Outcome, bytes], None] | None) -> None:
+    def set_callback_handler(
+        self, call_id: str, server: str, ended: Callable[[Outcome, bytes], None] | None
+    ) -> None:
         """Wait for such a job's end; None: no longer."""
 
-    def cancel_at(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
+    def cancel_job(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
         """Ask a server to give a job up."""
 
-    def give_up_at(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
+    def abandon_job(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
         """Tell a server that a job is not waited for; False if the server is not known."""
 
 
@@ -101,7 +103,7 @@
         self.recording = self.looking = False
         self.batches, self.recovery = BatchIntake(self), JobRecovery(self)
         self._servers_changed()
-        engine.table.changed = self._servers_soon
+        engine.table.after_change = self._servers_soon
         self._read_wall()
 
     # Time.
@@ -207,7 +209,7 @@
             deadline_ms = min(deadline_ms, self.clock_ms(job.deadline))
         self.counts["released"] += 1
         self.counts["released_aged"] += aged
-        ticket.session = self.engine.open(
+        ticket.session = self.engine.open_request(
             ticket,
             job_id,
             task.payload,
@@ -220,7 +222,7 @@
 
     def _withdraw(self, job_id: str) -> None:
         ticket = self.tickets.get(job_id)
-        if ticket is not None and ticket.session is not None and self.engine.withdraw(ticket.session):
+        if ticket is not None and ticket.session is not None and self.engine.withdraw_unsent(ticket.session):
             self.returned(ticket, 0.0)
 
     def returned(self, ticket: ReleasedJob, pause_ms: float) -> None:
@@ -242,7 +244,7 @@
         if self.stopping:
             return
         table = self.engine.table
-        kinds = {server.entry.kind for name, server in table.servers.items() if table.accepts(name)}
+        kinds = {server.entry.kind for name, server in table.workers.items() if table.accepts_work(name)}
         for index, job_class in enumerate(self.settings.classes):
             is_open = bool(kinds) if job_class.kind == -1 else job_class.kind in kinds
             if is_open != self.room.lanes[index].open:
@@ -279,7 +281,7 @@
             if ticket.timer is not None:
                 ticket.timer.cancel()
             if ticket.adopted is not None:
-                self.servers.adopt(job_id, ticket.adopted, None)
+                self.servers.set_callback_handler(job_id, ticket.adopted, None)
         try:
             self.store.finish(
                 job_id, state, self.wall(), result=result, annotation=annotation, retry_after=retry_after
@@ -471,9 +473,9 @@
         if ticket is None:
             self.feed(room_api.Terminated(job.id))
         elif ticket.session is not None:
-            self.engine.terminate(ticket.session)
+            self.engine.cancel_request(ticket.session)
         elif ticket.adopted is not None:
-            self.servers.cancel_at(ticket.adopted, job.id, partial(self.recovery.on_cancelled, job.id))
+            self.servers.cancel_job(ticket.adopted, job.id, partial(self.recovery.on_cancelled, job.id))
 
     def hold(self, job: Job) -> None:
         """Keep a job that no server has been sent from going on."""
--- a/grebestack/program/admin_command.py
+++ b/grebestack/program/admin_command.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 
 from grebestack.admin.commands import ALLOWED_COMMANDS
-from grebestack.protocol.worker_list import address_of
+from grebestack.protocol.worker_list import parse_address
 from grebestack.transport.client import Address
 
 TIMEOUT_S = 5.0
@@ -26,7 +26,7 @@
     """Send a command and print its response; the exit code tells the outcome."""
     options = _parser().parse_args(arguments)
     try:
-        address = address_of(options.door)
+        address = parse_address(options.door)
     except ValueError as error:
         print(f"grebestack say: {error}")
         return ExitCode.BAD_ARGUMENTS
--- a/grebestack/program/admin_operations.py
+++ b/grebestack/program/admin_operations.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from grebestack.admin.server import Respond
     from grebestack.routing.interfaces import Clock
-    from grebestack.routing.worker_table import ServerTable
+    from grebestack.routing.worker_table import WorkerTable
 
 MAX_NAME_CHARACTERS = 80  # of an unknown worker's name in a response
 
@@ -63,7 +63,7 @@
     """What commands work on."""
 
     lifecycle: Lifecycle
-    table: ServerTable
+    table: WorkerTable
 
     @property
     def fleet(self) -> ClusterMember | None:
@@ -148,7 +148,7 @@
 
     def _cordon(self, worker: str, cordoned: bool) -> CommandResponse:
         try:
-            self.dispatcher.table.cordon(worker, cordoned)
+            self.dispatcher.table.set_cordoned(worker, cordoned)
         except KeyError:
             name = repr(worker[:MAX_NAME_CHARACTERS])
             return CommandResponse(False, f"{name} was never listed; allowed: an ID that discovery has named")
--- a/grebestack/program/appliance.py
+++ b/grebestack/program/appliance.py
@@ -24,10 +24,10 @@
 from grebestack.membership.interface import Drained, MembershipSettings
 from grebestack.program.config.errors import StartError
 from grebestack.program.config.model import Config, ConsulConfig, DrmaaConfig, WorkerMembershipConfig
-from grebestack.protocol.http_workers import Runners
-from grebestack.protocol.membership_adapter import Roster
+from grebestack.protocol.http_workers import HttpWorkers
+from grebestack.protocol.membership_adapter import MembershipAdapter
 from grebestack.routing.engine import Engine
-from grebestack.routing.interfaces import Clock, Listing
+from grebestack.routing.interfaces import Clock, WorkerListReceiver
 from grebestack.transport.client import Pools
 
 log = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
 _SECONDS_PER_DAY = 86_400.0
 
 
-def build_roster(config: WorkerMembershipConfig, engine: Engine) -> Roster:
+def build_roster(config: WorkerMembershipConfig, engine: Engine) -> MembershipAdapter:
     """Return what decides which workers are members, between their sources and the worker table."""
     settings = MembershipSettings(
         flaps=config.flaps,
@@ -46,11 +46,15 @@
         keep_least=config.keep_least,
         moved_ms=config.moved_s * 1000.0,
     )
-    return Roster(settings, engine.clock, engine.table)
+    return MembershipAdapter(settings, engine.clock, engine.table)
 
 
 def consul_source(
-    config: ConsulConfig, pools: Pools, clock: Clock, options: Mapping[str, Any], listings: Sequence[Listing]
+    config: ConsulConfig,
+    pools: Pools,
+    clock: Clock,
+    options: Mapping[str, Any],
+    listings: Sequence[WorkerListReceiver],
 ) -> ConsulSource:
     """Return a source that watches all services; each has one of `listings`."""
     max_stale_ms = None if config.max_stale_s is None else config.max_stale_s * 1000.0
@@ -84,10 +88,10 @@
 
 def start_job_service(
     engine: Engine,
-    runners: Runners,
+    runners: HttpWorkers,
     config: Config,
     drmaa: DrmaaConfig,
-    roster: Roster | None,
+    roster: MembershipAdapter | None,
     fleet: Fleet | None = None,
 ) -> tuple[JobService, DrmaaFront]:
     """Open the store and restore its jobs, which is done before a call-back of a worker can arrive.
@@ -101,7 +105,7 @@
         _remove_old_jobs(store, drmaa.retention_days, engine.clock)
         if roster is not None:
             for worker in store.drains():
-                roster.feed(Drained(worker, True))
+                roster.handle_event(Drained(worker, True))
         templates = Templates(config.settings, drmaa.jobs.queued_classes)
         limits = _job_limits(drmaa, config.settings)
         service = JobService(engine, runners, config.settings, store, templates, limits)
--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -23,14 +23,14 @@
 from grebestack.program.audit_segments import RecordBatch, SegmentWriter, next_segment_number, segment_names
 from grebestack.program.config.errors import StartError
 from grebestack.program.config.model import AuditConfig, Config
-from grebestack.routing.requests import Session
+from grebestack.routing.requests import Request
 
 if TYPE_CHECKING:
     from grebestack.program.cluster_member import ClusterMember
     from grebestack.program.shared_discovery import Source
-    from grebestack.protocol.http_workers import Runners
+    from grebestack.protocol.http_workers import HttpWorkers
     from grebestack.routing.engine import Engine
-    from grebestack.routing.worker_table import ServerTable
+    from grebestack.routing.worker_table import WorkerTable
 
 log = logging.getLogger(__name__)
 _FLUSH_INTERVAL_S = 0.05
@@ -55,8 +55,8 @@
     config: Config
     loop: asyncio.AbstractEventLoop
     engine: Engine
-    runners: Runners
-    table: ServerTable
+    runners: HttpWorkers
+    table: WorkerTable
     worker_source: Source | None
     fleet: ClusterMember | None
 
@@ -96,7 +96,7 @@
 
     def _subscribe(self) -> None:
         engine, table = self.dispatcher.engine, self.dispatcher.table
-        engine.on_act, self.dispatcher.runners.mark = self._on_decision, self._stamp_header
+        engine.on_audited_action, self.dispatcher.runners.audit_header = self._on_decision, self._stamp_header
         self._feed_engine = table.on_change
         table.on_change = self._on_workers_listed
 
@@ -133,7 +133,7 @@
 
     # Events that are recorded.
 
-    def _on_decision(self, what: str, session: Session, worker: str) -> None:
+    def _on_decision(self, what: str, session: Request, worker: str) -> None:
         fleet = self.dispatcher.fleet
         if fleet is not None and fleet.node.replica.config.epoch != self.stamps.current.epoch:
             self._change_stamp(epoch=fleet.node.replica.config.epoch)
--- a/grebestack/program/cluster_member.py
+++ b/grebestack/program/cluster_member.py
@@ -25,7 +25,7 @@
 from grebestack.program.config.errors import ConfigError, StartError
 from grebestack.program.config.model import ClusterConfig, Config
 from grebestack.program.metrics_exporter import MetricsExporter
-from grebestack.routing.interfaces import Listing
+from grebestack.routing.interfaces import WorkerListReceiver
 from grebestack.transport.client import Pools
 
 if TYPE_CHECKING:
@@ -96,7 +96,9 @@
                 )
 
     def share(
-        self, listings: Sequence[Listing], make: Callable[[Sequence[Listing]], shared_discovery.Source]
+        self,
+        listings: Sequence[WorkerListReceiver],
+        make: Callable[[Sequence[WorkerListReceiver]], shared_discovery.Source],
     ) -> shared_discovery.SharedSource:
         """Return a source that one member reads for all; `make` makes the own source."""
         return shared_discovery.SharedSource(self.node, self.dispatcher.engine.clock, listings, make)
--- a/grebestack/program/config/cluster.py
+++ b/grebestack/program/config/cluster.py
@@ -8,7 +8,7 @@
 
 from grebestack.program.config.model import ClusterConfig, MetricsExportConfig
 from grebestack.program.config.validation import read_flag, read_number, read_string, read_table
-from grebestack.protocol.worker_list import address_of
+from grebestack.protocol.worker_list import parse_address
 from grebestack.transport.client import Address
 
 FLEET_KEYS = (
@@ -29,7 +29,7 @@
             f"[fleet.members] must name this dispatcher, {own_name!r}; it has {', '.join(addresses)}"
         )
     try:
-        listen = address_of(str(raw["listen"])) if "listen" in raw else addresses[own_name]
+        listen = parse_address(str(raw["listen"])) if "listen" in raw else addresses[own_name]
     except ValueError as error:
         raise ValueError(f"[fleet] addresses must be HOST:PORT: {error}") from error
     term_s = read_number(raw, "term_s", 4.0, 0.5, 3600.0)
@@ -54,7 +54,7 @@
     """Return the address of each member in [fleet.members]. ValueError: they can't be used."""
     members = read_table(raw, "members", " ".join(raw.get("members") or ()), within="fleet")
     try:
-        addresses = {name: address_of(str(address)) for name, address in members.items()}
+        addresses = {name: parse_address(str(address)) for name, address in members.items()}
     except ValueError as error:
         raise ValueError(f"[fleet] addresses must be HOST:PORT: {error}") from error
     if len(set(addresses.values())) < len(addresses):
@@ -70,5 +70,5 @@
 
 
 def _metrics_export_config(raw: Mapping[str, Any], path: str) -> MetricsExportConfig:
-    collector = address_of(str(raw["collector"]))
+    collector = parse_address(str(raw["collector"]))
     return MetricsExportConfig(collector, path, read_number(raw, "every_s", 5.0, 0.05, 86_400.0))
--- a/grebestack/program/config/distribution.py
+++ b/grebestack/program/config/distribution.py
@@ -10,7 +10,7 @@
 from grebestack.program.config.cluster import member_addresses
 from grebestack.program.config.model import DistributionConfig, RelayConfig
 from grebestack.program.config.validation import read_flag, read_string, read_table
-from grebestack.protocol.worker_list import address_of
+from grebestack.protocol.worker_list import parse_address
 
 _PLACE_PATTERN = r"[\w.-]+/[\w.-]+"
 _FOLLOWER_KEYS = "name folder follow place relays members"
@@ -89,7 +89,7 @@
     within = f"fleet.relays.{name}"
     table = read_table(tables, name, "address place", within="fleet.relays")
     try:
-        address = address_of(str(table.get("address", "")))
+        address = parse_address(str(table.get("address", "")))
     except ValueError as error:
         raise ValueError(f"[{within}] address must be HOST:PORT: {error}") from error
     return RelayConfig(address, _place(table, within))
--- a/grebestack/program/config/files.py
+++ b/grebestack/program/config/files.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from grebestack.program.config.errors import ConfigError
-from grebestack.protocol.worker_list import address_of
+from grebestack.protocol.worker_list import parse_address
 from grebestack.transport.client import Address
 
 
@@ -27,6 +27,6 @@
     if not isinstance(raw, str):
         raise ValueError(f"control must be HOST:PORT, not {raw!r}")
     try:
-        return address_of(raw)
+        return parse_address(raw)
     except ValueError as error:
         raise ValueError(f"control must be HOST:PORT: {error}") from error
--- a/grebestack/program/config/jobs.py
+++ b/grebestack/program/config/jobs.py
@@ -8,7 +8,7 @@
 
 from grebestack.program.config.model import DrmaaConfig, JobsConfig
 from grebestack.program.config.validation import read_flag, read_integer, read_number, read_table
-from grebestack.protocol.worker_list import address_of
+from grebestack.protocol.worker_list import parse_address
 
 DRMAA_KEYS = "listen store most_open keep_days most_body"
 JOBS_KEYS = "wanted_s most_waiting most_conditions ahead ripe classes"
@@ -47,7 +47,7 @@
     if not is_number or not retention_days > 0:
         raise ValueError("keep_days must be a number above 0")
     return DrmaaConfig(
-        listen=address_of(raw["listen"]),
+        listen=parse_address(raw["listen"]),
         store_path=os.path.join(folder, str(raw["store"])),
         max_open_jobs=read_integer(raw, "most_open", 1000, 1),
         retention_days=float(retention_days),
--- a/grebestack/program/config/operator_file.py
+++ b/grebestack/program/config/operator_file.py
@@ -17,8 +17,8 @@
 from grebestack.program.config.validation import read_integer, read_table
 from grebestack.program.config.worker_membership import MEMBERSHIP_KEYS, worker_membership_config
 from grebestack.program.config.worker_source import SERVERS_KEYS, source_kind, worker_source
-from grebestack.protocol.settings import WireError, settings_of
-from grebestack.protocol.worker_list import address_of
+from grebestack.protocol.settings import FormatError, parse_settings
+from grebestack.protocol.worker_list import parse_address
 
 _KEYS = {
     "name",
@@ -65,7 +65,7 @@
         return _config_of(raw, path)
     except KeyError as error:
         raise ConfigError(f"{path}: lacks {error}") from error
-    except (ValueError, TypeError, AttributeError, WireError) as error:
+    except (ValueError, TypeError, AttributeError, FormatError) as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
@@ -99,12 +99,12 @@
     distribution = distribution_config(fleet, name, folder) if fleet else None
     is_follower = distribution is not None and distribution.is_follower
     options = raw["settings"]
-    settings = settings_of(options)
+    settings = parse_settings(options)
     class_names = [traffic_class.name for traffic_class in settings.classes]
     return Config(
         name=name,
-        listen=address_of(raw["listen"]),
-        discovery=address_of(servers["address"]) if kind == "discovery" else ("", 0),
+        listen=parse_address(raw["listen"]),
+        discovery=parse_address(servers["address"]) if kind == "discovery" else ("", 0),
         options=options,
         settings=settings,
         seed=int.from_bytes(os.urandom(8), "big"),
--- a/grebestack/program/config/platform.py
+++ b/grebestack/program/config/platform.py
@@ -10,8 +10,8 @@
 from grebestack.program.config.errors import ConfigError
 from grebestack.program.config.files import control_address, read
 from grebestack.program.config.model import Config
-from grebestack.protocol.settings import WireError, check_figures, keys_of, settings_of
-from grebestack.protocol.worker_list import address_of
+from grebestack.protocol.settings import FormatError, check_numbers, collect_key_paths, parse_settings
+from grebestack.protocol.worker_list import parse_address
 
 _ONLY_AT_START = ("known", "seed")
 _REQUIRED_PREFIXES = (".settings.limits.", ".settings.rules.", ".settings.services[].")
@@ -37,7 +37,7 @@
         return _config_of(raw, environ, again)
     except KeyError as error:
         raise ConfigError(f"{path}: lacks {error}") from error
-    except (ValueError, TypeError, AttributeError, WireError) as error:
+    except (ValueError, TypeError, AttributeError, FormatError) as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
@@ -48,8 +48,8 @@
     if missing := sorted(set(_required_paths(current)) - config.key_paths):
         raise ConfigError(f"the file lacks {missing[0].removeprefix('.')}, which the one in force has")
     try:
-        check_figures(config.options)
-    except WireError as error:
+        check_numbers(config.options)
+    except FormatError as error:
         raise ConfigError(str(error)) from error
 
 
@@ -76,16 +76,18 @@
     reloaded_discovery = again and raw.get("discovery")
     return Config(
         name=environ.get("RELAY_NAME") or str(raw.get("name", "")),
-        listen=address_of(environ.get("RELAY_LISTEN") or raw["listen"]),
-        discovery=address_of(reloaded_discovery or environ.get("RELAY_DISCOVERY") or raw["discovery"]),
+        listen=parse_address(environ.get("RELAY_LISTEN") or raw["listen"]),
+        discovery=parse_address(reloaded_discovery or environ.get("RELAY_DISCOVERY") or raw["discovery"]),
         options=options,
-        settings=settings_of(options),
+        settings=parse_settings(options),
         seed=int(str(raw.get("seed", "0")), 16),
         max_sockets=int((raw.get("limits") or {}).get("sockets", 1024)),
         known_workers=raw.get("known") or {},
         listen_fd=_descriptor(environ.get("RELAY_LISTEN_FD")),
         control=control_address(environ.get("RELAY_CONTROL") or raw.get("control")),
-        key_paths=frozenset(keys_of({name: raw[name] for name in raw if name not in _ONLY_AT_START})),
+        key_paths=frozenset(
+            collect_key_paths({name: raw[name] for name in raw if name not in _ONLY_AT_START})
+        ),
     )
 
 
--- a/grebestack/program/config/worker_source.py
+++ b/grebestack/program/config/worker_source.py
@@ -9,7 +9,7 @@
 from grebestack.program.config.files import read
 from grebestack.program.config.model import ConsulConfig, WorkerSource
 from grebestack.program.config.validation import read_number, read_string, read_strings
-from grebestack.protocol.worker_list import ListReader, address_of
+from grebestack.protocol.worker_list import WorkerListReader, parse_address
 
 SERVERS_KEYS = (
     "source list snapshot address addresses service services token_file wait_s datacenter namespace"
@@ -49,12 +49,12 @@
 
 def _entries(raw: Mapping[str, Any], options: Mapping[str, Any]) -> tuple[Mapping[str, Any], ...]:
     """Return the workers that the file lists; one bad entry makes the whole list unusable."""
-    entries, reader = raw["list"], ListReader(options)
+    entries, reader = raw["list"], WorkerListReader(options)
     if not isinstance(entries, list) or not all(isinstance(entry, dict) for entry in entries):
         raise ValueError(f"[servers] list must be a list of tables, not {entries!r:.60}")
     for number, entry in enumerate(entries):
         try:
-            reader.server(entry, strict=True)
+            reader.read_worker(entry, strict=True)
         except ValueError as error:
             raise ValueError(f"[servers] list[{number}]: {error}") from error
     return tuple(entries)
@@ -74,7 +74,7 @@
         raise ValueError('consistency "stale" needs max_stale_s: how far behind an agent may be')
     networks = _networks(raw)
     return ConsulConfig(
-        agents=tuple(address_of(agent) for agent in agents),
+        agents=tuple(parse_address(agent) for agent in agents),
         services=services,
         token_file=token_file,
         wait_s=read_number(raw, "wait_s", 30.0, 0.05, 600.0),
--- a/grebestack/program/config_reload.py
+++ b/grebestack/program/config_reload.py
@@ -11,13 +11,13 @@
 from grebestack.program.config.model import Config
 from grebestack.program.config.platform import check_reload
 from grebestack.protocol.discovery import DiscoveryWatcher
-from grebestack.protocol.settings import merged, unmoved
+from grebestack.protocol.settings import changed_restart_fields, merge_settings
 
 if TYPE_CHECKING:
     from grebestack.program.audit_recording import Auditor
     from grebestack.program.shared_discovery import Source
     from grebestack.program.worker_sources import WorkerSources
-    from grebestack.protocol.platform import PlatformFront
+    from grebestack.protocol.platform import PlatformApi
     from grebestack.routing.engine import Engine
     from grebestack.transport.client import Pools
 
@@ -45,7 +45,7 @@
     worker_sources: WorkerSources
     read_config: Callable[[], Config]
     engine: Engine
-    front: PlatformFront
+    front: PlatformApi
     pools: Pools
     auditor: Auditor | None
     is_stopped: bool
@@ -60,7 +60,7 @@
         shown for name, shown in shown_names.items() if getattr(config, name) != getattr(current, name)
     ]
     if current.drmaa is None and config.options != current.options:
-        changed += unmoved(current.options, config.options)
+        changed += changed_restart_fields(current.options, config.options)
     return changed
 
 
@@ -142,14 +142,14 @@
 
     def _apply_settings(self, config: Config) -> None:
         dispatcher = self.dispatcher
-        settings = merged(dispatcher.engine.settings, config.settings)
+        settings = merge_settings(dispatcher.engine.settings, config.settings)
         dispatcher.config = replace(
             dispatcher.config, options=config.options, settings=settings, key_paths=config.key_paths
         )
         if dispatcher.auditor is not None:  # first: decisions from now on belong to the new settings
             dispatcher.auditor.on_settings_changed(config.options)
-        dispatcher.engine.resettle(settings)
-        dispatcher.front.resettle(settings)
+        dispatcher.engine.update_settings(settings)
+        dispatcher.front.update_settings(settings)
         dispatcher.pools.connect_timeout_s = settings.connect_timeout_ms / 1000.0
         names = [c.name for number, c in enumerate(settings.classes) if number not in settings.retired]
         kv = {"classes": ",".join(names), "attempts": settings.max_attempts}
--- a/grebestack/program/console_client.py
+++ b/grebestack/program/console_client.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 from typing import Any
 
-from grebestack.protocol.worker_list import address_of
+from grebestack.protocol.worker_list import parse_address
 
 _FIRST_ERROR_STATUS = 400
 
@@ -38,7 +38,7 @@
     def __init__(self, address: str, timeout_s: float) -> None:
         """Use a dispatcher at HOST:PORT. ConsoleError: that is no address."""
         try:
-            self.address = address_of(address)
+            self.address = parse_address(address)
         except ValueError as error:
             raise ConsoleError(str(error), ExitCode.BAD_ARGUMENTS) from error
         self.timeout_s = timeout_s
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -32,13 +32,13 @@
 from grebestack.program.traffic_log import TrafficLog
 from grebestack.program.worker_sources import WorkerSources
 from grebestack.protocol.discovery import DiscoveryWatcher
-from grebestack.protocol.http_workers import Reports, Runners
-from grebestack.protocol.platform import PlatformFront
+from grebestack.protocol.http_workers import HttpWorkers, LoadReportReader
+from grebestack.protocol.platform import PlatformApi
 from grebestack.protocol.settings import report_names
-from grebestack.protocol.worker_list import ListReader
+from grebestack.protocol.worker_list import WorkerListReader
 from grebestack.routing.engine import Engine
 from grebestack.routing.interfaces import Clock
-from grebestack.routing.worker_table import ServerTable
+from grebestack.routing.worker_table import WorkerTable
 from grebestack.transport.client import Address, Pools
 from grebestack.transport.server import Acceptor
 
@@ -49,7 +49,7 @@
     from grebestack.program.config_updates import ConfigUpdates
     from grebestack.program.hot_restart import HotRestartRunner
     from grebestack.program.shared_discovery import Source
-    from grebestack.protocol.membership_adapter import Roster
+    from grebestack.protocol.membership_adapter import MembershipAdapter
 
 log = logging.getLogger(__name__)
 _LIST_TIMEOUT_S = 1.0  # ready without an up-to-date endpoint list after this
@@ -67,15 +67,15 @@
     ) -> None:
         """Build the parts; `read_config` reads the configuration again. StartError: a part can't be built."""
         self.config, self.loop, self.read_config = config, loop, read_config
-        self.reader = ListReader(config.options)
-        self.table = ServerTable()
+        self.reader = WorkerListReader(config.options)
+        self.table = WorkerTable()
         self.engine = Engine(config.settings, config.seed, LoopClock(loop), self.table)
         limits = connection_limits(config)
         self.pools = _worker_pools(loop, config, limits.workers)
-        reports = Reports(report_names(config.options.get("extra") or {}))
-        self.runners = self.engine.servers = Runners(self.engine, self.pools, reports)
-        self.front = PlatformFront(
-            self.engine, config.settings, self.runners.called_back, config.accepts_requests
+        reports = LoadReportReader(report_names(config.options.get("extra") or {}))
+        self.runners = self.engine.workers = HttpWorkers(self.engine, self.pools, reports)
+        self.front = PlatformApi(
+            self.engine, config.settings, self.runners.on_callback, config.accepts_requests
         )
         self.acceptor = Acceptor(self.front, limits.clients)
         self.listener = ClientListener(loop, config, self.acceptor)
@@ -93,7 +93,7 @@
         self.lifecycle_control = LifecycleControl(self)
         self.traffic_log = TrafficLog(loop, self.engine, self.pools, self.acceptor, self._list_calls)
 
-    def _build_roster(self) -> Roster | None:
+    def _build_roster(self) -> MembershipAdapter | None:
         if self.config.membership is None:
             return None
         from grebestack.program import appliance
@@ -127,7 +127,7 @@
         return audit_recording.Auditor(self, self.config.audit)
 
     def _list_calls(self) -> int:
-        return self.worker_source.calls if isinstance(self.worker_source, DiscoveryWatcher) else 0
+        return self.worker_source.request_count if isinstance(self.worker_source, DiscoveryWatcher) else 0
 
     # What the parts use.
 
@@ -202,7 +202,7 @@
 
     def _start_worker_source(self) -> None:
         known = self.config.known_workers
-        if known and isinstance(self.worker_source, DiscoveryWatcher) and not self.table.servers:
+        if known and isinstance(self.worker_source, DiscoveryWatcher) and not self.table.workers:
             self.worker_source.load_cached_list(known)
         self.config = replace(self.config, known_workers={})  # may be large, and is for the start only
         if self.worker_source is not None:
@@ -251,7 +251,7 @@
         """Serve once the endpoint list is up to date: a remembered one may name workers that drain."""
         if self.lifecycle.stage is Stage.STOPPING:
             return
-        if not self.table.known and time.monotonic() < until_s:
+        if not self.table.has_live_list and time.monotonic() < until_s:
             self.loop.call_later(_LIST_CHECK_INTERVAL_S, self._wait_for_list, until_s)
             return
         if isinstance(self.worker_source, DiscoveryWatcher):
@@ -269,7 +269,7 @@
     def _serve(self) -> None:
         self.lifecycle.finish_start(self.clock.now_ms())
         self.apply_lifecycle()
-        kv: dict[str, object] = {"servers": len(self.table.servers), "live": self.table.known}
+        kv: dict[str, object] = {"servers": len(self.table.workers), "live": self.table.has_live_list}
         if self.lifecycle.is_ready:
             log.info("ready", extra={"kv": kv})
         else:
--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -22,7 +22,7 @@
 from grebestack.program.hot_restart_interface import RestartableDispatcher
 from grebestack.program.hot_restart_peers import PeerChannels
 from grebestack.program.hot_restart_state import cordon_all, inherit_state, inherited_state
-from grebestack.protocol.http_workers import Said
+from grebestack.protocol.http_workers import CallbackResult
 
 if TYPE_CHECKING:
     from grebestack.admin.server import Respond
@@ -57,9 +57,9 @@
         self.local_operations = LocalOperations(dispatcher)
         self.predecessor_attempts = checkpoint.InheritedAttempts(dispatcher.engine.policy)
         self._executors = self._action_table()
-        dispatcher.front.elsewhere = self.called_back
-        dispatcher.front.open_elsewhere = self._is_open_elsewhere
-        dispatcher.engine.on_closed = self._on_request_closed
+        dispatcher.front.query_other_process = self.called_back
+        dispatcher.front.is_open_elsewhere = self._is_open_elsewhere
+        dispatcher.engine.on_request_closed = self._on_request_closed
 
     def _action_table(self) -> dict[type[state_machine.Action], Callable[[Any], None]]:
         return {
@@ -208,13 +208,13 @@
         self.dispatcher.limit_connections(action.processes)
 
     def _run_command(self, action: state_machine.RunCommand) -> None:
-        self.dispatcher.table.remember({action.worker})
+        self.dispatcher.table.remember_names({action.worker})
         response = self._execute_locally(Command(Verb(action.verb), action.worker))
         self.channels.send(action.peer, messages.command_result(action.number, response.succeeded))
 
     def _deliver_callback(self, action: state_machine.DeliverCallback) -> None:
-        result = self.dispatcher.runners.called_back(action.body.encode("utf-8", "surrogateescape"))
-        message = messages.callback_result(action.number, result is Said.TAKEN)
+        result = self.dispatcher.runners.on_callback(action.body.encode("utf-8", "surrogateescape"))
+        message = messages.callback_result(action.number, result is CallbackResult.ACCEPTED)
         self.channels.send(action.peer, message)
 
     def _complete_query(self, action: state_machine.CompleteQuery) -> None:
@@ -267,7 +267,7 @@
 
         def complete(accepted: bool | None) -> None:
             if accepted is False:  # the request may have been handed over to this process meanwhile
-                accepted = self.dispatcher.runners.called_back(body) is Said.TAKEN
+                accepted = self.dispatcher.runners.on_callback(body) is CallbackResult.ACCEPTED
             reply(accepted)
 
         query = self.state_machine.query_callback(body.decode("utf-8", "surrogateescape"))
--- a/grebestack/program/hot_restart_adoption.py
+++ b/grebestack/program/hot_restart_adoption.py
@@ -12,7 +12,7 @@
 from grebestack.core.api import Outcome
 from grebestack.hot_restart.messages import Message, MessageType, message_type
 from grebestack.program.hot_restart_interface import RestartableDispatcher
-from grebestack.protocol.platform import MARGIN_MS
+from grebestack.protocol.platform import DEADLINE_MARGIN_MS
 from grebestack.transport.server import Connection, Request
 
 log = logging.getLogger(__name__)
@@ -53,7 +53,7 @@
     def _adopt_queued(self, descriptor: int, message: Message) -> None:
         """Adopt a request that no worker has been sent, as if its client had sent it here."""
         request = request_from_wire(message)
-        left_ms = float(message["deadline_ms"]) + MARGIN_MS - self.dispatcher.clock.now_ms()
+        left_ms = float(message["deadline_ms"]) + DEADLINE_MARGIN_MS - self.dispatcher.clock.now_ms()
         request.headers[b"x-budget"] = b"%.3f" % (max(MIN_BUDGET_MS, left_ms) / 1000.0)
         self._take_up(descriptor, True, False, lambda connection: connection.take(request))
 
@@ -72,12 +72,12 @@
             answer.set(*_response_to(outcome, result))
 
         def on_deadline() -> None:
-            runners.adopt(call_id, worker, None)  # its call-back is no longer awaited
+            runners.set_callback_handler(call_id, worker, None)  # its call-back is no longer awaited
             on_ended(Outcome.TIMEOUT, b"")
 
         timer = self.dispatcher.clock.call_at(deadline_ms, on_deadline)
         self.in_flight_ids.add(call_id)
-        runners.adopt(call_id, worker, on_ended)
+        runners.set_callback_handler(call_id, worker, on_ended)
         self._take_up(descriptor, True, False, answer.connect)
 
     def _take_up(
--- a/grebestack/program/hot_restart_handover.py
+++ b/grebestack/program/hot_restart_handover.py
@@ -11,9 +11,10 @@
 from grebestack.hot_restart.messages import Message
 from grebestack.program.hot_restart_interface import RestartableDispatcher
 from grebestack.program.hot_restart_peers import PeerChannels
-from grebestack.protocol.platform import Answer as PlatformAnswer
-from grebestack.routing.requests import Dispatch, Session
-from grebestack.transport.server import Connection, Request
+from grebestack.protocol.platform import PlatformResponder
+from grebestack.routing.requests import Attempt, Request
+from grebestack.transport.server import Connection
+from grebestack.transport.server import Request as HttpRequest
 
 log = logging.getLogger(__name__)
 QUEUED_REQUESTS_INTERVAL_S = 0.1  # between two searches for requests that no worker has been sent
@@ -49,43 +50,43 @@
         """Keep clients, and no longer report attempts: there is no successor."""
         dispatcher = self.dispatcher
         dispatcher.acceptor.handing = None
-        dispatcher.engine.on_sent = dispatcher.engine.on_ended = lambda attempt: None
+        dispatcher.engine.on_attempt_sent = dispatcher.engine.on_attempt_ended = lambda attempt: None
         dispatcher.lifecycle.retire(False, dispatcher.clock.now_ms())
 
     def hand_over_in_flight(self, successor: int) -> None:
         """Hand over the requests that workers run: this process is about to end."""
         for session, answer in self._movable_requests(successor):
-            attempt = self.dispatcher.engine.let_go(session)
+            attempt = self.dispatcher.engine.hand_over(session)
             if attempt is None:
                 continue
-            worker = self.dispatcher.runners.let_go(attempt)
-            message = messages.in_flight_request(session.asked.deadline_ms, worker, session.call_id)
+            worker = self.dispatcher.runners.hand_over(attempt)
+            message = messages.in_flight_request(session.arrival.deadline_ms, worker, session.call_id)
             self._send_request(successor, answer, message)
 
     def _send_open_requests(self, successor: int) -> None:
         engine = self.dispatcher.engine
         attempts = [
             self._attempt_to_wire(attempt)
-            for session in engine.sessions.values()
-            for attempt in session.out()
+            for session in engine.requests.values()
+            for attempt in session.open_attempts()
         ]
         open_call_ids = list(engine.open_by_call_id)[-MAX_LISTED:]
         self.channels.send(successor, messages.handed_over(open_call_ids, attempts[-MAX_LISTED:]))
 
     def _follow_attempts(self, successor: int) -> None:
-        def on_sent(attempt: Dispatch) -> None:
+        def on_sent(attempt: Attempt) -> None:
             self.channels.send(successor, messages.attempt_sent(self._attempt_to_wire(attempt)))
 
-        def on_ended(attempt: Dispatch) -> None:
+        def on_ended(attempt: Attempt) -> None:
             self.channels.send(successor, messages.attempt_ended(attempt_key(attempt)))
 
-        self.dispatcher.engine.on_sent, self.dispatcher.engine.on_ended = on_sent, on_ended
+        self.dispatcher.engine.on_attempt_sent, self.dispatcher.engine.on_attempt_ended = on_sent, on_ended
 
-    def _attempt_to_wire(self, attempt: Dispatch) -> Message:
-        request, classes = attempt.session.asked, self.dispatcher.engine.settings.classes
+    def _attempt_to_wire(self, attempt: Attempt) -> Message:
+        request, classes = attempt.request.arrival, self.dispatcher.engine.settings.classes
         return {
             "key": attempt_key(attempt),
-            "worker": attempt.server,
+            "worker": attempt.worker,
             "slots": request.slots,
             "memory": request.memory,
             "sent_ms": attempt.sent_ms,
@@ -122,31 +123,31 @@
             return
         self.dispatcher.loop.call_later(QUEUED_REQUESTS_INTERVAL_S, self._hand_over_queued, successor)
         for session, answer in self._movable_requests(successor):
-            if self.dispatcher.engine.withdraw(session):
-                request = request_to_wire(answer.request)
-                message = messages.queued_request(session.asked.deadline_ms, request)
+            if self.dispatcher.engine.withdraw_unsent(session):
+                request = request_to_wire(answer.http_request)
+                message = messages.queued_request(session.arrival.deadline_ms, request)
                 self._send_request(successor, answer, message)
 
-    def _movable_requests(self, successor: int) -> Iterator[tuple[Session, PlatformAnswer]]:
+    def _movable_requests(self, successor: int) -> Iterator[tuple[Request, PlatformResponder]]:
         """The open requests whose clients' connections can move, until the successor is gone."""
-        for session in self.dispatcher.engine.open_sessions():
+        for session in self.dispatcher.engine.open_requests():
             if not self._may_hand_over(successor):
                 return
-            answer = session.frontend
-            if isinstance(answer, PlatformAnswer) and answer.connection.can_part():
+            answer = session.listener
+            if isinstance(answer, PlatformResponder) and answer.connection.can_part():
                 yield session, answer
 
-    def _send_request(self, successor: int, answer: PlatformAnswer, message: Message) -> None:
+    def _send_request(self, successor: int, answer: PlatformResponder, message: Message) -> None:
         answer.connection.session = None
         self.channels.send(successor, message, [answer.connection.part()])
 
 
-def attempt_key(attempt: Dispatch) -> str:
+def attempt_key(attempt: Attempt) -> str:
     """The name of an attempt in messages."""
-    return f"{attempt.session.number}.{attempt.number}"
+    return f"{attempt.request.number}.{attempt.number}"
 
 
-def request_to_wire(request: Request) -> Message:
+def request_to_wire(request: HttpRequest) -> Message:
     """A request as a message holds it."""
     headers = [[name.decode("latin-1"), value.decode("latin-1")] for name, value in request.headers.items()]
     return {
--- a/grebestack/program/hot_restart_interface.py
+++ b/grebestack/program/hot_restart_interface.py
@@ -9,9 +9,9 @@
 from grebestack.program import admin_operations
 
 if TYPE_CHECKING:
-    from grebestack.protocol.http_workers import Runners
-    from grebestack.protocol.platform import PlatformFront
-    from grebestack.protocol.worker_list import ListReader
+    from grebestack.protocol.http_workers import HttpWorkers
+    from grebestack.protocol.platform import PlatformApi
+    from grebestack.protocol.worker_list import WorkerListReader
     from grebestack.routing.engine import Engine
     from grebestack.transport.server import Acceptor
 
@@ -20,10 +20,10 @@
     """A dispatcher that can be taken over, and can take over."""
 
     loop: asyncio.AbstractEventLoop
-    reader: ListReader
+    reader: WorkerListReader
     engine: Engine
-    runners: Runners
-    front: PlatformFront
+    runners: HttpWorkers
+    front: PlatformApi
     acceptor: Acceptor
 
     def limit_connections(self, processes: int) -> None:
--- a/grebestack/program/hot_restart_state.py
+++ b/grebestack/program/hot_restart_state.py
@@ -9,7 +9,7 @@
 from grebestack.core.api import ListKind, WorkerEntry, WorkerState
 from grebestack.hot_restart.messages import TYPE_KEY, Message, MessageType
 from grebestack.program.hot_restart_interface import RestartableDispatcher
-from grebestack.routing.worker_table import Server, ServerTable
+from grebestack.routing.worker_table import WorkerEndpoint, WorkerTable
 
 log = logging.getLogger(__name__)
 MAX_INHERITED_NAMES = 20_000
@@ -22,8 +22,8 @@
         TYPE_KEY: MessageType.INHERITED_STATE,
         "bans": sorted(table.cordoned),
         "quiesced": dispatcher.lifecycle.quiesced,
-        "names": list(table.names)[-MAX_INHERITED_NAMES:],
-        "servers": [worker_to_wire(worker) for worker in table.listed.values()],
+        "names": list(table.known_names)[-MAX_INHERITED_NAMES:],
+        "servers": [worker_to_wire(worker) for worker in table.reported.values()],
         "clock": dispatcher.reader.unix_to_clock_ms,
         "learned": checkpoint.save_checkpoint(dispatcher.engine.policy),
     }
@@ -34,30 +34,30 @@
     cordoned = set[str]()
     try:
         dispatcher.reader.unix_to_clock_ms = float(state["clock"])
-        dispatcher.table.remember({str(name) for name in state["names"]})
+        dispatcher.table.remember_names({str(name) for name in state["names"]})
         cordoned = {str(name) for name in state["bans"]}
         _replace_cordoned(dispatcher.table, cordoned)
         if state["quiesced"]:
             dispatcher.lifecycle.quiesce(dispatcher.clock.now_ms())
-        if not dispatcher.table.known:  # a list of this process's own is newer
+        if not dispatcher.table.has_live_list:  # a list of this process's own is newer
             _inherit_workers(dispatcher, state)
     except (KeyError, ValueError, TypeError, AttributeError) as error:
         log.warning("welcome_refused", extra={"kv": {"why": repr(error)}})
     # Also after welcome_refused: the counts then say how far the reading came.
-    counts = {"servers": len(dispatcher.table.servers), "bans": len(cordoned)}
+    counts = {"servers": len(dispatcher.table.workers), "bans": len(cordoned)}
     log.info("upgrade_welcomed", extra={"kv": counts})
 
 
-def cordon_all(table: ServerTable, names: set[str]) -> None:
+def cordon_all(table: WorkerTable, names: set[str]) -> None:
     """Cordon workers, which need not be listed yet."""
-    table.remember(names)
+    table.remember_names(names)
     for name in names:
-        table.cordon(name, True)
+        table.set_cordoned(name, True)
 
 
-def _replace_cordoned(table: ServerTable, names: set[str]) -> None:
+def _replace_cordoned(table: WorkerTable, names: set[str]) -> None:
     for name in table.cordoned - names:
-        table.cordon(name, False)
+        table.set_cordoned(name, False)
     cordon_all(table, names)
 
 
@@ -71,7 +71,7 @@
     checkpoint.apply_own_slow_start(policy)
 
 
-def worker_to_wire(worker: Server) -> list[Any]:
+def worker_to_wire(worker: WorkerEndpoint) -> list[Any]:
     """A worker as the message lists it."""
     entry = worker.entry
     return [
@@ -86,7 +86,7 @@
     ]
 
 
-def worker_from_wire(raw: Any) -> Server:
+def worker_from_wire(raw: Any) -> WorkerEndpoint:
     """A worker that `worker_to_wire` has written; ValueError or TypeError if it is malformed."""
     name, zone, kind, cell, state, weight, started_ms, host, port = raw
     entry = WorkerEntry(
@@ -98,4 +98,4 @@
         float(weight),
         None if started_ms is None else float(started_ms),
     )
-    return Server(entry, (str(host), int(port)))
+    return WorkerEndpoint(entry, (str(host), int(port)))
--- a/grebestack/program/lifecycle_control.py
+++ b/grebestack/program/lifecycle_control.py
@@ -9,7 +9,7 @@
 
 from grebestack.program.config.model import Config
 from grebestack.program.lifecycle import KILL_DEADLINE_MS, LATE_MS, ClientHandling, Lifecycle, Stage
-from grebestack.protocol.platform import PlatformFront
+from grebestack.protocol.platform import PlatformApi
 from grebestack.routing.engine import Engine
 from grebestack.transport.server import Acceptor, Leading
 
@@ -33,7 +33,7 @@
     loop: asyncio.AbstractEventLoop
     lifecycle: Lifecycle
     engine: Engine
-    front: PlatformFront
+    front: PlatformApi
     acceptor: Acceptor
     jobs: JobService | None
     upgrade: HotRestartRunner | None
@@ -59,8 +59,8 @@
         now_ms = dispatcher.engine.clock.now_ms()
         handling, change_ms = lifecycle.client_handling(now_ms, self._longest_deadline_ms())
         is_stopping = lifecycle.stage is Stage.STOPPING
-        dispatcher.front.ready, dispatcher.front.leaving = lifecycle.is_ready, is_stopping
-        dispatcher.front.closing = handling is ClientHandling.REJECT
+        dispatcher.front.ready, dispatcher.front.stopping = lifecycle.is_ready, is_stopping
+        dispatcher.front.rejecting = handling is ClientHandling.REJECT
         dispatcher.acceptor.lead(_connections_to_close(handling, is_stopping))
         if self._next_change is not None:
             self._next_change.cancel()
@@ -87,8 +87,8 @@
         log.info("stopping", extra={"kv": {"open": len(dispatcher.engine.open_by_call_id)}})
         longest_ms = self._longest_deadline_ms()
         deadline_ms = dispatcher.lifecycle.late_answer_deadline_ms(longest_ms)
-        dispatcher.front.expect_kill(dispatcher.lifecycle.kill_ms(longest_ms), deadline_ms)
-        dispatcher.loop.call_later(LATE_MS / 1000.0, dispatcher.front.end_by, deadline_ms)
+        dispatcher.front.answer_before_kill(dispatcher.lifecycle.kill_ms(longest_ms), deadline_ms)
+        dispatcher.loop.call_later(LATE_MS / 1000.0, dispatcher.front.limit_deadlines, deadline_ms)
         if dispatcher.upgrade is not None:
             handover_s = max(0.0, (deadline_ms - now_ms) / 1000.0 - _HANDOVER_BEFORE_DEADLINE_S)
             dispatcher.loop.call_later(handover_s, dispatcher.upgrade.let_go)
--- a/grebestack/program/shared_discovery.py
+++ b/grebestack/program/shared_discovery.py
@@ -24,15 +24,15 @@
 )
 from grebestack.core.api import ListKind, WorkerEntry, WorkerState
 from grebestack.program.cluster_task import TaskRunner
-from grebestack.routing.interfaces import Clock, Listing
-from grebestack.routing.worker_table import Server
+from grebestack.routing.interfaces import Clock, WorkerListReceiver
+from grebestack.routing.worker_table import WorkerEndpoint
 
 log = logging.getLogger(__name__)
 TASK = "servers"
 TICK_INTERVAL_MS = 200.0
 CANDIDACY_PAUSE_TERMS = 3.0  # lease terms, after the source did not respond
 NO_ADDRESS = ("", 0)  # of a worker that is gone
-_decoder = msgspec.msgpack.Decoder(Server)
+_decoder = msgspec.msgpack.Decoder(WorkerEndpoint)
 
 
 class Source(Protocol):
@@ -51,30 +51,30 @@
 class SharedListing:
     """A listing as the own source sees it: passes updates on to the listing and to shared discovery."""
 
-    def __init__(self, owner: SharedSource, index: int, listing: Listing) -> None:
+    def __init__(self, owner: SharedSource, index: int, listing: WorkerListReceiver) -> None:
         """Begin with the listing's present contents."""
         self.owner, self.index, self.listing = owner, index, listing
 
     @property
-    def known(self) -> bool:
+    def has_live_list(self) -> bool:
         """Whether a list from a live source has come."""
-        return self.listing.known
+        return self.listing.has_live_list
 
-    def update(self, kind: ListKind, servers: Iterable[Server]) -> None:
+    def update(self, kind: ListKind, servers: Iterable[WorkerEndpoint]) -> None:
         """Apply a list or changes to it."""
         servers = tuple(servers)
         self.listing.update(kind, servers)
         if kind in (ListKind.FULL, ListKind.CHANGES):
             self.owner.on_source_update(self.index, kind is ListKind.FULL, servers)
 
-    def heard(self) -> None:
+    def on_unchanged(self) -> None:
         """Note that the source has responded and nothing has changed."""
-        self.listing.heard()
+        self.listing.on_unchanged()
         self.owner.discovery.on_source_responded(self.owner.clock.now_ms())
 
-    def silent(self, why: str) -> None:
+    def on_silent(self, why: str) -> None:
         """Note that the source did not respond."""
-        self.listing.silent(why)
+        self.listing.on_silent(why)
         self.owner.discovery.on_source_failed()
 
 
@@ -93,8 +93,8 @@
         self,
         node: Node,
         clock: Clock,
-        listings: Sequence[Listing],
-        make_source: Callable[[Sequence[Listing]], Source],
+        listings: Sequence[WorkerListReceiver],
+        make_source: Callable[[Sequence[WorkerListReceiver]], Source],
     ) -> None:
         """Begin stopped."""
         self.node, self.clock, self.listings, self.make_source = node, clock, listings, make_source
@@ -140,7 +140,7 @@
     def _tick(self, now_ms: float) -> None:
         self._carry_out(self.discovery.tick(now_ms, self.node.valid_token(TASK)))
 
-    def on_source_update(self, index: int, is_complete_list: bool, servers: Iterable[Server]) -> None:
+    def on_source_update(self, index: int, is_complete_list: bool, servers: Iterable[WorkerEndpoint]) -> None:
         """Handle a list or changes from the own source."""
         if not self.stopped:
             now_ms = self.clock.now_ms()
@@ -163,7 +163,7 @@
 
     def _confirm_lists(self, action: ConfirmLists) -> None:
         for listing in self.listings:
-            listing.heard()
+            listing.on_unchanged()
 
     def _release_lease(self, action: ReleaseLease) -> None:
         log.warning("fleet_source_ill", extra={"kv": {"task": TASK}})
@@ -195,7 +195,7 @@
         self.listings[action.source].update(kind, servers)
 
 
-def encode_entry(now_ms: float, server: Server) -> ListEntry:
+def encode_entry(now_ms: float, server: WorkerEndpoint) -> ListEntry:
     """Encode a worker for other members, with its start as an age: each member's clock is its own."""
     entry = server.entry
     if entry.state is WorkerState.GONE:
@@ -205,10 +205,10 @@
     return ListEntry(entry.worker, msgspec.msgpack.encode(server))
 
 
-def decode_entry(now_ms: float, entry: ListEntry) -> Server:
+def decode_entry(now_ms: float, entry: ListEntry) -> WorkerEndpoint:
     """Decode a worker that another member has encoded; raises msgspec.DecodeError."""
     if not entry.data:
-        return Server(WorkerEntry(entry.name, state=WorkerState.GONE), NO_ADDRESS)
+        return WorkerEndpoint(WorkerEntry(entry.name, state=WorkerState.GONE), NO_ADDRESS)
     server = _decoder.decode(entry.data)
     if server.entry.started_ms is not None:
         server = replace(server, entry=replace(server.entry, started_ms=now_ms - server.entry.started_ms))
--- a/grebestack/program/traffic_log.py
+++ b/grebestack/program/traffic_log.py
@@ -79,7 +79,7 @@
     def _log_traffic(self) -> None:
         """Write the line by which the logs of many dispatchers are summed; see benchmarks/fleet_counts.py."""
         self.loop.call_later(TRAFFIC_INTERVAL_S, self._log_traffic)
-        sent, in_flight = self.engine.tally()
+        sent, in_flight = self.engine.take_traffic_counts()
         counts = dict(self.engine.counts) | {
             "dials": self.pools.tried,
             "not_up": self.pools.not_up,
--- a/grebestack/program/worker_sources.py
+++ b/grebestack/program/worker_sources.py
@@ -8,18 +8,18 @@
 
 from grebestack.core.api import ListKind
 from grebestack.program.config.model import Config
-from grebestack.protocol.discovery import DiscoveryWatcher, watch_settings_of
-from grebestack.protocol.settings import name_odd_discovery
-from grebestack.protocol.worker_list import ListReader
+from grebestack.protocol.discovery import DiscoveryWatcher, watch_settings
+from grebestack.protocol.settings import warn_unknown_discovery
+from grebestack.protocol.worker_list import WorkerListReader
 from grebestack.routing.engine import Engine
-from grebestack.routing.interfaces import Listing
+from grebestack.routing.interfaces import WorkerListReceiver
 from grebestack.transport.client import Pools
 
 if TYPE_CHECKING:
     from grebestack.consul.source import ConsulSource
     from grebestack.program.cluster_member import ClusterMember
     from grebestack.program.shared_discovery import Source
-    from grebestack.protocol.membership_adapter import Roster
+    from grebestack.protocol.membership_adapter import MembershipAdapter
 
 _CONSUL_CONNECTIONS = 16
 _CONSUL_CONNECT_TIMEOUT_S = 2.0
@@ -34,8 +34,8 @@
         self,
         loop: asyncio.AbstractEventLoop,
         engine: Engine,
-        reader: ListReader,
-        roster: Roster | None,
+        reader: WorkerListReader,
+        roster: MembershipAdapter | None,
         fleet: ClusterMember | None,
     ) -> None:
         """Parameters: `roster` checks what sources report, `fleet` may share one member's source."""
@@ -56,7 +56,7 @@
         """
         is_list = config.worker_source.kind == "list"
         entries = config.worker_source.entries if is_list else ()
-        workers = [self.reader.server(raw, strict=True) for raw in entries]
+        workers = [self.reader.read_worker(raw, strict=True) for raw in entries]
         listings = self._listings(config)
         if is_list:
             self.loop.call_soon(listings[0].update, ListKind.FULL, workers)
@@ -67,7 +67,7 @@
             )
         return self._own_source(config, listings, previous)
 
-    def _listings(self, config: Config) -> Sequence[Listing]:
+    def _listings(self, config: Config) -> Sequence[WorkerListReceiver]:
         """Return what the source feeds: the worker table, or one listing of the roster for each service."""
         if self.roster is None or config.membership is None:
             return [self.engine.table]
@@ -77,10 +77,10 @@
         names = [f"{source.kind}{address}"]
         if source.consul is not None:
             names = [f"consul {service}" for service in source.consul.services]
-        return [*self.roster.sources(names, stale_s * 1000.0, source.snapshot_path)]
+        return [*self.roster.replace_sources(names, stale_s * 1000.0, source.snapshot_path)]
 
     def _own_source(
-        self, config: Config, listings: Sequence[Listing], previous: DiscoveryWatcher | None
+        self, config: Config, listings: Sequence[WorkerListReceiver], previous: DiscoveryWatcher | None
     ) -> DiscoveryWatcher | ConsulSource:
         consul = config.worker_source.consul
         if consul is not None:
@@ -94,6 +94,6 @@
                 most_body=_CONSUL_MAX_BODY_BYTES,
             )
             return appliance.consul_source(consul, pools, self.engine.clock, config.options, listings)
-        name_odd_discovery(config.options)
-        settings = watch_settings_of(config.settings)
+        warn_unknown_discovery(config.options)
+        settings = watch_settings(config.settings)
         return DiscoveryWatcher(self.loop, config.discovery, self.reader, listings[0], previous, settings)
--- a/grebestack/protocol/discovery.py
+++ b/grebestack/protocol/discovery.py
@@ -13,15 +13,15 @@
 from grebestack.endpoint_watch import state_machine
 from grebestack.endpoint_watch.state_machine import EndpointWatch, Stage
 from grebestack.endpoint_watch.timing import CONNECT_TIMEOUT_MS, WatchSettings
-from grebestack.protocol.worker_list import ListReader, Objects
-from grebestack.routing.interfaces import Listing
-from grebestack.routing.worker_table import Server
+from grebestack.protocol.worker_list import JsonObjectReader, WorkerListReader
+from grebestack.routing.interfaces import WorkerListReceiver
+from grebestack.routing.worker_table import WorkerEndpoint
 from grebestack.transport.client import Address, LineStream
 
 log = logging.getLogger(__name__)
 
 
-def watch_settings_of(settings: Settings) -> WatchSettings:
+def watch_settings(settings: Settings) -> WatchSettings:
     """The settings of the watch among those of the dispatcher."""
     return WatchSettings(not settings.polls_endpoint_list, settings.drain_grace_ms, settings.dispatcher_count)
 
@@ -32,7 +32,7 @@
     def __init__(self, number: int, request: bytes, watcher: DiscoveryWatcher) -> None:
         """Send the request as soon as `stream` is connected."""
         self.number, self.watcher = number, watcher
-        self.objects = Objects()
+        self.objects = JsonObjectReader()
         self.stream = LineStream(request, self._on_line, self._on_ended)
         self.task: asyncio.Task[None] | None = None
         self.closed = False
@@ -66,8 +66,8 @@
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
-        reader: ListReader,
-        table: Listing,
+        reader: WorkerListReader,
+        table: WorkerListReceiver,
         replaces: DiscoveryWatcher | None = None,
         settings: WatchSettings | None = None,
         draw: Callable[[], float] = random.random,
@@ -77,9 +77,13 @@
         self.replaces = replaces
         self.state_machine = EndpointWatch(WatchSettings() if settings is None else settings, draw)
         self.version = 0  # of this address's list; 0 requests the complete list
-        self.cached_workers: list[Server] = []  # of a list from before the start, not in the table so far
+        self.cached_workers: list[
+            WorkerEndpoint
+        ] = []  # of a list from before the start, not in the table so far
         self.connections: dict[int, WatchConnection] = {}
-        self.calls: int = replaces.calls if replaces is not None else 0  # requests since the start
+        self.request_count: int = (
+            replaces.request_count if replaces is not None else 0
+        )  # requests since the start
         self.timer: asyncio.TimerHandle | None = None
         self.timer_ms = 0.0
 
@@ -90,7 +94,7 @@
         `use_cached_list`: the agent's list counts as delivered from the first moment, and a worker of the
         cached list may be draining there.
         """
-        self.version, _, self.cached_workers = self.reader.message(raw)
+        self.version, _, self.cached_workers = self.reader.read_list(raw)
         if not self.state_machine.settings.pushed:  # a polled list counts as delivered seconds later
             self.use_cached_list()
 
@@ -124,12 +128,12 @@
     def on_line(self, connection: WatchConnection, line: bytes) -> None:
         """A line has come on a connection."""
         try:
-            raw = connection.objects.line(line)
+            raw = connection.objects.feed_line(line)
             if raw is None:
-                if not connection.objects.parts:  # else a list goes on in the next line
+                if not connection.objects.pending_lines:  # else a list goes on in the next line
                     self._on_heartbeat(connection)
                 return
-            version, is_complete, workers = self.reader.message(raw)
+            version, is_complete, workers = self.reader.read_list(raw)
         except ValueError as error:
             self._on_malformed(connection, error)
             return
@@ -138,7 +142,7 @@
     def _on_heartbeat(self, connection: WatchConnection) -> None:
         self._handle(state_machine.EventReceived(connection.number))
         self.use_cached_list()  # the source has nothing newer
-        self.table.heard()
+        self.table.on_unchanged()
 
     def _on_malformed(self, connection: WatchConnection, error: ValueError) -> None:
         log.warning("bad_list_line", extra={"kv": {"error": f"{error!r:.200}", "rev": self.version}})
@@ -146,10 +150,10 @@
         self._handle(state_machine.MalformedEvent(connection.number))
 
     def _on_list(
-        self, connection: WatchConnection, version: int, is_complete: bool, workers: list[Server]
+        self, connection: WatchConnection, version: int, is_complete: bool, workers: list[WorkerEndpoint]
     ) -> None:
         if not is_complete and version < self.version:
-            self.reader.odd("rev", version, self.version)
+            self.reader.warn_unexpected("rev", version, self.version)
         self._handle(state_machine.EventReceived(connection.number))
         self.version = version
         if self.cached_workers and not is_complete:
@@ -190,15 +194,15 @@
         self._handle(state_machine.TimerFired())
 
     def _on_stage_changed(self, stage: Stage) -> None:
-        kv = {"stage": stage.value, "rev": self.version, "calls": self.calls}
+        kv = {"stage": stage.value, "rev": self.version, "calls": self.request_count}
         if stage is Stage.SILENT:
             log.warning("watch_silent", extra={"kv": kv})
-            self.table.silent("its watch missed a line")
+            self.table.on_silent("its watch missed a line")
         elif stage is not Stage.CONNECTING:
             log.info("watch", extra={"kv": kv})
 
     def _open(self, number: int) -> None:
-        self.calls += 1
+        self.request_count += 1
         host, port = self.address
         request = (
             f"GET /registry/instances?follow=1&since={self.version} HTTP/1.1\r\n"
--- a/grebestack/protocol/membership_adapter.py
+++ b/grebestack/protocol/membership_adapter.py
@@ -15,26 +15,26 @@
 from grebestack.membership import interface as api
 from grebestack.membership.interface import Belief, Claim, Standing
 from grebestack.membership.members import Membership
-from grebestack.protocol.snapshot import SnapshotError, load, save
+from grebestack.protocol.snapshot import SnapshotError, load_lists, save_lists
 from grebestack.routing.interfaces import Clock, Timer
-from grebestack.routing.worker_table import Server, ServerTable
+from grebestack.routing.worker_table import WorkerEndpoint, WorkerTable
 
 log = logging.getLogger(__name__)
 SAVE_MS = 2000.0  # lists that come together are written together
 STANDINGS = {WorkerState.READY: Standing.READY, WorkerState.DRAINING: Standing.DRAINING}
 
 
-class Roster:
+class MembershipAdapter:
     """Feeds membership what sources say and carries out what it decides."""
 
-    def __init__(self, settings: api.MembershipSettings, clock: Clock, table: ServerTable) -> None:
+    def __init__(self, settings: api.MembershipSettings, clock: Clock, table: WorkerTable) -> None:
         self.members, self.clock, self.table = Membership(settings), clock, table
         self.timer: Timer | None = None
-        self.current: list[RosterSource] = []
+        self.current: list[MembershipSource] = []
         self.former: list[str] = []  # sources that go once the current ones have been heard
         self.snapshot, self.saving = "", False
 
-    def feed(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         """Tell membership something."""
         for action in self.members.handle(self.clock.now_ms(), event):
             match action:
@@ -45,31 +45,31 @@
                 case api.Wake(at_ms):
                     if self.timer is not None:
                         self.timer.cancel()
-                    self.timer = self.clock.call_at(at_ms, lambda: self.feed(api.Tick()))
+                    self.timer = self.clock.call_at(at_ms, lambda: self.handle_event(api.Tick()))
 
-    def _server(self, member: api.Member) -> Server:
+    def _server(self, member: api.Member) -> WorkerEndpoint:
         if member.belief is Belief.GONE:
             state = WorkerState.GONE
         else:
             state = WorkerState.READY if member.belief.takes_work else WorkerState.DRAINING
         entry = replace(member.entry, worker=member.name, state=state)
         uid = member.server if member.server != member.name else ""
-        return Server(entry, member.address, uid, member.belief.name.lower())
+        return WorkerEndpoint(entry, member.address, uid, member.belief.name.lower())
 
-    def sources(self, names: Sequence[str], stale_ms: float, snapshot: str) -> list[RosterSource]:
+    def replace_sources(self, names: Sequence[str], stale_ms: float, snapshot: str) -> list[MembershipSource]:
         """The ways in of new sources. What former ones said stands until all of these have told their lists.
 
         Where there is no former one, the lists of the snapshot's file stand until then.
         """
         self.former, self.snapshot = [source.name for source in self.current], snapshot
-        fresh: list[RosterSource] = []
+        fresh: list[MembershipSource] = []
         for name in names:
             number, unique = 1, name
             while unique in self.members.sources:
                 number += 1
                 unique = f"{name} {number}"
-            self.feed(api.SourceAdded(unique, len(fresh), stale_ms))
-            fresh.append(RosterSource(self, unique, name))
+            self.handle_event(api.SourceAdded(unique, len(fresh), stale_ms))
+            fresh.append(MembershipSource(self, unique, name))
         self.current = fresh
         if not self.former and snapshot:
             self._begin_from(snapshot)
@@ -77,7 +77,7 @@
 
     def _begin_from(self, path: str) -> None:
         try:
-            lists = load(path)
+            lists = load_lists(path)
         except SnapshotError as error:  # a wrong list is worse than none
             log.warning("snapshot_refused", extra={"kv": {"error": error}})
             return
@@ -90,11 +90,11 @@
 
     def updated(self) -> None:
         """A source has told a list: the former ones may go, and the file be written."""
-        self.table.known = True
-        if self.former and all(source.known for source in self.current):
+        self.table.has_live_list = True
+        if self.former and all(source.has_live_list for source in self.current):
             former, self.former = self.former, []
             for name in former:
-                self.feed(api.SourceRemoved(name))
+                self.handle_event(api.SourceRemoved(name))
         if self.snapshot and not self.saving:
             self.saving = True
             self.clock.call_at(self.clock.now_ms() + SAVE_MS, self.save)
@@ -102,25 +102,25 @@
     def save(self) -> None:
         """Write the last good lists."""
         self.saving = False
-        lists = {s.label: (s.heard_unix, s.servers) for s in self.current if s.known}
+        lists = {s.label: (s.heard_unix, s.servers) for s in self.current if s.has_live_list}
         if not self.snapshot or not lists:
             return
         try:
-            save(self.snapshot, lists)
+            save_lists(self.snapshot, lists)
         except OSError as error:
             log.warning("snapshot_failed", extra={"kv": {"file": self.snapshot, "error": error}})
 
-    def drain(self, server: str, on: bool) -> None:
+    def set_drained(self, server: str, on: bool) -> None:
         """The operator drains a server, or does no longer; KeyError if none has this name."""
         if server not in self.members.states:
             raise KeyError(server)
-        self.feed(api.Drained(server, on))
+        self.handle_event(api.Drained(server, on))
 
-    def accept(self, source: str) -> None:
+    def accept_removals(self, source: str) -> None:
         """The operator accepts what a source takes away; KeyError if there is no such source."""
-        self.feed(api.Accepted(source))
+        self.handle_event(api.Accepted(source))
 
-    def shown(self) -> dict[str, Any]:
+    def describe(self) -> dict[str, Any]:
         """What a console shows of the sources and of what is believed."""
         now = self.clock.now_ms()
         return {
@@ -150,22 +150,22 @@
         }
 
 
-class RosterSource:
+class MembershipSource:
     """What a source speaks to in place of the server table."""
 
-    def __init__(self, roster: Roster, name: str, label: str) -> None:
+    def __init__(self, roster: MembershipAdapter, name: str, label: str) -> None:
         self.roster, self.name, self.label = roster, name, label
-        self.servers: tuple[Server, ...] = ()  # its last whole list
-        self.made: dict[str, tuple[Server, Claim]] = {}  # the claims of the last telling
+        self.servers: tuple[WorkerEndpoint, ...] = ()  # its last whole list
+        self.made: dict[str, tuple[WorkerEndpoint, Claim]] = {}  # the claims of the last telling
         self.heard_unix = 0.0  # and when that came
 
     @property
-    def known(self) -> bool:
+    def has_live_list(self) -> bool:
         """Whether the source has been heard since the start."""
         source = self.roster.members.sources.get(self.name)
         return source is not None and source.heard_ms is not None
 
-    def update(self, kind: ListKind, servers: Iterable[Server]) -> None:
+    def update(self, kind: ListKind, servers: Iterable[WorkerEndpoint]) -> None:
         """Take a list or changes to it."""
         servers = tuple(servers)
         claims, gone, made = [], [], self.made
@@ -187,18 +187,18 @@
         whole, old = kind is not ListKind.CHANGES, kind is ListKind.CACHED
         if self.name not in self.roster.members.sources:
             return  # another source has taken its place
-        self.roster.feed(api.Listed(self.name, tuple(claims), whole, tuple(gone), old))
+        self.roster.handle_event(api.Listed(self.name, tuple(claims), whole, tuple(gone), old))
         if not old:
             if whole:
                 self.servers, self.heard_unix = servers, time.time()
             self.roster.updated()
 
-    def heard(self) -> None:
+    def on_unchanged(self) -> None:
         """The source has answered and nothing has changed."""
-        if self.known:
-            self.roster.feed(api.Heard(self.name))
+        if self.has_live_list:
+            self.roster.handle_event(api.Heard(self.name))
 
-    def silent(self, why: str) -> None:
+    def on_silent(self, why: str) -> None:
         """The source did not answer."""
         if self.name in self.roster.members.sources:
-            self.roster.feed(api.Silent(self.name, why))
+            self.roster.handle_event(api.Silent(self.name, why))
--- a/grebestack/protocol/platform.py
+++ b/grebestack/protocol/platform.py
@@ -9,13 +9,14 @@
 from hashlib import blake2b
 
 from grebestack.core.api import Effect, Settings
-from grebestack.protocol.http_workers import Said
+from grebestack.protocol.http_workers import CallbackResult
 from grebestack.routing.engine import Engine
-from grebestack.routing.requests import Dispatch, Payload, Session
-from grebestack.transport.server import Connection, Request
+from grebestack.routing.requests import Attempt, Payload, Request
+from grebestack.transport.server import Connection
+from grebestack.transport.server import Request as HttpRequest
 
 log = logging.getLogger(__name__)
-MARGIN_MS = 5.0  # the client's clock for a request began before its last byte came
+DEADLINE_MARGIN_MS = 5.0  # the client's clock for a request began before its last byte came
 PLAIN = re.compile(rb"[!-~]{1,512}").fullmatch  # what may go on to a runner
 SECONDS = re.compile(rb"(?=[0-9.]*[1-9])[0-9]{1,9}(\.[0-9]{0,9})?|(?=\.0*[1-9])\.[0-9]{1,9}").fullmatch
 MOST_FIGURE = 1e6
@@ -45,25 +46,29 @@
     return None if header is None else int.from_bytes(blake2b(header, digest_size=6).digest(), "big")
 
 
-class PlatformFront:
+class PlatformApi:
     """Opens a session for each job; its answer goes out on the connection on which the job came."""
 
     def __init__(
-        self, engine: Engine, settings: Settings, called_back: Callable[[bytes], Said], jobs: bool = True
+        self,
+        engine: Engine,
+        settings: Settings,
+        called_back: Callable[[bytes], CallbackResult],
+        jobs: bool = True,
     ) -> None:
         self.engine, self.called_back, self.jobs = engine, called_back, jobs
-        self.resettle(settings)
+        self.update_settings(settings)
         # During an upgrade: asks the other process of a call-back, and tells whether an id is open there.
-        self.elsewhere: Callable[[bytes, Callable[[bool | None], None]], None] | None = None
-        self.open_elsewhere: Callable[[str], bool] = lambda call_id: False
+        self.query_other_process: Callable[[bytes, Callable[[bool | None], None]], None] | None = None
+        self.is_open_elsewhere: Callable[[str], bool] = lambda call_id: False
         self.quiet_until_ms = 0.0
         self.ready = False
-        self.leaving = False  # a planned stop has begun: no new connection reaches this dispatcher soon
+        self.stopping = False  # a planned stop has begun: no new connection reaches this dispatcher soon
         self.until_ms = math.inf  # a planned stop: jobs that come now are answered by then
         self.kill_ms = self.answer_by_ms = math.inf  # jobs due after the kill are answered by then before it
-        self.closing = False  # no job is taken any more
+        self.rejecting = False  # no job is taken any more
 
-    def resettle(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Jobs that come from now on are of these classes."""
         classes = enumerate(settings.classes)
         self.classes = {c.name.encode(): (i, c.deadline_ms) for i, c in classes if i not in settings.retired}
@@ -71,31 +76,31 @@
         self.keyed = {i for i, c in enumerate(settings.classes) if c.effect is Effect.IDEMPOTENT_WITH_KEY}
         self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)}
 
-    def end_by(self, until_ms: float) -> None:
+    def limit_deadlines(self, until_ms: float) -> None:
         """From now on a job's answer is due by then at the latest."""
         self.until_ms = until_ms
 
-    def expect_kill(self, kill_ms: float, answer_by_ms: float) -> None:
+    def answer_before_kill(self, kill_ms: float, answer_by_ms: float) -> None:
         """Answer all jobs before this process is killed, those that are open too.
 
         A job whose deadline is earlier keeps it.
         """
         self.kill_ms, self.answer_by_ms = kill_ms, answer_by_ms
-        for session in self.engine.open_sessions():
-            is_own = isinstance(session.frontend, Answer) and session.frontend.front is self
-            if is_own and session.asked.deadline_ms > kill_ms:
-                self.engine.answer_by(session, answer_by_ms)
+        for session in self.engine.open_requests():
+            is_own = isinstance(session.listener, PlatformResponder) and session.listener.api is self
+            if is_own and session.arrival.deadline_ms > kill_ms:
+                self.engine.shorten_deadline(session, answer_by_ms)
 
     def _deadline_ms(self, limit_ms: float) -> float:
         """Return the deadline of a job that has come now and may take so long."""
-        deadline_ms = self.engine.clock.now_ms() + limit_ms - MARGIN_MS
+        deadline_ms = self.engine.clock.now_ms() + limit_ms - DEADLINE_MARGIN_MS
         if deadline_ms > self.kill_ms:
             deadline_ms = self.answer_by_ms
         return min(deadline_ms, self.until_ms)
 
     # The transport's handler.
 
-    def request(self, connection: Connection, request: Request) -> None:
+    def request(self, connection: Connection, request: HttpRequest) -> None:
         """Tell what a request is by its path."""
         path, get = request.path, request.method in (b"GET", b"HEAD")
         if path == b"/callback" and request.method == b"POST":
@@ -112,19 +117,19 @@
 
     def _call_back(self, connection: Connection, body: bytes) -> None:
         said = self.called_back(body)
-        if said is not Said.UNKNOWN or self.elsewhere is None:
-            connection.answer(400 if said is Said.NOTHING else 204)
+        if said is not CallbackResult.UNKNOWN or self.query_other_process is None:
+            connection.answer(400 if said is CallbackResult.MALFORMED else 204)
         else:
             # Guards the other process's job: a 204 would end it for its runner, and nobody would hear of it.
-            self.elsewhere(body, lambda known: connection.answer(503 if known is None else 204))
+            self.query_other_process(body, lambda known: connection.answer(503 if known is None else 204))
 
     def gone(self, connection: Connection) -> None:
         """The client left."""
         if connection.session is not None:
             session, connection.session = connection.session, None
-            self.engine.gone(session)
+            self.engine.on_client_disconnected(session)
 
-    def _job(self, connection: Connection, request: Request) -> None:
+    def _job(self, connection: Connection, request: HttpRequest) -> None:
         headers = request.headers
         call_id = headers.get(b"x-call-id", b"")
         known = self.classes.get(headers.get(b"x-call-class", b""))
@@ -149,15 +154,15 @@
             name = next(name for name, is_wrong in wrong.items() if is_wrong)
             self._malformed(connection, name, request)
             return
-        if connection.crowded or self.closing:
-            self.deny(connection, self.most_retry_after_ms)
+        if connection.crowded or self.rejecting:
+            self.reject(connection, self.most_retry_after_ms)
             return
         # Guards a planned stop: no new connection comes any more, so that a job which takes the last free one
         # leaves all jobs behind it without any for its whole run. It has not been taken and may come again.
-        if self.leaving and self._crowded(connection):
-            self.deny(connection, None if self.most_retry_after_ms is None else SPARE_MS)
+        if self.stopping and self._crowded(connection):
+            self.reject(connection, None if self.most_retry_after_ms is None else SPARE_MS)
             return
-        if self.open_elsewhere(call_id.decode("latin-1")):
+        if self.is_open_elsewhere(call_id.decode("latin-1")):
             connection.answer(409)
             return
         index, deadline_ms = known
@@ -166,8 +171,8 @@
         if key is not None:
             head += b"Idempotency-Key: %s\r\n" % key
         cost_us = figures(b"cost=" + headers.get(b"x-call-cost", b"")).get("cost", 0.0)
-        session = self.engine.open(
-            Answer(self, connection, request),
+        session = self.engine.open_request(
+            PlatformResponder(self, connection, request),
             call_id.decode("latin-1"),
             Payload(head, request.body),
             index,
@@ -189,7 +194,7 @@
         free = sum(other.asked for other in connection.acceptor.idle)
         return free < sum(other.asked for other in connection.acceptor.connections) // SPARE_PART
 
-    def _malformed(self, connection: Connection, name: bytes, request: Request) -> None:
+    def _malformed(self, connection: Connection, name: bytes, request: HttpRequest) -> None:
         """Answer 400. One line a second at most: a client that repeats itself must not fill the log."""
         self.engine.counts["malformed"] += 1
         if self.engine.clock.now_ms() >= self.quiet_until_ms:
@@ -200,42 +205,42 @@
             log.info("malformed", extra={"kv": kv})
         connection.answer(400)
 
-    def deny(self, connection: Connection, retry_after_ms: float | None) -> None:
+    def reject(self, connection: Connection, retry_after_ms: float | None) -> None:
         """Answer that it is not done and may be tried again, and when."""
         wait = b"" if retry_after_ms is None else b"Retry-After: %.3f\r\n" % (retry_after_ms / 1000.0)
         connection.answer(503, headers=wait)
 
 
-class Answer:
+class PlatformResponder:
     """The engine's way back to one connection."""
 
-    __slots__ = ("front", "connection", "request")
+    __slots__ = ("api", "connection", "http_request")
 
-    def __init__(self, front: PlatformFront, connection: Connection, request: Request) -> None:
-        self.front, self.connection, self.request = front, connection, request
+    def __init__(self, api: PlatformApi, connection: Connection, http_request: HttpRequest) -> None:
+        self.api, self.connection, self.http_request = api, connection, http_request
 
-    def sending(self, dispatch: Dispatch) -> bool:
+    def before_send(self, dispatch: Attempt) -> bool:
         """Nothing is recorded here."""
         return True
 
-    def ended(self, dispatch: Dispatch) -> None:
+    def on_attempt_ended(self, dispatch: Attempt) -> None:
         """Nothing is recorded here."""
 
-    def served(self, session: Session, result: bytes) -> None:
+    def on_served(self, session: Request, result: bytes) -> None:
         """A server did the job."""
         self.connection.session = None
         self.connection.answer(200, result)
 
-    def denied(self, session: Session, retry_after_ms: float | None) -> None:
+    def on_rejected(self, session: Request, retry_after_ms: float | None) -> None:
         """Not done; trying again is harmless."""
         self.connection.session = None
-        self.front.deny(self.connection, retry_after_ms)
+        self.api.reject(self.connection, retry_after_ms)
 
-    def failed(self, session: Session) -> None:
+    def on_failed(self, session: Request) -> None:
         """Failed; nothing is promised about the effect."""
         self.connection.session = None
         self.connection.answer(502)
 
-    def cancelled(self, session: Session) -> None:
+    def on_cancelled(self, session: Request) -> None:
         """Only another front asks for this."""
-        self.failed(session)
+        self.on_failed(session)
--- a/grebestack/protocol/settings.py
+++ b/grebestack/protocol/settings.py
@@ -24,51 +24,51 @@
 T = TypeVar("T")
 
 
-class WireError(Exception):
+class FormatError(Exception):
     """A line that the wire does not allow; the text says what is wrong with it."""
 
 
-def field_of(raw: Raw, name: str, types: type | tuple[type, ...]) -> Any:
+def required_field(raw: Raw, name: str, types: type | tuple[type, ...]) -> Any:
     value = raw.get(name)
     if isinstance(value, types) and (not isinstance(value, bool) or types is bool):
         return value
     what = "lacks" if value is None else f"has a bad value {value!r} in"
-    raise WireError(f"message {raw.get('msg')!r} {what} the field {name!r}")
+    raise FormatError(f"message {raw.get('msg')!r} {what} the field {name!r}")
 
 
-def whole(raw: Raw, name: str) -> int:
-    value: int = field_of(raw, name, int)
+def required_int(raw: Raw, name: str) -> int:
+    value: int = required_field(raw, name, int)
     return value
 
 
-def number(raw: Raw, name: str) -> float:
-    return float(field_of(raw, name, (int, float)))
+def required_number(raw: Raw, name: str) -> float:
+    return float(required_field(raw, name, (int, float)))
 
 
-def optional(raw: Raw, name: str, default: float = 0.0) -> float:
-    return default if raw.get(name) is None else number(raw, name)
+def optional_number(raw: Raw, name: str, default: float = 0.0) -> float:
+    return default if raw.get(name) is None else required_number(raw, name)
 
 
-def count(raw: Raw, name: str, default: int) -> int:
-    value = optional(raw, name, default)
+def optional_count(raw: Raw, name: str, default: int) -> int:
+    value = optional_number(raw, name, default)
     if not math.isfinite(value):
-        raise WireError(f"{name} must be a positive number, not {value!r}")
+        raise FormatError(f"{name} must be a positive number, not {value!r}")
     return int(value)
 
 
-def word(raw: Raw, name: str) -> str:
-    value: str = field_of(raw, name, str)
+def required_string(raw: Raw, name: str) -> str:
+    value: str = required_field(raw, name, str)
     return value
 
 
-def choice(raw: Raw, name: str, table: Mapping[Any, T], types: type) -> T:
-    value = field_of(raw, name, types)
+def required_choice(raw: Raw, name: str, table: Mapping[Any, T], types: type) -> T:
+    value = required_field(raw, name, types)
     if value not in table:
-        raise WireError(f"message {raw.get('msg')!r} has an unknown value {value!r} in the field {name!r}")
+        raise FormatError(f"message {raw.get('msg')!r} has an unknown value {value!r} in the field {name!r}")
     return table[value]
 
 
-class Places:
+class PlaceNumbers:
     """The numbers of zones and kinds of worker, which the settings name."""
 
     def __init__(self, options: Raw) -> None:
@@ -100,7 +100,7 @@
 
 def fleet_size(options: Raw) -> int:
     """The number of dispatchers; one that is missing, null, no finite number or under 1 counts as 1."""
-    value = optional(options, "siblings", 1)
+    value = optional_number(options, "siblings", 1)
     if math.isfinite(value) and value >= 1:
         return int(value)
     log.warning("bad_setting", extra={"kv": {"field": "siblings", "value": value, "taken_as": 1}})
@@ -115,7 +115,7 @@
     return options.get("discovery") == "on_request"
 
 
-def name_odd_discovery(options: Raw) -> None:
+def warn_unknown_discovery(options: Raw) -> None:
     """Log a `discovery` word that is missing or not known."""
     word = options.get("discovery")
     if word not in ("pushed", "on_request"):
@@ -123,7 +123,7 @@
         log.warning("bad_setting", extra={"kv": kv})
 
 
-def settings_of(options: Raw) -> api.Settings:
+def parse_settings(options: Raw) -> api.Settings:
     """Translate the options of a `begin` message."""
     extra: Raw = options.get("extra") or {}
     limits: Raw = options.get("limits") or {}
@@ -138,54 +138,54 @@
     classes = tuple(
         api.JobClass(
             name=str(raw.get("name", index)),
-            latency_objective_ms=number(raw, "aimMs"),
-            deadline_ms=number(raw, "hardLimitMs"),
-            effect=choice(raw, "effect", EFFECTS, str),
-            priority_weight=optional(raw, "value", 1.0),
-            late_priority_weight=optional(raw, "lateWorth"),
-            objective_stretch=optional(raw, "aimStretch", per_class("classStretch", index, 0.0)),
+            latency_objective_ms=required_number(raw, "aimMs"),
+            deadline_ms=required_number(raw, "hardLimitMs"),
+            effect=required_choice(raw, "effect", EFFECTS, str),
+            priority_weight=optional_number(raw, "value", 1.0),
+            late_priority_weight=optional_number(raw, "lateWorth"),
+            objective_stretch=optional_number(raw, "aimStretch", per_class("classStretch", index, 0.0)),
             group=api.Group(raw.get("group") or "all"),
-            retry_window_ms=optional(raw, "windowMs"),
+            retry_window_ms=optional_number(raw, "windowMs"),
             kind=int(per_class("classKind", index, -1)),
             streamed=bool(raw.get("streamed")),
         )
-        for index, raw in enumerate(field_of(options, "services", list))
+        for index, raw in enumerate(required_field(options, "services", list))
     )
     names = report_names(extra)
     fields = (report.get("fields") or ()) if report.get("how") in ("inline", "on_probe") else ()
     return api.Settings(
         classes=classes,
-        dispatcher=int(optional(options, "me")),
+        dispatcher=int(optional_number(options, "me")),
         dispatcher_count=fleet_size(options),
-        zone=int(optional(options, "zone")),
+        zone=int(optional_number(options, "zone")),
         tenants=tuple(
-            api.Tenant(str(tenant.get("name", "")), optional(tenant, "allowancePerS"))
+            api.Tenant(str(tenant.get("name", "")), optional_number(tenant, "allowancePerS"))
             for tenant in options.get("accounts") or ()
         ),
-        over_quota_weight_factor=optional(options, "overShareWorth", 1.0),
+        over_quota_weight_factor=optional_number(options, "overShareWorth", 1.0),
         polls_endpoint_list=on_request(options),
-        poll_deadline_ms=optional(rules, "mustAskInMs", 10_000.0),
-        drain_grace_ms=optional(rules, "drainGraceMs"),
-        answer_grace_ms=optional(rules, "graceToAnswerMs"),
-        slow_start_initial_share=optional(rules, "coldFrom", 1.0),
-        slow_start_ms=optional(rules, "warmWithinMs"),
-        overload_factor=optional(rules, "fallMultiple", 1.0),
-        overload_window_ms=optional(rules, "tipAfterMs", 1000.0),
-        max_attempts=count(limits, "mostTries", 1),
+        poll_deadline_ms=optional_number(rules, "mustAskInMs", 10_000.0),
+        drain_grace_ms=optional_number(rules, "drainGraceMs"),
+        answer_grace_ms=optional_number(rules, "graceToAnswerMs"),
+        slow_start_initial_share=optional_number(rules, "coldFrom", 1.0),
+        slow_start_ms=optional_number(rules, "warmWithinMs"),
+        overload_factor=optional_number(rules, "fallMultiple", 1.0),
+        overload_window_ms=optional_number(rules, "tipAfterMs", 1000.0),
+        max_attempts=optional_count(limits, "mostTries", 1),
         hedging_enabled=bool(limits.get("secondCopies")),
         cancel=bool(limits.get("cancel")),
         probing=bool(limits.get("probing")) and report.get("how") == "on_probe",
         retry_after=bool(limits.get("retryAfter")),
-        max_retry_after_ms=optional(limits, "maxRetryAfterMs"),
-        connect_timeout_ms=optional(limits, "connectTimeoutMs", 250.0),
+        max_retry_after_ms=optional_number(limits, "maxRetryAfterMs"),
+        connect_timeout_ms=optional_number(limits, "connectTimeoutMs", 250.0),
         reports_attempt_start=bool(extra.get("tellsStart")),
-        progress_ms=optional(extra, "progressMs"),
-        cross_zone_cost=optional(prices, "crossZone"),
-        late_failure_cost=optional(prices, "lateFail"),
+        progress_ms=optional_number(extra, "progressMs"),
+        cross_zone_cost=optional_number(prices, "crossZone"),
+        late_failure_cost=optional_number(prices, "lateFail"),
         weight_by_work=options.get("worthBy") == "work",
         weights_follow_load=options.get("weights") == "live",
         report_fields=frozenset(names.get(name, name) for name in fields),
-        tick_ms=optional(options, "tickMs", 1.0),
+        tick_ms=optional_number(options, "tickMs", 1.0),
     )
 
 
@@ -193,7 +193,7 @@
 FIXED_EXTRA = ("reportX0", "reportX1")
 
 
-def merged(former: api.Settings, new: api.Settings) -> api.Settings:
+def merge_settings(former: api.Settings, new: api.Settings) -> api.Settings:
     """The new settings with all classes of the former ones in their places; see `Settings.classes`."""
     classes = list(former.classes)
     for job_class in new.classes:
@@ -212,7 +212,7 @@
     )
 
 
-def unmoved(former: Raw, new: Raw) -> list[str]:
+def changed_restart_fields(former: Raw, new: Raw) -> list[str]:
     """The fields that have changed and wait for a restart."""
     was: Raw = former.get("extra") or {}
     extra: Raw = new.get("extra") or {}
@@ -220,24 +220,26 @@
     return waits + [f"extra.{name}" for name in FIXED_EXTRA if was.get(name) != extra.get(name)]
 
 
-def keys_of(raw: Any, path: str = "") -> set[str]:
+def collect_key_paths(raw: Any, path: str = "") -> set[str]:
     """The paths of all keys of an object and of those in it; of a list, those that all its objects have."""
     if isinstance(raw, dict):
-        inner = (keys_of(value, f"{path}.{name}") | {f"{path}.{name}"} for name, value in raw.items())
+        inner = (
+            collect_key_paths(value, f"{path}.{name}") | {f"{path}.{name}"} for name, value in raw.items()
+        )
         return set().union(*inner)
     if isinstance(raw, list) and raw and all(isinstance(item, dict) for item in raw):
-        return set.intersection(*(keys_of(item, f"{path}[]") for item in raw))
+        return set.intersection(*(collect_key_paths(item, f"{path}[]") for item in raw))
     return set()
 
 
-def check_figures(options: Raw) -> None:
-    """WireError where a figure that decisions rest on can't be meant; the start takes defaults for some."""
+def check_numbers(options: Raw) -> None:
+    """FormatError where a figure that decisions rest on can't be meant; the start takes defaults for some."""
     services = options.get("services")
     if not isinstance(services, list) or not services or not all(isinstance(one, dict) for one in services):
-        raise WireError(f"settings.services must be a list of classes, at least one, not {services!r:.40}")
+        raise FormatError(f"settings.services must be a list of classes, at least one, not {services!r:.40}")
     names = [one.get("name") for one in services]
     if not all(isinstance(name, str) and name for name in names) or len(set(names)) < len(names):
-        raise WireError(f"settings.services[].name must be words, each once, not {names!r:.80}")
+        raise FormatError(f"settings.services[].name must be words, each once, not {names!r:.80}")
     for one in services:
         where = f"settings.services[{one['name']}]"
         for name in ("aimMs", "hardLimitMs"):
@@ -247,10 +249,10 @@
                 _figure(where, one, name)
     limits = options.get("limits")
     if not isinstance(limits, dict):
-        raise WireError(f"settings.limits must be an object, not {limits!r:.40}")
+        raise FormatError(f"settings.limits must be an object, not {limits!r:.40}")
     _figure("settings.limits", limits, "mostTries", above=0.0)
     if limits["mostTries"] != int(limits["mostTries"]):
-        raise WireError(f"settings.limits.mostTries must be a whole number, not {limits['mostTries']!r}")
+        raise FormatError(f"settings.limits.mostTries must be a whole number, not {limits['mostTries']!r}")
     for part in ("limits", "rules"):
         for name, value in (options.get(part) or {}).items():
             if not isinstance(value, bool | str) and value is not None:
@@ -262,4 +264,4 @@
     good = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
     if value is None or not good or value < 0.0 or (above is not None and value <= above):
         allowed = "a positive number" if above is not None else "a number of at least 0"
-        raise WireError(f"{where}.{name} must be {allowed}, not {value!r:.40}")
+        raise FormatError(f"{where}.{name} must be {allowed}, not {value!r:.40}")
--- a/grebestack/protocol/snapshot.py
+++ b/grebestack/protocol/snapshot.py
@@ -9,17 +9,19 @@
 from typing import Any
 
 from grebestack.core.api import WorkerEntry, WorkerState
-from grebestack.routing.worker_table import Server
+from grebestack.routing.worker_table import WorkerEndpoint
 
 FORMAT = 1
-Lists = Mapping[str, tuple[float, Sequence[Server]]]  # by source: when it was heard (Unix s), its servers
+Lists = Mapping[
+    str, tuple[float, Sequence[WorkerEndpoint]]
+]  # by source: when it was heard (Unix s), its servers
 
 
 class SnapshotError(Exception):
     """The file can't be used; the text says why."""
 
 
-def _line(server: Server) -> dict[str, Any]:
+def _line(server: WorkerEndpoint) -> dict[str, Any]:
     entry = server.entry
     return {
         "id": entry.worker,
@@ -34,7 +36,7 @@
     }
 
 
-def _server(line: Mapping[str, Any]) -> Server:
+def _server(line: Mapping[str, Any]) -> WorkerEndpoint:
     entry = WorkerEntry(
         str(line["id"]),
         int(line["zone"]),
@@ -43,14 +45,14 @@
         WorkerState(line["state"]),
         float(line["weight"]),
     )
-    return Server(entry, (str(line["host"]), int(line["port"])), reason=str(line["reason"]))
+    return WorkerEndpoint(entry, (str(line["host"]), int(line["port"])), reason=str(line["reason"]))
 
 
 def _checksum(text: str) -> str:
     return blake2b(text.encode(), digest_size=16).hexdigest()
 
 
-def save(path: str, lists: Lists) -> None:
+def save_lists(path: str, lists: Lists) -> None:
     """Write the lists in place of what the file held, all or nothing, kept over a loss of power. OSError."""
     text = json.dumps(
         {
@@ -72,7 +74,7 @@
         os.close(folder)
 
 
-def load(path: str) -> dict[str, tuple[float, list[Server]]]:
+def load_lists(path: str) -> dict[str, tuple[float, list[WorkerEndpoint]]]:
     """The lists of a file; nothing where there is none. SnapshotError: it is torn, or another program's."""
     try:
         with open(path, encoding="utf-8") as file:
--- a/grebestack/protocol/worker_list.py
+++ b/grebestack/protocol/worker_list.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from grebestack.core.api import WorkerEntry, WorkerState
-from grebestack.protocol.settings import Places
-from grebestack.routing.worker_table import Server
+from grebestack.protocol.settings import PlaceNumbers
+from grebestack.routing.worker_table import WorkerEndpoint
 from grebestack.transport.client import Address
 
 log = logging.getLogger(__name__)
@@ -23,7 +23,7 @@
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """A host and port; ValueError if it is none."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
@@ -31,16 +31,16 @@
     return host.strip("[]"), int(port)
 
 
-class Objects:
+class JsonObjectReader:
     """Puts the lines of a watch together to objects: one a line, or indented over many."""
 
     def __init__(self) -> None:
-        self.parts: list[bytes] = []  # of the object that has begun
+        self.pending_lines: list[bytes] = []  # of the object that has begun
         self.size = self.depth = 0
 
-    def line(self, line: bytes) -> Mapping[str, Any] | None:
+    def feed_line(self, line: bytes) -> Mapping[str, Any] | None:
         """The object that the line ends; None where none ends, ValueError where it can't be read."""
-        if not self.parts:
+        if not self.pending_lines:
             if not line.strip():
                 return None
             try:
@@ -51,17 +51,17 @@
                     raise
             return None
         if not line.strip() or self.size + len(line) > MOST_OBJECT or self._begins(line):
-            self.parts, self.size, self.depth = [], 0, 0
+            self.pending_lines, self.size, self.depth = [], 0, 0
             raise ValueError("an object that does not end")  # its rest was lost, or will never come
         self._add(line)
         if self.depth > 0:
             return None
-        parts, self.parts, self.size, self.depth = self.parts, [], 0, 0
+        parts, self.pending_lines, self.size, self.depth = self.pending_lines, [], 0, 0
         return self._object(b"\n".join(parts))
 
     def _add(self, line: bytes) -> None:
         plain = STRING.sub(b"", line)
-        self.parts.append(line)
+        self.pending_lines.append(line)
         self.size += len(line)
         self.depth += plain.count(b"{") + plain.count(b"[") - plain.count(b"}") - plain.count(b"]")
 
@@ -85,7 +85,7 @@
             return False
 
 
-class ListReader:
+class WorkerListReader:
     """Reads the list's entries; zones and kinds are named in the settings.
 
     What can be read of an entry is used, so that no drain is lost by a figure beside it that can't. Each
@@ -93,7 +93,7 @@
     """
 
     def __init__(self, options: Mapping[str, Any]) -> None:
-        self.places = Places(options)
+        self.places = PlaceNumbers(options)
         self.told: set[str] = set()  # fields of which an odd value has been logged
         # Fixed once: the decision module tells a restart by a start time that differs from the one before.
         self.unix_to_clock_ms = (time.monotonic() - time.time()) * 1000.0
@@ -106,18 +106,18 @@
         except (ValueError, TypeError, OverflowError):
             figure = math.nan
         if not (math.isfinite(figure) and figure >= 0.0):
-            self.odd(name, value, default)
+            self.warn_unexpected(name, value, default)
             return default
         return figure
 
-    def odd(self, name: str, value: object, taken: object) -> None:
+    def warn_unexpected(self, name: str, value: object, taken: object) -> None:
         """Log a value that is not taken as it is, once for each field."""
         if name not in self.told:
             self.told.add(name)
             kv = {"field": name, "value": f"{value!r:.60}", "taken_as": taken}
             log.warning("bad_list_value", extra={"kv": kv})
 
-    def server(self, raw: Mapping[str, Any], strict: bool = False) -> Server:
+    def read_worker(self, raw: Mapping[str, Any], strict: bool = False) -> WorkerEndpoint:
         """One entry; ValueError if it has no name, or is ready at an address that can't be read.
 
         A person's own entries are taken strictly: ValueError for a state or an address that is none.
@@ -129,19 +129,19 @@
         if state is None and strict:
             raise ValueError(f"state must be one of {', '.join(STATES)}, not {raw.get('state')!r:.60}")
         if state is None:  # a word of later versions: whatever it means, the server is not plainly ready
-            self.odd("state", raw.get("state"), "Terminating")
+            self.warn_unexpected("state", raw.get("state"), "Terminating")
             state = WorkerState.DRAINING
         try:
-            address = address_of(str(raw.get("endpoint")))
+            address = parse_address(str(raw.get("endpoint")))
         except ValueError:
             if state is WorkerState.READY or strict:
                 raise
             if state is not WorkerState.GONE:
-                self.odd("endpoint", raw.get("endpoint"), "the one before")
+                self.warn_unexpected("endpoint", raw.get("endpoint"), "the one before")
             address = NOWHERE
         boot_ms = self._figure(raw, "boot_ms", 0.0)
         if boot_ms > time.time() * 1000.0 + CLOCKS_MS:
-            self.odd("boot_ms", boot_ms, "now")  # the module counts a start to come as one of now
+            self.warn_unexpected("boot_ms", boot_ms, "now")  # the module counts a start to come as one of now
         entry = WorkerEntry(
             worker=str(uid),
             zone=self.places.zone(str(raw.get("az") or ""), -1),
@@ -151,28 +151,28 @@
             weight=self._figure(raw, "capacity_hint", 1.0) or 1.0,
             started_ms=boot_ms + self.unix_to_clock_ms if boot_ms > 0 else None,
         )
-        return Server(entry, address)
+        return WorkerEndpoint(entry, address)
 
-    def message(self, raw: Mapping[str, Any]) -> tuple[int, bool, list[Server]]:
+    def read_list(self, raw: Mapping[str, Any]) -> tuple[int, bool, list[WorkerEndpoint]]:
         """The version, whether it is the whole list, and the entries; malformed ones are left out.
 
         Of two entries of one name the one that wants less new work holds.
         """
-        servers: dict[str, Server] = {}
+        servers: dict[str, WorkerEndpoint] = {}
         targets = raw.get("targets")
         if not isinstance(targets, list):
             if targets is not None:
-                self.odd("targets", targets, "none")
+                self.warn_unexpected("targets", targets, "none")
             targets = []
         for item in targets:
             try:
-                server = self.server(item)
+                server = self.read_worker(item)
             except (ValueError, TypeError, AttributeError) as error:
-                self.odd("entry", error, "left out")
+                self.warn_unexpected("entry", error, "left out")
                 continue
             name = server.entry.worker
             if name in servers:
-                self.odd("uid", name, "the one that wants less")
+                self.warn_unexpected("uid", name, "the one that wants less")
                 if servers[name].entry.state is not WorkerState.READY:
                     continue
             servers[name] = server
--- a/grebestack/routing/requests.py
+++ b/grebestack/routing/requests.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from grebestack.core.api import Outcome, RequestArrived
-from grebestack.routing.interfaces import Frontend, Timer
+from grebestack.routing.interfaces import RequestListener, Timer
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,51 +18,51 @@
     body: bytes
 
 
-class Stage(Enum):
+class AttemptStage(Enum):
     """How far a dispatch has got."""
 
-    WAITING = "waiting"  # its last byte has not gone
+    UNSENT = "waiting"  # its last byte has not gone
     WRITTEN = "written"  # its last byte may have gone: it may have run
     ACCEPTED = "accepted"  # the server said that it has it
 
 
 @dataclass(slots=True, eq=False)
-class Dispatch:
+class Attempt:
     """One sending of a session to one server."""
 
-    session: Session
+    request: Request
     number: int
-    server: str
+    worker: str
     sent_ms: float
-    by_ms: float = math.inf  # its first byte goes by then, or never
-    stage: Stage = Stage.WAITING
+    send_deadline_ms: float = math.inf  # its first byte goes by then, or never
+    stage: AttemptStage = AttemptStage.UNSENT
     outcome: Outcome | None = None
     timer: Timer | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Session:
+class Request:
     """One request of a client, owed exactly one final answer by its deadline."""
 
     call_id: str
-    asked: RequestArrived
+    arrival: RequestArrived
     payload: Payload
-    frontend: Frontend
-    dispatches: list[Dispatch] = field(default_factory=list)
+    listener: RequestListener
+    attempts: list[Attempt] = field(default_factory=list)
     closed: bool = False
-    terminating: bool = False  # the client wants it cancelled: it is not sent any more
+    cancel_requested: bool = False  # the client wants it cancelled: it is not sent any more
     timer: Timer | None = None
 
     @property
     def number(self) -> int:
         """The number by which the decision module knows it."""
-        return self.asked.request
+        return self.arrival.request
 
     @property
     def may_have_run(self) -> bool:
         """Whether some dispatch is not proven never to have run."""
-        return any(d.outcome is None or not d.outcome.never_ran for d in self.dispatches)
+        return any(d.outcome is None or not d.outcome.never_ran for d in self.attempts)
 
-    def out(self) -> list[Dispatch]:
+    def open_attempts(self) -> list[Attempt]:
         """The dispatches that have not ended."""
-        return [d for d in self.dispatches if d.outcome is None]
+        return [d for d in self.attempts if d.outcome is None]
--- a/grebestack/routing/worker_table.py
+++ b/grebestack/routing/worker_table.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
+class WorkerEndpoint:
     """One line of the list and where the server listens."""
 
     entry: WorkerEntry
@@ -21,7 +21,7 @@
 MOST_NAMES = 100_000  # names that are remembered once they are in no list any more
 
 
-class ServerTable:
+class WorkerTable:
     """Holds the list, applies changes to it and tells the engine of each.
 
     A server that the operators have cordoned counts as draining whatever its source says: the bans lie beside
@@ -30,81 +30,83 @@
 
     def __init__(self) -> None:
         self.cordoned: set[str] = set()
-        self.names: dict[str, None] = {}  # all that any list has named, the longest unheard of first
-        self.listed: dict[str, Server] = {}  # as the source has them
-        self.servers: dict[str, Server] = {}
-        self.known = False  # whether a list from a live source, not only an old one, has come
+        self.known_names: dict[str, None] = {}  # all that any list has named, the longest unheard of first
+        self.reported: dict[str, WorkerEndpoint] = {}  # as the source has them
+        self.workers: dict[str, WorkerEndpoint] = {}
+        self.has_live_list = False  # whether a list from a live source, not only an old one, has come
         self.on_change: Callable[[ListKind, tuple[WorkerEntry, ...]], None] = lambda kind, entries: None
-        self.changed: Callable[[], None] = lambda: None  # told after the engine has taken the change
+        self.after_change: Callable[[], None] = lambda: None  # told after the engine has taken the change
 
-    def update(self, kind: ListKind, servers: Iterable[Server]) -> None:
+    def update(self, kind: ListKind, servers: Iterable[WorkerEndpoint]) -> None:
         """Take a list or changes to it; a server that a whole list leaves out is gone."""
-        former = self.servers
+        former = self.workers
         if kind is not ListKind.CHANGES:
-            self.listed, self.servers = {}, {}
+            self.reported, self.workers = {}, {}
         servers = tuple(self._placed(server, former) for server in servers)
         for server in servers:
-            self.listed[server.entry.worker] = server
-        self.remember(server.entry.worker for server in servers)
-        self.known = self.known or kind is not ListKind.CACHED
+            self.reported[server.entry.worker] = server
+        self.remember_names(server.entry.worker for server in servers)
+        self.has_live_list = self.has_live_list or kind is not ListKind.CACHED
         self._tell(kind, servers)
 
     @staticmethod
-    def _placed(server: Server, former: dict[str, Server]) -> Server:
+    def _placed(server: WorkerEndpoint, former: dict[str, WorkerEndpoint]) -> WorkerEndpoint:
         """With the address it had, where its source now names none that can be read."""
         if server.address[1] or (known := former.get(server.entry.worker)) is None:
             return server
         return replace(server, address=known.address)
 
-    def _tell(self, kind: ListKind, servers: tuple[Server, ...]) -> None:
+    def _tell(self, kind: ListKind, servers: tuple[WorkerEndpoint, ...]) -> None:
         servers = tuple(self._seen(server) for server in servers)
         for server in servers:
             if server.entry.state is WorkerState.GONE:
-                self.servers.pop(server.entry.worker, None)
+                self.workers.pop(server.entry.worker, None)
             else:
-                self.servers[server.entry.worker] = server
+                self.workers[server.entry.worker] = server
         self.on_change(kind, tuple(server.entry for server in servers))
-        self.changed()
+        self.after_change()
 
-    def _seen(self, server: Server) -> Server:
+    def _seen(self, server: WorkerEndpoint) -> WorkerEndpoint:
         entry = server.entry
         if entry.worker not in self.cordoned or entry.state is not WorkerState.READY:
             return server
         return replace(server, entry=replace(entry, state=WorkerState.DRAINING))
 
-    def remember(self, names: Iterable[str]) -> None:
+    def remember_names(self, names: Iterable[str]) -> None:
         """Some list has named these, perhaps one of another process."""
         for name in names:
-            self.names.pop(name, None)
-            self.names[name] = None
-            if len(self.names) > MOST_NAMES + len(self.listed) + len(self.cordoned):
-                del self.names[next(n for n in self.names if n not in self.listed and n not in self.cordoned)]
-
-    def heard(self) -> None:
+            self.known_names.pop(name, None)
+            self.known_names[name] = None
+            if len(self.known_names) > MOST_NAMES + len(self.reported) + len(self.cordoned):
+                del self.known_names[
+                    next(n for n in self.known_names if n not in self.reported and n not in self.cordoned)
+                ]
+
+    def on_unchanged(self) -> None:
         """A list that comes straight here stands as long as nothing else is told: see membership."""
 
-    def silent(self, why: str) -> None:
+    def on_silent(self, why: str) -> None:
         """The same."""
 
-    def cordon(self, name: str, on: bool) -> None:
+    def set_cordoned(self, name: str, on: bool) -> None:
         """Leave a server out from now on, or do so no longer; KeyError if no list has ever named it.
 
         It holds when this returns: what waits asks `accepts` before its first byte.
         """
-        if name not in self.names:
+        if name not in self.known_names:
             raise KeyError(name)
         if (name in self.cordoned) != on:
             (self.cordoned.add if on else self.cordoned.discard)(name)
-            if (server := self.listed.get(name)) is not None:
+            if (server := self.reported.get(name)) is not None:
                 entry = replace(server.entry, put_back=not on)
                 self._tell(ListKind.CHANGES, (replace(server, entry=entry),))
 
-    def uid(self, name: str) -> str:
+    def callback_id(self, name: str) -> str:
         """By which id the call-backs of a server name it."""
-        server = self.servers.get(name)
+        server = self.workers.get(name)
         return name if server is None else server.uid or name
 
-    def accepts(self, name: str) -> bool:
+    def accepts_work(self, name: str) -> bool:
         """Whether a server may be sent new work."""
-        server = self.servers.get(name)
+        server = self.workers.get(name)
         return server is not None and server.entry.state is WorkerState.READY
--- a/grebestack/simhost.py
+++ b/grebestack/simhost.py
@@ -13,16 +13,16 @@
 from grebestack.core import api
 from grebestack.core.policy import Policy
 from grebestack.protocol.settings import (
+    FormatError,
     Raw,
-    WireError,
-    choice,
-    field_of,
-    number,
-    optional,
+    optional_number,
+    parse_settings,
     report_names,
-    settings_of,
-    whole,
-    word,
+    required_choice,
+    required_field,
+    required_int,
+    required_number,
+    required_string,
 )
 
 OUTCOMES = {
@@ -53,9 +53,9 @@
     """One dispatcher's policy and the report names of its site."""
 
     def __init__(self, raw: Raw) -> None:
-        options: Raw = field_of(raw, "options", dict)
+        options: Raw = required_field(raw, "options", dict)
         self.names = report_names(options.get("extra") or {})
-        self.policy = Policy(settings_of(options), whole(raw, "randomSeed"))
+        self.policy = Policy(parse_settings(options), required_int(raw, "randomSeed"))
 
     def report(self, raw: Raw) -> dict[str, float]:
         """The load report that came with an outcome or a probe, by the module's names."""
@@ -63,38 +63,38 @@
         if not stats:
             return {}
         if not isinstance(stats, dict):
-            raise WireError(f"message {raw.get('msg')!r} has a bad value {stats!r} in the field 'stats'")
+            raise FormatError(f"message {raw.get('msg')!r} has a bad value {stats!r} in the field 'stats'")
         return {self.names.get(str(name), str(name)): float(v) for name, v in stats.items() if v is not None}
 
 
 def _entry(raw: Raw) -> api.WorkerEntry:
-    started = optional(raw, "onlineSinceMs")
+    started = optional_number(raw, "onlineSinceMs")
     return api.WorkerEntry(
-        worker=word(raw, "worker"),
-        zone=int(optional(raw, "rackZone")),
-        kind=int(optional(raw, "shape")),
-        cell=int(optional(raw, "bay")),
-        state=choice(raw, "stageState", STATES, str),
-        weight=optional(raw, "weight", 1.0),
+        worker=required_string(raw, "worker"),
+        zone=int(optional_number(raw, "rackZone")),
+        kind=int(optional_number(raw, "shape")),
+        cell=int(optional_number(raw, "bay")),
+        state=required_choice(raw, "stageState", STATES, str),
+        weight=optional_number(raw, "weight", 1.0),
         started_ms=started if started > 0 else None,
     )
 
 
 def _listed(instance: Instance, raw: Raw) -> api.Event:
     return api.WorkersListed(
-        kind=choice(raw, "how", LIST_KINDS, str),
+        kind=required_choice(raw, "how", LIST_KINDS, str),
         workers=tuple(_entry(item) for item in raw.get("items") or ()),
     )
 
 
 def _arrived(instance: Instance, raw: Raw) -> api.Event:
     return api.RequestArrived(
-        request=whole(raw, "tid"),
-        job_class=whole(raw, "type"),
-        deadline_ms=number(raw, "notAfterMs"),
-        slots=optional(raw, "slots", 1.0),
-        memory=optional(raw, "mem"),
-        tenant=int(optional(raw, "clientGroup")),
+        request=required_int(raw, "tid"),
+        job_class=required_int(raw, "type"),
+        deadline_ms=required_number(raw, "notAfterMs"),
+        slots=optional_number(raw, "slots", 1.0),
+        memory=optional_number(raw, "mem"),
+        tenant=int(optional_number(raw, "clientGroup")),
         key=raw.get("entity"),
         cost_ms=raw.get("costMs"),
         retry=bool(raw.get("repeat")),
@@ -103,42 +103,48 @@
 
 def _ended(instance: Instance, raw: Raw) -> api.Event:
     return api.AttemptEnded(
-        request=whole(raw, "tid"),
-        attempt=whole(raw, "sendNo"),
-        worker=word(raw, "worker"),
-        outcome=choice(raw, "code", OUTCOMES, int),
-        elapsed_ms=optional(raw, "elapsedMs"),
+        request=required_int(raw, "tid"),
+        attempt=required_int(raw, "sendNo"),
+        worker=required_string(raw, "worker"),
+        outcome=required_choice(raw, "code", OUTCOMES, int),
+        elapsed_ms=optional_number(raw, "elapsedMs"),
         closed=bool(raw.get("closed")),
         report=instance.report(raw),
     )
 
 
 def _signal(instance: Instance, raw: Raw) -> api.Event | None:
-    request, attempt, worker = whole(raw, "tid"), whole(raw, "sendNo"), word(raw, "worker")
+    request, attempt, worker = (
+        required_int(raw, "tid"),
+        required_int(raw, "sendNo"),
+        required_string(raw, "worker"),
+    )
     if raw.get("kind") == STARTED:
         return api.AttemptStarted(request, attempt, worker)
     if raw.get("kind") == PROGRESS:
-        return api.AttemptProgress(request, attempt, worker, optional(raw, "level"))
+        return api.AttemptProgress(request, attempt, worker, optional_number(raw, "level"))
     return None
 
 
 def _first(instance: Instance, raw: Raw) -> api.Event:
-    return api.StreamStarted(whole(raw, "tid"), whole(raw, "sendNo"), word(raw, "worker"))
+    return api.StreamStarted(
+        required_int(raw, "tid"), required_int(raw, "sendNo"), required_string(raw, "worker")
+    )
 
 
 def _dropped(instance: Instance, raw: Raw) -> api.Event:
-    return api.RequestDropped(whole(raw, "tid"))
+    return api.RequestDropped(required_int(raw, "tid"))
 
 
 def _wakeup(instance: Instance, raw: Raw) -> api.Event:
-    return api.TimerFired(whole(raw, "name"))
+    return api.TimerFired(required_int(raw, "name"))
 
 
 def _echo(instance: Instance, raw: Raw) -> api.Event:
     return api.ProbeEnded(
-        worker=word(raw, "worker"),
-        outcome=choice(raw, "code", OUTCOMES, int),
-        elapsed_ms=optional(raw, "elapsedMs"),
+        worker=required_string(raw, "worker"),
+        outcome=required_choice(raw, "code", OUTCOMES, int),
+        elapsed_ms=optional_number(raw, "elapsedMs"),
         report=instance.report(raw),
     )
 
@@ -197,19 +203,19 @@
         try:
             raw = json.loads(text)
         except ValueError as error:
-            raise WireError(f"not JSON: {error}") from error
+            raise FormatError(f"not JSON: {error}") from error
         if not isinstance(raw, dict):
-            raise WireError("not an object")
+            raise FormatError("not an object")
         message = raw.get("msg")
         if not isinstance(message, str):
-            raise WireError("no message name in the field 'msg'")
+            raise FormatError("no message name in the field 'msg'")
         if message == "beginBatch":
             if self.now_ms is not None:
-                raise WireError("'beginBatch' inside a batch")
-            self.now_ms = number(raw, "atTimeMs")
+                raise FormatError("'beginBatch' inside a batch")
+            self.now_ms = required_number(raw, "atTimeMs")
             return []
         if self.now_ms is None:
-            raise WireError(f"message {message!r} outside a batch")
+            raise FormatError(f"message {message!r} outside a batch")
         if message == "overToYou":
             self.now_ms = None
             return ['{"msg":"ready"}']
@@ -218,8 +224,8 @@
     def _event(self, message: str, raw: Raw, now_ms: float) -> list[str]:
         reader = READERS.get(message)
         if reader is None and message not in ("begin", "halt"):
-            raise WireError(f"unknown message {message!r}")
-        dispatcher = whole(raw, "dispatcher")
+            raise FormatError(f"unknown message {message!r}")
+        dispatcher = required_int(raw, "dispatcher")
         if message == "halt":
             self.instances.pop(dispatcher, None)
             return []
@@ -228,12 +234,12 @@
                 self.instances[dispatcher] = Instance(raw)
                 return []
             if dispatcher not in self.instances:
-                raise WireError(f"message {message!r} for dispatcher {dispatcher}, which has not begun")
+                raise FormatError(f"message {message!r} for dispatcher {dispatcher}, which has not begun")
             instance = self.instances[dispatcher]
             event = reader(instance, raw)
             actions = () if event is None else instance.policy.handle(now_ms, event)
             return [json.dumps(action_message(dispatcher, action)) for action in actions]
-        except WireError:
+        except FormatError:
             raise
         except Exception as error:  # whatever the module throws ends the day with its cause
             what = f"{type(error).__name__}: {error}"
@@ -249,7 +255,7 @@
             continue
         try:
             replies = host.line(text)
-        except WireError as error:
+        except FormatError as error:
             print(f"grebestack: input line {count}: {error}", file=err, flush=True)
             return 1
         pending += replies
--- a/tests/dispatcher_group.py
+++ b/tests/dispatcher_group.py
@@ -61,10 +61,10 @@
     asked: int = 0
 
 
-class Yard:
+class DispatcherGroup:
     """All stand-ins on one loop in a thread of its own."""
 
-    def __init__(self, folder: Path, dispatchers: int, runners: int, each: int = 1) -> None:
+    def __init__(self, folder: Path, dispatchers: int, workers: int, workers_per_port: int = 1) -> None:
         self.folder, self.names = folder, [f"n{n}" for n in range(dispatchers)]
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
@@ -72,26 +72,28 @@
         self.settings: dict[str, Any] = OPTIONS | {"discovery": "pushed", "siblings": 200}
         self.tasks: set[asyncio.Task[None]] = set()
         self.sends: list[Sent] = []
-        self.told: dict[tuple[str, str], float] = {}
+        self.reported_at: dict[tuple[str, str], float] = {}
         self.stamps: list[tuple[str, str, str]] = []  # job, server, and the stamp that it came under
         self.changes: list[tuple[str, str]] = []  # the registry: server and state
-        ports = [reserved_port() for _ in range(runners // each)]  # one listener may stand for several
-        self.runners = {f"s-{n}": ports[n % len(ports)] for n in range(runners)}
-        self.fronts = {name: ("127.0.0.1", reserved_port()) for name in self.names}
+        ports = [
+            reserved_port() for _ in range(workers // workers_per_port)
+        ]  # one listener may stand for several
+        self.workers = {f"s-{n}": ports[n % len(ports)] for n in range(workers)}
+        self.addresses = {name: ("127.0.0.1", reserved_port()) for name in self.names}
         self.agents: dict[str, Agent] = {}
         self.ports: dict[str, int] = {}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.over = False
-        self.late_s = 0.0
+        self.stopped = False
+        self.max_delay_s = 0.0
         for port in ports:
-            uids = [uid for uid, at in self.runners.items() if at == port]
-            self.call(asyncio.start_server(self._runner(uids), "127.0.0.1", port))
+            uids = [uid for uid, at in self.workers.items() if at == port]
+            self.run_coroutine(asyncio.start_server(self._runner(uids), "127.0.0.1", port))
         for name in self.names:
-            self.agent(name, keeps=True)
+            self.add_agent(name, keeps=True)
         threading.Thread(target=self._measure, daemon=True).start()
         self.clients = 0
 
-    def call(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
+    def run_coroutine(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(30)
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
@@ -99,29 +101,29 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def do(self, action: Callable[[], None]) -> None:
+    def run_on_loop(self, action: Callable[[], None]) -> None:
         async def run() -> None:
             action()
 
-        self.call(run())
+        self.run_coroutine(run())
 
     def _measure(self) -> None:
         """The longest that this machine has let a thread wait: what is measured here may be so late."""
-        while not self.over:
+        while not self.stopped:
             before = time.monotonic()
             time.sleep(0.01)
-            self.late_s = max(self.late_s, time.monotonic() - before - 0.01)
+            self.max_delay_s = max(self.max_delay_s, time.monotonic() - before - 0.01)
 
     # Agents.
 
-    def agent(self, name: str, keeps: bool) -> None:
+    def add_agent(self, name: str, keeps: bool) -> None:
         """A new agent for a dispatcher, at an address of its own; the former one stays as it is."""
         former = self.agents.get(name)
         agent = self.agents[name] = Agent(name, keeps)
         if former is not None:
             agent.has = former.has
         self.ports[name] = reserved_port()
-        self.call(asyncio.start_server(self._watch(agent), "127.0.0.1", self.ports[name]))
+        self.run_coroutine(asyncio.start_server(self._watch(agent), "127.0.0.1", self.ports[name]))
 
     def _watch(self, agent: Agent) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Any]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -162,11 +164,11 @@
 
     def listing(self, has: int) -> dict[str, Any]:
         """The whole list after so many changes."""
-        states = {uid: "Ready" for uid in self.runners} | dict(self.changes[:has])
+        states = {uid: "Ready" for uid in self.workers} | dict(self.changes[:has])
         targets = [
             {
                 "uid": uid,
-                "endpoint": f"127.0.0.1:{self.runners[uid]}",
+                "endpoint": f"127.0.0.1:{self.workers[uid]}",
                 "az": "here",
                 "model": "c8",
                 "state": state,
@@ -177,18 +179,18 @@
         ]
         return {"rev": has + 1, "all": True, "targets": targets}
 
-    def learn(self, name: str) -> None:
+    def update_agent(self, name: str) -> None:
         """An agent gets what the registry has, unless it is silent."""
         agent, now = self.agents[name], time.monotonic()
         if agent.silent:
             return
         for uid, _ in self.changes[agent.has :]:
             told = max(now, agent.counts, agent.hushed + SILENT_S if agent.hushed else 0.0)
-            self.told.setdefault((name, uid), told)
+            self.reported_at.setdefault((name, uid), told)
         agent.has = len(self.changes)
         self._tell(agent)
 
-    def drain(self) -> None:
+    def drain_busiest_workers(self) -> None:
         """The servers that dispatchers use most just now leave; agents that speak get it at once."""
 
         def act() -> None:
@@ -200,11 +202,11 @@
                     gone.add(used.most_common(1)[0][0])
                     self.changes.append((used.most_common(1)[0][0], "Terminating"))
             for name in self.names:
-                self.learn(name)
+                self.update_agent(name)
 
-        self.do(act)
+        self.run_on_loop(act)
 
-    def silence(self, on: bool, keeps: bool = True) -> None:
+    def set_agents_silent(self, on: bool, keeps: bool = True) -> None:
         """All agents are silent and learn nothing, or come back and learn all at once."""
 
         def act() -> None:
@@ -215,20 +217,20 @@
                 agent.silent = on
                 if not on:
                     agent.hushed = 0.0
-                    self.learn(name)
+                    self.update_agent(name)
 
-        self.do(act)
+        self.run_on_loop(act)
 
-    def hush(self) -> None:
+    def silence_open_watches(self) -> None:
         """What is open falls silent for good; new watches are answered."""
 
         def act() -> None:
             for agent in self.agents.values():
                 agent.writers, agent.hushed = {}, time.monotonic()
 
-        self.do(act)
+        self.run_on_loop(act)
 
-    def reset(self) -> None:
+    def reset_watches(self) -> None:
         """The open watches are reset."""
 
         def act() -> None:
@@ -237,7 +239,7 @@
                     writer.transport.abort()
                 agent.writers = {}
 
-        self.do(act)
+        self.run_on_loop(act)
 
     # Runners.
 
@@ -274,7 +276,7 @@
     async def _post(self, name: str, request: bytes) -> None:
         """One request to a dispatcher on a connection of its own."""
         try:
-            reader, writer = await asyncio.open_connection(*self.fronts[name])
+            reader, writer = await asyncio.open_connection(*self.addresses[name])
             writer.write(request)
             await reader.read()
             writer.close()
@@ -304,7 +306,7 @@
         environ = {
             "RELAY_NAME": name,
             "RELAY_CONFIG": str(self.write_config(name)),
-            "RELAY_LISTEN": ":".join(map(str, self.fronts[name])),
+            "RELAY_LISTEN": ":".join(map(str, self.addresses[name])),
             "RELAY_DISCOVERY": f"127.0.0.1:{self.ports[name]}",
         }
         with (self.folder / f"{name}.log").open("ab") as out:
@@ -319,18 +321,18 @@
         self.processes[name].kill()
         self.processes[name].wait()
 
-    def move(self, name: str) -> None:
+    def move_agent(self, name: str) -> None:
         """A new configuration names another agent: what it has counts some seconds later."""
-        self.agent(name, keeps=True)
+        self.add_agent(name, keeps=True)
         self.agents[name].counts = time.monotonic() + MOVED_S
         self.write_config(name)
         self.processes[name].send_signal(signal.SIGHUP)
 
-    def traffic(self, every_s: float) -> None:
+    def send_traffic(self, every_s: float) -> None:
         """Clients that send to each dispatcher without a pause."""
 
         async def run() -> None:
-            while not self.over:
+            while not self.stopped:
                 for name in self.names:
                     self.clients += 1
                     self.spawn(
@@ -345,12 +347,12 @@
 
         asyncio.run_coroutine_threadsafe(run(), self.loop)
 
-    def serving(self, name: str) -> bool:
+    def is_serving(self, name: str) -> bool:
         """Whether a runner has just got something from this dispatcher."""
         return any(sent.dispatcher == name and sent.at > time.monotonic() - 0.5 for sent in self.sends[-400:])
 
     def close(self) -> None:
-        self.over = True
+        self.stopped = True
         for process in self.processes.values():
             process.kill()
             process.wait()
@@ -360,50 +362,50 @@
                 task.cancel()
             await asyncio.sleep(0.3)
 
-        self.call(end())
+        self.run_coroutine(end())
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join(5)
 
 
-def play(folder: Path, seed: int) -> Yard:
+def run_fault_scenario(folder: Path, seed: int) -> DispatcherGroup:
     """All kinds of faults, in an order and with times drawn from the seed."""
     drawn = random.Random(seed)
-    yard = Yard(folder, dispatchers=3, runners=16)
+    yard = DispatcherGroup(folder, dispatchers=3, workers=16)
     try:
         for name in yard.names:
             yard.start(name)
-        yard.traffic(0.02)
-        wait_until(lambda: all(yard.serving(name) for name in yard.names))
+        yard.send_traffic(0.02)
+        wait_until(lambda: all(yard.is_serving(name) for name in yard.names))
 
         def outage() -> None:
-            yard.silence(True, keeps=drawn.random() < 0.5)
+            yard.set_agents_silent(True, keeps=drawn.random() < 0.5)
             time.sleep(drawn.uniform(0.5, 2.0))
             victim = drawn.choice(yard.names)
             yard.kill(victim)
             yard.start(victim)
             time.sleep(drawn.uniform(2.5, 4.0))
-            yard.drain()
-            yard.silence(False)
+            yard.drain_busiest_workers()
+            yard.set_agents_silent(False)
 
         def hush() -> None:
-            yard.hush()
+            yard.silence_open_watches()
             time.sleep(drawn.uniform(0.0, 1.0))
-            yard.drain()
+            yard.drain_busiest_workers()
             time.sleep(3.0)
-            yard.hush()  # and those opened since once more
-            yard.drain()
+            yard.silence_open_watches()  # and those opened since once more
+            yard.drain_busiest_workers()
             time.sleep(SILENT_S)
 
         def reset() -> None:
-            yard.reset()
+            yard.reset_watches()
             time.sleep(drawn.uniform(0.1, 0.6))
-            yard.drain()
+            yard.drain_busiest_workers()
 
         def move() -> None:
             name = drawn.choice(yard.names)
-            yard.move(name)
+            yard.move_agent(name)
             time.sleep(drawn.uniform(0.0, 1.0))
-            yard.drain()
+            yard.drain_busiest_workers()
             time.sleep(MOVED_S)
 
         phases = [outage, hush, reset, move]
@@ -411,7 +413,7 @@
         for phase in phases:
             phase()
             time.sleep(1.0)
-        wait_until(lambda: all(yard.serving(name) for name in yard.names))
+        wait_until(lambda: all(yard.is_serving(name) for name in yard.names))
     finally:
         yard.close()
     return yard
--- a/tests/golden_control.py
+++ b/tests/golden_control.py
@@ -13,7 +13,7 @@
 from grebestack.program.lifecycle import Lifecycle
 from grebestack.program.log import KeyValueFormatter
 from grebestack.program.traffic_log import TrafficCounts
-from grebestack.routing.worker_table import ServerTable
+from grebestack.routing.worker_table import WorkerTable
 from tests.golden_samples import SERVER
 from tests.golden_settings import values_of
 
@@ -59,7 +59,7 @@
 def operated() -> dict[str, str]:
     """What a dispatcher that belongs to no fleet answers, one call after the other."""
     dispatcher = MagicMock(
-        fleet=None, configuring=None, auditor=None, lifecycle=Lifecycle(), table=ServerTable()
+        fleet=None, configuring=None, auditor=None, lifecycle=Lifecycle(), table=WorkerTable()
     )
     dispatcher.clock.now_ms.return_value = 1000.0
     dispatcher.table.update(ListKind.FULL, [SERVER])
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -25,7 +25,7 @@
 from grebestack.program.audit_segments import RecordBatch, SegmentWriter
 from grebestack.program.cluster_member import form
 from grebestack.program.config.operator_file import from_text
-from grebestack.protocol.snapshot import save
+from grebestack.protocol.snapshot import save_lists
 from tests.golden_samples import FOLDER, RECORDS, SERVER, STAMP, encoded_record
 
 WAIT_S = 10.0
@@ -136,7 +136,7 @@
         folders = {name: os.path.join(top, name) for name in names}
         for folder in folders.values():
             os.mkdir(folder)
-        save(os.path.join(folders["snapshot"], "servers.json"), LISTS)
+        save_lists(os.path.join(folders["snapshot"], "servers.json"), LISTS)
         return {
             "member": asyncio.run(_member_files(folders["member"])),
             "founding": _founding_files(folders["founding"]),
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -12,16 +12,16 @@
 from grebestack.core.policy import Policy
 from grebestack.hot_restart import framing, messages, state_machine
 from grebestack.program.hot_restart import HotRestartRunner
-from grebestack.protocol.http_workers import Said
-from grebestack.protocol.platform import Answer
-from grebestack.routing.requests import Dispatch, Payload, Session
-from grebestack.routing.worker_table import ServerTable
-from grebestack.transport.server import Request
+from grebestack.protocol.http_workers import CallbackResult
+from grebestack.protocol.platform import PlatformResponder
+from grebestack.routing.requests import Attempt, Payload, Request
+from grebestack.routing.worker_table import WorkerTable
+from grebestack.transport.server import Request as HttpRequest
 from tests.golden_samples import SERVER
 from tests.policy_driver import BASE
 
 PEER = 1
-REQUEST = Request(
+REQUEST = HttpRequest(
     b"POST", b"/call?x=1", {b"x-call-id": b"job-1", b"x-caller": b"caf\xe9"}, b"\x00body\xff", False
 )
 
@@ -81,23 +81,23 @@
 def busy_dispatcher() -> MagicMock:
     """Stands in for a dispatcher that has one open job with a dispatch that is out."""
     dispatcher = MagicMock()
-    table = ServerTable()
+    table = WorkerTable()
     table.update(ListKind.FULL, [SERVER])
-    table.remember(["runner-9"])
-    answer = Answer(MagicMock(), MagicMock(), REQUEST)
+    table.remember_names(["runner-9"])
+    answer = PlatformResponder(MagicMock(), MagicMock(), REQUEST)
     asked = RequestArrived(41, 2, 5000.5, 1.5, 2.5)
-    session = Session("job-1", asked, Payload(b"head", b"body"), answer)
-    session.dispatches.append(Dispatch(session, 3, "runner-1", 4000.25))
+    session = Request("job-1", asked, Payload(b"head", b"body"), answer)
+    session.attempts.append(Attempt(session, 3, "runner-1", 4000.25))
     dispatcher.table, dispatcher.lifecycle.quiesced, dispatcher.lifecycle.retired = table, True, True
     dispatcher.reader.unix_to_clock_ms = -123.5
-    dispatcher.runners.called_back.return_value = Said.TAKEN
-    dispatcher.runners.let_go.return_value = "runner-1"
+    dispatcher.runners.on_callback.return_value = CallbackResult.ACCEPTED
+    dispatcher.runners.hand_over.return_value = "runner-1"
     engine = dispatcher.engine
     engine.policy, engine.settings = taught_policy(), BASE
-    engine.sessions, engine.open_by_call_id = {41: session}, {"job-1": session}
-    engine.open_sessions.return_value = [session]
-    engine.withdraw.return_value = True
-    engine.let_go.return_value = session.dispatches[0]
+    engine.requests, engine.open_by_call_id = {41: session}, {"job-1": session}
+    engine.open_requests.return_value = [session]
+    engine.withdraw_unsent.return_value = True
+    engine.hand_over.return_value = session.attempts[0]
     return dispatcher
 
 
@@ -113,10 +113,10 @@
     runner._execute_one(state_machine.SendInheritedState(PEER))
     runner._execute_one(state_machine.AcceptClients(False, PEER))
     engine = dispatcher.engine
-    (session,) = engine.sessions.values()
-    engine.on_sent(session.dispatches[0])
-    engine.on_ended(session.dispatches[0])
-    engine.on_closed("job-1")
+    (session,) = engine.requests.values()
+    engine.on_attempt_sent(session.attempts[0])
+    engine.on_attempt_ended(session.attempts[0])
+    engine.on_request_closed("job-1")
     dispatcher.acceptor.hand_over.call_args.args[0](connection, True)
     runner.let_go()
     return channel.messages
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -21,7 +21,7 @@
 from grebestack.consensus.lease import Lease
 from grebestack.consensus.register import Ballot
 from grebestack.core.api import WorkerEntry, WorkerState
-from grebestack.routing.worker_table import Server
+from grebestack.routing.worker_table import WorkerEndpoint
 
 FOLDER = Path(__file__).resolve().parent / "golden"
 
@@ -41,7 +41,7 @@
 )
 STAMP = Stamp("0.1.0", "5e771465", "consul", 2, 31, "ba45", 9)
 ENTRY = WorkerEntry("runner-1", 2, 3, 4, WorkerState.DRAINING, 5.5, 6000.25, True)
-SERVER = Server(ENTRY, ("10.0.0.7", 8007), "uid-1", "an operator's ban")
+SERVER = WorkerEndpoint(ENTRY, ("10.0.0.7", 8007), "uid-1", "an operator's ban")
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,7 +153,7 @@
 }
 SERVERS = {
     "server": SERVER,
-    "server with defaults": Server(WorkerEntry("runner-2"), ("10.0.0.8", 8008)),
+    "server with defaults": WorkerEndpoint(WorkerEntry("runner-2"), ("10.0.0.8", 8008)),
 }
 BATCHES = {
     "head": (records.Head(1, "d-1", "f00d", 12, 1000.5, 100.25, 3, STAMP),),
@@ -196,7 +196,9 @@
         EXPORTS,
         (metrics_export.Export,),
     ),
-    "shared servers": Codec(msgpack.encode, msgpack.Decoder(Server).decode, SERVERS, (Server,)),
+    "shared servers": Codec(
+        msgpack.encode, msgpack.Decoder(WorkerEndpoint).decode, SERVERS, (WorkerEndpoint,)
+    ),
     "audit": Codec(records.encode, records.decode, BATCHES, (tuple,)),
 }
 
--- a/tests/golden_settings.py
+++ b/tests/golden_settings.py
@@ -17,7 +17,7 @@
 from grebestack.program.config.model import Config
 from grebestack.program.config.operator_file import from_text, version_sections
 from grebestack.program.config.platform import check_reload, from_platform
-from grebestack.protocol.settings import WireError, check_figures, settings_of
+from grebestack.protocol.settings import FormatError, check_numbers, parse_settings
 from tests.golden_samples import FOLDER
 
 DEPLOY = FOLDER.parent.parent / "deploy"
@@ -87,8 +87,8 @@
         "operator who follows": operators_config(golden_text("operator_follower.toml")),
     }
     settings = {
-        "settings": settings_of(full["settings"]),
-        "settings with defaults": settings_of(least["settings"]),
+        "settings": parse_settings(full["settings"]),
+        "settings with defaults": parse_settings(least["settings"]),
     }
     return {name: values_of(value) for name, value in (configs | settings).items()}
 
@@ -170,7 +170,7 @@
     """What a call says is wrong."""
     try:
         call(*arguments)
-    except (ConfigError, WireError) as error:
+    except (ConfigError, FormatError) as error:
         return PARSERS_WORDS.sub(r"\1...", str(error))
     raise AssertionError(f"nothing is wrong with {arguments!r:.200}")
 
@@ -195,7 +195,7 @@
             for name, change in FOLLOWERS_MISTAKES.items()
         },
         "platform": {name: error_of(platforms_config, raw, {}) for name, raw in PLATFORMS_MISTAKES.items()},
-        "figures": {name: error_of(check_figures, raw) for name, raw in FIGURES_MISTAKES.items()},
+        "figures": {name: error_of(check_numbers, raw) for name, raw in FIGURES_MISTAKES.items()},
         "version": {name: error_of(version_sections, raw) for name, raw in VERSIONS_MISTAKES.items()},
         "read again": {
             "a key that is missing": error_of(check_reload, platforms_config(least, {}), in_force)
--- a/tests/loop_dispatcher.py
+++ b/tests/loop_dispatcher.py
@@ -17,15 +17,15 @@
 
 from grebestack.core import api
 from grebestack.program.loop_clock import LoopClock
-from grebestack.protocol.http_workers import Reports, Runners
-from grebestack.protocol.platform import PlatformFront
+from grebestack.protocol.http_workers import HttpWorkers, LoadReportReader
+from grebestack.protocol.platform import PlatformApi
 from grebestack.routing.engine import Engine
-from grebestack.routing.worker_table import Server, ServerTable
+from grebestack.routing.worker_table import WorkerEndpoint, WorkerTable
 from grebestack.transport.client import Pool, Pools
 from grebestack.transport.server import Acceptor
 from tests.policy_driver import BASE, IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT
 
-SOON_S = 20.0  # what does not happen by then does not happen
+WAIT_TIMEOUT_S = 20.0  # what does not happen by then does not happen
 
 
 class GatedPools(Pools):
@@ -45,46 +45,46 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         self.address: tuple[str, int] = self.listener.getsockname()
-        self.taken: list[socket.socket] = []
-        self.got: dict[int, bytes] = {}
-        self.over: set[int] = set()  # connections that the dispatcher has ended
+        self.connections: list[socket.socket] = []
+        self.received: dict[int, bytes] = {}
+        self.ended: set[int] = set()  # connections that the dispatcher has ended
 
-    def look(self) -> None:
+    def read_available(self) -> None:
         """Accept and read whatever is there."""
         try:
             while True:
                 taken, _ = self.listener.accept()
                 taken.setblocking(False)
-                self.got[len(self.taken)] = b""
-                self.taken.append(taken)
+                self.received[len(self.connections)] = b""
+                self.connections.append(taken)
         except BlockingIOError:
             pass
-        for number, taken in enumerate(self.taken):
+        for number, taken in enumerate(self.connections):
             try:
-                while number not in self.over and (data := taken.recv(65536)):
-                    self.got[number] += data
-                self.over.add(number)
+                while number not in self.ended and (data := taken.recv(65536)):
+                    self.received[number] += data
+                self.ended.add(number)
             except BlockingIOError:
                 pass
             except OSError:
-                self.over.add(number)
+                self.ended.add(number)
 
-    def whole(self) -> list[bytes]:
+    def complete_requests(self) -> list[bytes]:
         """The requests of which the last byte has come; a DELETE counts as well."""
-        self.look()
-        return [data for data in self.got.values() if b"\r\n\r\n" in data]
+        self.read_available()
+        return [data for data in self.received.values() if b"\r\n\r\n" in data]
 
-    def say(self, number: int, data: bytes) -> None:
-        self.taken[number].send(data)
+    def send(self, number: int, data: bytes) -> None:
+        self.connections[number].send(data)
 
     def reset(self, number: int) -> None:
         """End a connection as a process that dies does."""
-        self.taken[number].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-        self.taken[number].close()
-        self.over.add(number)
+        self.connections[number].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+        self.connections[number].close()
+        self.ended.add(number)
 
     def close(self) -> None:
-        for one in (self.listener, *self.taken):
+        for one in (self.listener, *self.connections):
             one.close()
 
 
@@ -94,13 +94,15 @@
     def __init__(self, address: tuple[str, int]) -> None:
         self.socket = socket.create_connection(address)
         self.socket.setblocking(False)
-        self.heard = b""
-        self.ended = ""  # "" while it is open, then "closed" or "reset"
+        self.received = b""
+        self.close_reason = ""  # "" while it is open, then "closed" or "reset"
 
     def send(self, data: bytes) -> None:
         self.socket.send(data)
 
-    def order(self, call_id: str, job_class: str = "view", headers: str = "", body: bytes = b"body") -> None:
+    def send_job(
+        self, call_id: str, job_class: str = "view", headers: str = "", body: bytes = b"body"
+    ) -> None:
         """Ask for a job."""
         key = f"Idempotency-Key: {call_id}\r\n"
         self.send(
@@ -109,56 +111,56 @@
             + body
         )
 
-    def look(self) -> bytes:
+    def read_available(self) -> bytes:
         try:
-            while not self.ended and (data := self.socket.recv(65536)):
-                self.heard += data
-            self.ended = self.ended or "closed"
+            while not self.close_reason and (data := self.socket.recv(65536)):
+                self.received += data
+            self.close_reason = self.close_reason or "closed"
         except BlockingIOError:
             pass
         except ConnectionError:
-            self.ended = "reset"
-        return self.heard
+            self.close_reason = "reset"
+        return self.received
 
     @property
     def status(self) -> int:
         """Of the first answer, 0 without one."""
-        line = self.look().partition(b"\r\n\r\n")
+        line = self.read_available().partition(b"\r\n\r\n")
         return int(line[0].split(b" ")[1]) if line[1] else 0
 
-    def leave(self) -> None:
+    def close(self) -> None:
         self.socket.close()
 
 
-class Stage:
+class InProcessDispatcher:
     """What is between the peers."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: api.Settings, servers: int) -> None:
         self.loop = loop
-        self.table = ServerTable()
+        self.table = WorkerTable()
         self.engine = Engine(settings, 1, LoopClock(loop), self.table)
         self.pools = GatedPools(loop, 64, 30.0, 60.0)
         self.pools.gate = asyncio.Event()
         self.pools.gate.set()
-        self.runners = self.engine.servers = Runners(self.engine, self.pools, Reports({}))
-        self.front = PlatformFront(self.engine, settings, self.runners.called_back)
+        self.runners = self.engine.workers = HttpWorkers(self.engine, self.pools, LoadReportReader({}))
+        self.front = PlatformApi(self.engine, settings, self.runners.on_callback)
         self.front.ready = True
         self.acceptor = Acceptor(self.front, 64)
         self.peers = [Peer() for _ in range(servers)]
         self.clients: list[Client] = []
-        self.listed("Ready" for _ in self.peers)
+        self.set_worker_states("Ready" for _ in self.peers)
 
     async def begin(self) -> None:
         self.server = await self.loop.create_server(self.acceptor, "127.0.0.1", 0)
         self.address: tuple[str, int] = self.server.sockets[0].getsockname()
 
-    def listed(self, states: Iterable[str]) -> None:
+    def set_worker_states(self, states: Iterable[str]) -> None:
         """What discovery tells."""
         named = {"Ready": api.WorkerState.READY, "Terminating": api.WorkerState.DRAINING}
         self.table.update(
             api.ListKind.FULL,
             [
-                Server(api.WorkerEntry(f"s{n}", state=named[state]), peer.address)
+                WorkerEndpoint(api.WorkerEntry(f"s{n}", state=named[state]), peer.address)
                 for n, (peer, state) in enumerate(zip(self.peers, states, strict=True))
             ],
         )
@@ -170,15 +172,15 @@
     def call_back(self, call_id: str, server: str, state: str = "done", **more: Any) -> None:
         """A call-back, taken in this very turn."""
         what = {"id": call_id, "from": server, "state": state} | more
-        self.runners.called_back(json.dumps(what).encode())
+        self.runners.on_callback(json.dumps(what).encode())
 
-    async def until(self, true: Callable[[], object]) -> None:
+    async def wait_until(self, true: Callable[[], object]) -> None:
         """Let the loop turn until something is so; how long that takes on a busy machine does not matter."""
-        async with asyncio.timeout(SOON_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not true():
                 await asyncio.sleep(0.001)
 
-    async def turns(self, count: int = 50) -> None:
+    async def run_loop(self, count: int = 50) -> None:
         """Let the loop turn, for what is to be seen not to happen: what is ready has happened by then."""
         for _ in range(count):
             await asyncio.sleep(0)
@@ -187,7 +189,7 @@
     def close(self) -> None:
         self.server.close()
         for caller in self.clients:
-            caller.leave()
+            caller.close()
         for peer in self.peers:
             peer.close()
 
@@ -209,11 +211,13 @@
     return replace(BASE, classes=classes, **changes)
 
 
-def play(test: Callable[[Stage], Awaitable[None]], servers: int = 1, **changes: Any) -> None:
+def run_with_dispatcher(
+    test: Callable[[InProcessDispatcher], Awaitable[None]], worker_count: int = 1, **changes: Any
+) -> None:
     """Run a test on a stage of its own."""
 
     async def run() -> None:
-        stage = Stage(asyncio.get_running_loop(), settings(**changes), servers)
+        stage = InProcessDispatcher(asyncio.get_running_loop(), settings(**changes), worker_count)
         await stage.begin()
         try:
             await test(stage)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -18,7 +18,7 @@
 from grebestack.admin import commands
 from grebestack.core.api import ListKind, WorkerEntry, WorkerState
 from grebestack.program.lifecycle import QUIESCE_DRAIN_MS, QUIESCE_KEEP_MS, ClientHandling, Lifecycle, Stage
-from grebestack.routing.worker_table import Server, ServerTable
+from grebestack.routing.worker_table import WorkerEndpoint, WorkerTable
 from tests.ports import reserved_port
 from tests.standins import World, call, say, wait_until
 
@@ -78,27 +78,29 @@
 
 
 def test_no_word_of_any_list_lifts_a_ban() -> None:
-    table = ServerTable()
+    table = WorkerTable()
 
     def listed(kind: ListKind, *states: tuple[str, WorkerState]) -> None:
-        table.update(kind, [Server(WorkerEntry(name, state=state), ("h", 1)) for name, state in states])
+        table.update(
+            kind, [WorkerEndpoint(WorkerEntry(name, state=state), ("h", 1)) for name, state in states]
+        )
 
     listed(ListKind.FULL, ("a", WorkerState.READY), ("b", WorkerState.READY))
     with pytest.raises(KeyError):
-        table.cordon("never", True)
-    table.cordon("a", True)
+        table.set_cordoned("never", True)
+    table.set_cordoned("a", True)
     for kind in ListKind.FULL, ListKind.CHANGES, ListKind.CACHED:
         listed(kind, ("a", WorkerState.READY))
-        assert not table.accepts("a")
+        assert not table.accepts_work("a")
     listed(ListKind.FULL, ("b", WorkerState.READY))  # gone, and it comes again
-    table.cordon("a", True)
+    table.set_cordoned("a", True)
     listed(ListKind.CHANGES, ("a", WorkerState.READY))
-    assert not table.accepts("a") and table.accepts("b")
+    assert not table.accepts_work("a") and table.accepts_work("b")
     told: list[bool] = []
     table.on_change = lambda kind, entries: told.extend(entry.put_back for entry in entries)
-    table.cordon("a", False)
+    table.set_cordoned("a", False)
     listed(ListKind.CHANGES, ("a", WorkerState.READY))
-    assert table.accepts("a") and told == [True, False]
+    assert table.accepts_work("a") and told == [True, False]
 
 
 @given(
