--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -24,7 +24,7 @@
 from grebestack.consensus.log_format import encode_record
 from grebestack.program.config.errors import ConfigError
 from grebestack.program.config.operator_file import from_file
-from tests.dispatcher_group import Yard
+from tests.dispatcher_group import DispatcherGroup
 from tests.standins import APPLIANCE_SETTINGS, wait_until
 
 
@@ -207,12 +207,12 @@
             from_file(str(path))
 
 
-class AuditedYard(Yard):
+class AuditedYard(DispatcherGroup):
     """Dispatchers by an operator's file, each with a record of its acts."""
 
     def write_config(self, name: str) -> Path:
         path = self.folder / f"{name}.toml"
-        host, port = self.fronts[name]
+        host, port = self.addresses[name]
         path.write_text(
             f'name = "{name}"\nlisten = "{host}:{port}"\nplatform = true\n'
             f'[servers]\nsource = "discovery"\naddress = "127.0.0.1:{self.ports[name]}"\n'
@@ -228,26 +228,26 @@
 
 
 def test_the_merged_audit_is_what_the_runners_wrote_down(tmp_path: Path) -> None:
-    yard = AuditedYard(tmp_path, dispatchers=3, runners=4)
+    yard = AuditedYard(tmp_path, dispatchers=3, workers=4)
     try:
         for name in yard.names:
             yard.start(name)
-        yard.traffic(0.02)
-        wait_until(lambda: all(yard.serving(name) for name in yard.names))
+        yard.send_traffic(0.02)
+        wait_until(lambda: all(yard.is_serving(name) for name in yard.names))
         yard.extra = APPLIANCE_SETTINGS.replace("aimMs = 400.0", "aimMs = 300.0")
         for name in ("n0", "n1"):  # n2 is not told: a straggler
             yard.write_config(name)
             yard.processes[name].send_signal(signal.SIGHUP)
-        yard.drain()
+        yard.drain_busiest_workers()
         logs = [tmp_path / "n0.log", tmp_path / "n1.log"]
         wait_until(lambda: all("settings_changed" in log.read_text() for log in logs))
         time.sleep(1.0)
         yard.kill("n1")  # in the middle of whatever it did
         yard.start("n1")
         # The process that was killed may have sent something within the time that `serving` looks back.
-        wait_until(lambda: logs[1].read_text().count("event=ready") == 2 and yard.serving("n1"))
+        wait_until(lambda: logs[1].read_text().count("event=ready") == 2 and yard.is_serving("n1"))
         time.sleep(0.5)
-        yard.over = True
+        yard.stopped = True
         time.sleep(0.5)
         for name in yard.names:
             yard.processes[name].terminate()
@@ -296,15 +296,15 @@
         "from grebestack.__main__ import main\n"
         "sys.exit(main())\n"
     )
-    yard = AuditedYard(tmp_path, dispatchers=1, runners=2)
+    yard = AuditedYard(tmp_path, dispatchers=1, workers=2)
     yard.code = code
     try:
         yard.start("n0")
-        yard.traffic(0.02)
+        yard.send_traffic(0.02)
         wait_until(lambda: "audit_failed" in (tmp_path / "n0.log").read_text())
         before = len(yard.sends)
         wait_until(lambda: len(yard.sends) > before + 150)
-        yard.over = True
+        yard.stopped = True
         time.sleep(0.3)
         yard.processes["n0"].terminate()
         assert yard.processes["n0"].wait(20) == 0
--- a/tests/test_consul_agents.py
+++ b/tests/test_consul_agents.py
@@ -16,8 +16,8 @@
 from grebestack.consul.entries import Entries, Reading, networks_of
 from grebestack.consul.source import Asking, Token
 from grebestack.core.api import WorkerEntry, WorkerState
-from grebestack.protocol.snapshot import SnapshotError, load, save
-from grebestack.routing.worker_table import Server
+from grebestack.protocol.snapshot import SnapshotError, load_lists, save_lists
+from grebestack.routing.worker_table import WorkerEndpoint
 
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
 OPTIONS = {"zones": ["a", "b"], "models": ["m1", "m2"]}
@@ -126,7 +126,7 @@
     return json.dumps(raw | changes).encode()
 
 
-def read(raw: bytes, **reading: Any) -> Server:
+def read(raw: bytes, **reading: Any) -> WorkerEndpoint:
     server = Entries(OPTIONS, Reading(**reading)).read(raw, True)
     assert server is not None
     return server
@@ -203,12 +203,14 @@
 
 def test_lists_on_disk_are_whole_or_refused(tmp_path: Path) -> None:
     path = str(tmp_path / "servers.json")
-    assert load(path) == {}
-    servers = [Server(WorkerEntry("s-1", 1, 0, 2, WorkerState.DRAINING, 3.0), ("::1", 80), reason="check c")]
-    save(path, {"consul job": (123.0, servers)})
-    assert load(path) == {"consul job": (123.0, servers)}
+    assert load_lists(path) == {}
+    servers = [
+        WorkerEndpoint(WorkerEntry("s-1", 1, 0, 2, WorkerState.DRAINING, 3.0), ("::1", 80), reason="check c")
+    ]
+    save_lists(path, {"consul job": (123.0, servers)})
+    assert load_lists(path) == {"consul job": (123.0, servers)}
     whole = Path(path).read_text()
     for torn in (whole[: len(whole) // 2], whole.replace("s-1", "s-2"), "{}", "[]", "\x00"):
         Path(path).write_text(torn)
         with pytest.raises(SnapshotError):
-            load(path)
+            load_lists(path)
--- a/tests/test_decision_faults.py
+++ b/tests/test_decision_faults.py
@@ -8,7 +8,7 @@
 
 from grebestack.core import api
 from grebestack.core.policy import Policy
-from tests.loop_dispatcher import Stage, play
+from tests.loop_dispatcher import InProcessDispatcher, run_with_dispatcher
 from tests.policy_driver import VIEW, Dispatcher, entry, sends
 
 
@@ -26,21 +26,21 @@
 
 def test_a_request_on_whose_arrival_the_decision_raises_is_rejected_at_once_and_the_next_is_served() -> None:
     # Guards against an answer of 500 to a request that stays queued and may be sent after it.
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         raising(
             stage.engine.policy, lambda event: isinstance(event, api.RequestArrived) and event.request == 1
         )
         caller, other, (peer,) = stage.client(), stage.client(), stage.peers
-        caller.order("a", "order")
-        await stage.until(lambda: caller.status)
-        assert caller.status == 503 and not peer.whole()
-        other.order("b", "order")
-        await stage.until(lambda: peer.whole())
+        caller.send_job("a", "order")
+        await stage.wait_until(lambda: caller.status)
+        assert caller.status == 503 and not peer.complete_requests()
+        other.send_job("b", "order")
+        await stage.wait_until(lambda: peer.complete_requests())
         stage.call_back("b", "s0", result="r")
-        await stage.until(lambda: other.status == 200)
-        assert stage.engine.counts["decision_faults"] == 1 and not stage.engine.sessions
+        await stage.wait_until(lambda: other.status == 200)
+        assert stage.engine.counts["decision_faults"] == 1 and not stage.engine.requests
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 @pytest.mark.parametrize("job_class", ["view", "order"])
@@ -48,22 +48,22 @@
     job_class: str,
 ) -> None:
     # Guards against a request that is never answered, since its end raises at its deadline too.
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", job_class, headers="X-Deadline-Ms: 300\r\n")
-        await stage.until(lambda: peer.whole())
+        caller.send_job("a", job_class, headers="X-Deadline-Ms: 300\r\n")
+        await stage.wait_until(lambda: peer.complete_requests())
         raising(stage.engine.policy, lambda event: True)
         session = stage.engine.open_by_call_id["a"]
-        stage.engine._overdue(session)
-        await stage.until(lambda: caller.status)
-        assert caller.status == 502 and not stage.engine.sessions
+        stage.engine._on_deadline(session)
+        await stage.wait_until(lambda: caller.status)
+        assert caller.status == 502 and not stage.engine.requests
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 def test_what_was_decided_before_the_fault_is_still_carried_out() -> None:
     # Guards against a request that the module counts as sent while no byte of it ever goes.
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         policy, caller, (peer,) = stage.engine.policy, stage.client(), stage.peers
         whole = policy.handlers[api.RequestArrived]
 
@@ -72,12 +72,12 @@
             raise ArithmeticError("after the decision")
 
         policy.handlers[api.RequestArrived] = handler
-        caller.order("a", "order")
-        await stage.until(lambda: peer.whole())
+        caller.send_job("a", "order")
+        await stage.wait_until(lambda: peer.complete_requests())
         stage.call_back("a", "s0", result="r")
-        await stage.until(lambda: caller.status == 200)
+        await stage.wait_until(lambda: caller.status == 200)
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 def test_the_queue_is_scanned_again_after_a_scan_that_raised(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -11,8 +11,8 @@
 import pytest
 
 from grebestack.core.api import Effect, Group, WorkerState
-from grebestack.protocol.settings import settings_of
-from grebestack.protocol.worker_list import ListReader
+from grebestack.protocol.settings import parse_settings
+from grebestack.protocol.worker_list import WorkerListReader
 
 SECOND: dict[str, Any] = {
     "accounts": [
@@ -116,11 +116,11 @@
 
 @pytest.mark.parametrize("name", sorted(READ))
 def test_each_setting_is_read_in_its_unit(name: str) -> None:
-    assert getattr(settings_of(SECOND), name) == READ[name]
+    assert getattr(parse_settings(SECOND), name) == READ[name]
 
 
 def test_each_field_of_a_class_and_of_a_tenant_is_read() -> None:
-    told = settings_of(SECOND)
+    told = parse_settings(SECOND)
     flip, read = told.classes
     assert (flip.name, flip.latency_objective_ms, flip.deadline_ms) == ("flip", 310.0, 4900.0)
     assert (flip.priority_weight, flip.late_priority_weight) == (11.0, 0.45)
@@ -142,12 +142,12 @@
 
 def test_a_stretch_that_a_class_names_itself_comes_before_the_list_of_all() -> None:
     one = SECOND | {"services": [SECOND["services"][0] | {"aimStretch": 0.5}]}
-    assert settings_of(one).classes[0].objective_stretch == 0.5
+    assert parse_settings(one).classes[0].objective_stretch == 0.5
 
 
 def test_each_field_of_a_list_entry_is_read() -> None:
     boot_ms = time.time() * 1000.0 - 8000.0
-    server = ListReader(SECOND).server(
+    server = WorkerListReader(SECOND).read_worker(
         {
             "uid": "s-1",
             "endpoint": "127.0.0.9:8123",
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from tests.dispatcher_group import Sent, late_sends, play
+from tests.dispatcher_group import Sent, late_sends, run_fault_scenario
 
 LATE_S = 0.15  # a machine that is later than this proves nothing: the play is repeated
 
@@ -14,13 +14,13 @@
         seed = 20 + number
         folder = tmp_path / str(number)
         folder.mkdir()
-        yard = play(folder, seed)
-        print(f"seed={seed} sends={len(yard.sends)} late_s={yard.late_s:.3f}")
-        assert len(yard.told) >= 9 and len(yard.sends) > 300
-        wrong = late_sends(yard.sends, yard.told, yard.late_s)
-        if yard.late_s <= LATE_S or not wrong:
+        yard = run_fault_scenario(folder, seed)
+        print(f"seed={seed} sends={len(yard.sends)} late_s={yard.max_delay_s:.3f}")
+        assert len(yard.reported_at) >= 9 and len(yard.sends) > 300
+        wrong = late_sends(yard.sends, yard.reported_at, yard.max_delay_s)
+        if yard.max_delay_s <= LATE_S or not wrong:
             assert not wrong, (seed, wrong[:5])
-            if yard.late_s <= LATE_S:
+            if yard.max_delay_s <= LATE_S:
                 return
     raise AssertionError(f"the machine was late by more than {LATE_S} s in all plays")
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -12,8 +12,8 @@
 from grebestack.core import api
 from grebestack.core.api import Outcome
 from grebestack.routing.engine import Engine
-from grebestack.routing.requests import Dispatch, Payload, Session, Stage
-from grebestack.routing.worker_table import Server, ServerTable
+from grebestack.routing.requests import Attempt, AttemptStage, Payload, Request
+from grebestack.routing.worker_table import WorkerEndpoint, WorkerTable
 from tests.policy_driver import BASE, BOOK, ORDER, VIEW, entry
 
 SETTINGS = replace(BASE, reports_attempt_start=False, retry_after=True, max_retry_after_ms=500.0)
@@ -43,7 +43,7 @@
         heapq.heappush(self.timers, (at_ms, self.count, timer))
         return timer
 
-    def go_on(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         until = self.now + ms
         while self.timers and self.timers[0][0] <= until:
             at, _, timer = heapq.heappop(self.timers)
@@ -59,26 +59,26 @@
     def __init__(self, model: Model) -> None:
         self.model, self.answers, self.left = model, list[str](), False
 
-    def sending(self, dispatch: Dispatch) -> bool:
+    def before_send(self, dispatch: Attempt) -> bool:
         return True
 
-    def ended(self, dispatch: Dispatch) -> None:
+    def on_attempt_ended(self, dispatch: Attempt) -> None:
         assert dispatch.outcome is not None
 
-    def served(self, session: Session, result: bytes) -> None:
+    def on_served(self, session: Request, result: bytes) -> None:
         self.answers.append("served")
 
-    def denied(self, session: Session, retry_after_ms: float | None) -> None:
+    def on_rejected(self, session: Request, retry_after_ms: float | None) -> None:
         assert retry_after_ms is not None and 0 < retry_after_ms <= 500.0
-        ran = [d for d in session.dispatches if d.stage is not Stage.WAITING]
-        assert session.asked.job_class != ORDER or all(d.outcome and d.outcome.never_ran for d in ran)
+        ran = [d for d in session.attempts if d.stage is not AttemptStage.UNSENT]
+        assert session.arrival.job_class != ORDER or all(d.outcome and d.outcome.never_ran for d in ran)
         self.answers.append("denied")
 
-    def failed(self, session: Session) -> None:
+    def on_failed(self, session: Request) -> None:
         self.answers.append("failed")
 
-    def cancelled(self, session: Session) -> None:
-        assert session.terminating
+    def on_cancelled(self, session: Request) -> None:
+        assert session.cancel_requested
         self.answers.append("cancelled")
 
 
@@ -90,28 +90,28 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.clock, self.table = Clock(), ServerTable()
+        self.clock, self.table = Clock(), WorkerTable()
         self.engine = Engine(SETTINGS, 7, self.clock, self.table)
-        self.engine.servers = self
-        self.sessions: list[tuple[Session, Client]] = []
-        self.waiting: list[Dispatch] = []
-        self.out: list[Dispatch] = []
-        self.asked: list[Dispatch] = []
+        self.engine.workers = self
+        self.requests: list[tuple[Request, Client]] = []
+        self.waiting: list[Attempt] = []
+        self.out: list[Attempt] = []
+        self.asked: list[Attempt] = []
         self.states = {f"w{n}": api.WorkerState.READY for n in range(3)}
         self.tell(api.ListKind.FULL)
 
     # The engine's servers.
 
-    def dispatch(self, dispatch: Dispatch) -> None:
-        assert not dispatch.session.closed
+    def send_attempt(self, dispatch: Attempt) -> None:
+        assert not dispatch.request.closed
         self.waiting.append(dispatch)
 
-    def give_up(self, dispatch: Dispatch) -> None:
+    def abandon_attempt(self, dispatch: Attempt) -> None:
         for kept in (self.waiting, self.out):
             if dispatch in kept:
                 kept.remove(dispatch)
 
-    def cancel(self, dispatch: Dispatch) -> None:
+    def cancel_attempt(self, dispatch: Attempt) -> None:
         self.asked.append(dispatch)
 
     def probe(self, server: str) -> None:
@@ -120,31 +120,36 @@
     # Steps.
 
     def tell(self, kind: api.ListKind) -> None:
-        lines = [Server(entry(n, state=s), ("127.0.0.1", 1)) for n, s in self.states.items()]
+        lines = [WorkerEndpoint(entry(n, state=s), ("127.0.0.1", 1)) for n, s in self.states.items()]
         self.table.update(kind, lines)
 
     @rule(job_class=st.sampled_from([VIEW, BOOK, ORDER]), budget=st.integers(-5, 3000))
     def open(self, job_class: int, budget: int) -> None:
         client = Client(self)
-        name = f"c{len(self.sessions)}"
-        session = self.engine.open(client, name, Payload(b"", b""), job_class, self.clock.now + budget)
+        name = f"c{len(self.requests)}"
+        session = self.engine.open_request(
+            client, name, Payload(b"", b""), job_class, self.clock.now + budget
+        )
         assert session is not None
-        assert session.closed or self.engine.open(client, name, Payload(b"", b""), job_class, 9e9) is None
-        self.sessions.append((session, client))
+        assert (
+            session.closed
+            or self.engine.open_request(client, name, Payload(b"", b""), job_class, 9e9) is None
+        )
+        self.requests.append((session, client))
 
     @precondition(lambda self: self.waiting)
     @rule(pick=st.integers(0, 99), up=st.booleans())
     def connected(self, pick: int, up: bool) -> None:
         dispatch = self.waiting.pop(pick % len(self.waiting))
-        if not up or not self.engine.may_send(dispatch):
-            self.engine.settle(dispatch, Outcome.CONNECT_FAILED)
+        if not up or not self.engine.confirm_send(dispatch):
+            self.engine.finish_attempt(dispatch, Outcome.CONNECT_FAILED)
             return
-        session = dispatch.session
-        assert self.states[dispatch.server] is api.WorkerState.READY and not session.closed
-        if session.asked.job_class == ORDER:
-            ran = [d for d in session.dispatches if d.stage is not Stage.WAITING]
+        session = dispatch.request
+        assert self.states[dispatch.worker] is api.WorkerState.READY and not session.closed
+        if session.arrival.job_class == ORDER:
+            ran = [d for d in session.attempts if d.stage is not AttemptStage.UNSENT]
             assert all(d.outcome and d.outcome.never_ran for d in ran), "an order ran twice"
-        dispatch.stage = Stage.WRITTEN
+        dispatch.stage = AttemptStage.WRITTEN
         self.out.append(dispatch)
 
     @precondition(lambda self: self.out)
@@ -154,8 +159,8 @@
     )
     def end(self, pick: int, outcome: Outcome) -> None:
         dispatch = self.out.pop(pick % len(self.out))
-        self.engine.settle(dispatch, outcome, result=b"r")
-        self.engine.settle(dispatch, Outcome.OK, result=b"repeated")
+        self.engine.finish_attempt(dispatch, outcome, result=b"r")
+        self.engine.finish_attempt(dispatch, Outcome.OK, result=b"repeated")
 
     @precondition(lambda self: self.asked)
     @rule()
@@ -163,17 +168,17 @@
         dispatch = self.asked.pop()
         if dispatch in self.out:
             self.out.remove(dispatch)
-        self.engine.cancelled(dispatch)
+        self.engine.on_attempt_cancelled(dispatch)
 
-    @precondition(lambda self: self.sessions)
+    @precondition(lambda self: self.requests)
     @rule(pick=st.integers(0, 99), wish=st.booleans())
     def client_leaves_or_terminates(self, pick: int, wish: bool) -> None:
-        session, client = self.sessions[pick % len(self.sessions)]
+        session, client = self.requests[pick % len(self.requests)]
         if wish:
-            self.engine.terminate(session)
+            self.engine.cancel_request(session)
             return
         client.left = client.left or not client.answers
-        self.engine.gone(session)
+        self.engine.on_client_disconnected(session)
 
     @rule(name=st.sampled_from(["w0", "w1", "w2"]), state=st.sampled_from(list(api.WorkerState)))
     def listed(self, name: str, state: api.WorkerState) -> None:
@@ -182,22 +187,22 @@
 
     @rule(ms=st.integers(1, 900))
     def time_goes_on(self, ms: int) -> None:
-        self.clock.go_on(float(ms))
+        self.clock.advance(float(ms))
 
     @invariant()
     def one_answer_by_the_deadline(self) -> None:
-        self.clock.go_on(0.0)
-        for session, client in self.sessions:
+        self.clock.advance(0.0)
+        for session, client in self.requests:
             answered = len(client.answers) + client.left
             assert answered <= 1
-            assert answered == 1 or self.clock.now < session.asked.deadline_ms
+            assert answered == 1 or self.clock.now < session.arrival.deadline_ms
             assert session.closed == bool(answered)
 
     def teardown(self) -> None:
         """Nothing is kept of what is over."""
-        self.clock.go_on(10_000.0)
+        self.clock.advance(10_000.0)
         self.one_answer_by_the_deadline()
-        assert not self.engine.open_by_call_id and not self.engine.sessions
+        assert not self.engine.open_by_call_id and not self.engine.requests
 
 
 TestEngine = Model.TestCase
@@ -212,9 +217,9 @@
 
 def test_a_long_turn_does_not_overtake_the_decision_module() -> None:
     # Guards against a session that is failed, though the module would have refused it in time.
-    clock, table = SlowTurns(), ServerTable()
+    clock, table = SlowTurns(), WorkerTable()
     engine = Engine(SETTINGS, 1, clock, table)
     client = Client(Model())
-    engine.open(client, "c", Payload(b"", b""), BOOK, clock.now + SETTINGS.tick_ms + 0.4)
-    clock.go_on(100.0)
+    engine.open_request(client, "c", Payload(b"", b""), BOOK, clock.now + SETTINGS.tick_ms + 0.4)
+    clock.advance(100.0)
     assert client.answers == ["denied"]
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -14,8 +14,8 @@
 from grebestack.consensus.log_format import read_log
 from grebestack.hot_restart.ban_file import decode_ban_file
 from grebestack.jobs.store import JobStore
-from grebestack.protocol.snapshot import load as load_snapshot
-from grebestack.routing.worker_table import Server
+from grebestack.protocol.snapshot import load_lists
+from grebestack.routing.worker_table import WorkerEndpoint
 from tests.golden_files import (
     BANS,
     BATCH,
@@ -96,10 +96,10 @@
 
 def test_a_golden_snapshot_of_servers_is_read(tmp_path: Path) -> None:
     write_golden(tmp_path, "snapshot")
-    lists = load_snapshot(str(tmp_path / "servers.json"))
+    lists = load_lists(str(tmp_path / "servers.json"))
     assert set(lists) == set(LISTS)
     ((server,), (expected,)) = lists["discovery"][1], LISTS["discovery"][1]
-    assert isinstance(server, Server)
+    assert isinstance(server, WorkerEndpoint)
     assert (server.address, server.reason) == (expected.address, expected.reason)
     assert lists["discovery"][0] == LISTS["discovery"][0]
 
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -11,7 +11,7 @@
 from grebestack.hot_restart.framing import Unpacker, pack
 from grebestack.program.hot_restart_adoption import request_from_wire
 from grebestack.program.hot_restart_state import worker_from_wire
-from grebestack.routing.worker_table import Server
+from grebestack.routing.worker_table import WorkerEndpoint
 from tests.golden_handover import REQUEST, handover_packets, keepsake, keepsake_taken
 from tests.golden_links import DISK_SEQUENCE, export_request, first_bytes, received
 from tests.golden_samples import BATCHES, CODECS, FEED, MEMBER, SERVER, encoded, load
@@ -91,5 +91,5 @@
     welcome, job = (Unpacker().feed(golden[name][0].encode()) for name in ("welcome", "job"))
     assert welcome is not None and job is not None
     listed = replace(SERVER.entry, put_back=False)
-    assert [worker_from_wire(raw) for raw in welcome["servers"]] == [Server(listed, SERVER.address)]
+    assert [worker_from_wire(raw) for raw in welcome["servers"]] == [WorkerEndpoint(listed, SERVER.address)]
     assert request_from_wire(job) == replace(REQUEST, keep_alive=True)
--- a/tests/test_hard_peers.py
+++ b/tests/test_hard_peers.py
@@ -90,9 +90,9 @@
         call_later=lambda seconds, call: SimpleNamespace(cancel=lambda: None),
         create_task=lambda task: task.close(),
     )
-    table = cast(Any, SimpleNamespace(heard=lambda: None, update=lambda kind, servers: None))
+    table = cast(Any, SimpleNamespace(on_unchanged=lambda: None, update=lambda kind, servers: None))
     watch = discovery.DiscoveryWatcher(
-        cast(asyncio.AbstractEventLoop, loop), ("h", 1), worker_list.ListReader({}), table
+        cast(asyncio.AbstractEventLoop, loop), ("h", 1), worker_list.WorkerListReader({}), table
     )
     watch.start()
     wire = Wire(watch.connections[1].stream)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -19,8 +19,8 @@
 from grebestack.jobs.service import JobService
 from grebestack.jobs.store import JobStore, StoreError
 from grebestack.routing.engine import Engine
-from grebestack.routing.requests import Dispatch, Stage
-from grebestack.routing.worker_table import Server, ServerTable
+from grebestack.routing.requests import Attempt, AttemptStage
+from grebestack.routing.worker_table import WorkerEndpoint, WorkerTable
 from tests.policy_driver import entry
 from tests.test_engine import SETTINGS, Clock
 
@@ -32,12 +32,12 @@
     """Sends as soon as it is asked to, if it may; holds dispatches back while `slow`."""
 
     def __init__(self, engine: Engine) -> None:
-        self.engine, self.sent, self.waiting = engine, list[Dispatch](), list[Dispatch]()
+        self.engine, self.sent, self.waiting = engine, list[Attempt](), list[Attempt]()
         self.slow = False
         self.adopted: dict[str, Callable[[Outcome, bytes], None] | None] = {}
         self.given_up: dict[str, Callable[[], None]] = {}  # told so, and not answered yet
 
-    def dispatch(self, dispatch: Dispatch) -> None:
+    def send_attempt(self, dispatch: Attempt) -> None:
         self.waiting.append(dispatch)
         if not self.slow:
             self.send()
@@ -45,28 +45,30 @@
     def send(self) -> None:
         while self.waiting:
             dispatch = self.waiting.pop(0)
-            if not self.engine.may_send(dispatch):
-                self.engine.settle(dispatch, Outcome.CONNECT_FAILED)
+            if not self.engine.confirm_send(dispatch):
+                self.engine.finish_attempt(dispatch, Outcome.CONNECT_FAILED)
                 continue
-            dispatch.stage = Stage.WRITTEN
+            dispatch.stage = AttemptStage.WRITTEN
             self.sent.append(dispatch)
 
-    def give_up(self, dispatch: Dispatch) -> None:
+    def abandon_attempt(self, dispatch: Attempt) -> None:
         pass
 
-    cancel = give_up
+    cancel_attempt = abandon_attempt
 
     def probe(self, server: str) -> None:
         pass
 
-    def adopt(self, call_id: str, server: str, ended: Callable[[Outcome, bytes], None] | None) -> None:
+    def set_callback_handler(
+        self, call_id: str, server: str, ended: Callable[[Outcome, bytes], None] | None
+    ) -> None:
         self.adopted[call_id] = ended
 
-    def cancel_at(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
+    def cancel_job(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
         pass
 
-    def give_up_at(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
-        if server not in self.engine.table.servers:
+    def abandon_job(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
+        if server not in self.engine.table.workers:
             return False
         self.given_up[call_id] = heard
         return True
@@ -105,9 +107,9 @@
         self.start()
 
     def start(self) -> None:
-        table = ServerTable()
+        table = WorkerTable()
         self.engine = Engine(self.settings, 1, self.clock, table)
-        self.servers = self.engine.servers = Servers(self.engine)
+        self.servers = self.engine.workers = Servers(self.engine)
         self.store = FailingStore(str(self.path / "jobs.sqlite"))
         self.templates = Templates(self.settings)
         limits = JobLimits(wanted=(10.0, 10.0, 10.0), most_open=10, most_waiting=20_000)
@@ -123,9 +125,9 @@
         self.ends: dict[str, Job] = {}
         self.service.ended = self._ended
         self.service.restore()
-        lines = [Server(entry(f"w{n}"), ("127.0.0.1", 1)) for n in range(self.count)]
+        lines = [WorkerEndpoint(entry(f"w{n}"), ("127.0.0.1", 1)) for n in range(self.count)]
         table.update(api.ListKind.FULL, lines)
-        self.clock.go_on(10.0)
+        self.clock.advance(10.0)
 
     def _ended(self, job: Job) -> None:
         assert job.id not in self.ends, "told twice"
@@ -157,7 +159,7 @@
         for _ in range(10_000):
             if came:
                 return came[0]
-            self.clock.go_on(0.01)
+            self.clock.advance(0.01)
         raise AssertionError("it is never answered")
 
     def state(self, job: str) -> JobState:
@@ -165,16 +167,16 @@
 
     def end(self, job: str, outcome: Outcome = Outcome.OK) -> None:
         """The newest dispatch of a job ends."""
-        dispatch = next(d for d in reversed(self.servers.sent) if d.session.call_id == job)
-        self.engine.settle(dispatch, outcome, result=b"done")
+        dispatch = next(d for d in reversed(self.servers.sent) if d.request.call_id == job)
+        self.engine.finish_attempt(dispatch, outcome, result=b"done")
 
     def drain(self, on: bool) -> None:
         for n in range(self.count):
-            self.engine.table.cordon(f"w{n}", on)
-        self.clock.go_on(10.0)
+            self.engine.table.set_cordoned(f"w{n}", on)
+        self.clock.advance(10.0)
 
     def sent_jobs(self) -> list[str]:
-        return [d.session.call_id for d in self.servers.sent]
+        return [d.request.call_id for d in self.servers.sent]
 
 
 @pytest.fixture
@@ -200,10 +202,10 @@
     job = setting.run("k", "book")
     setting.store.full = True
     setting.drain(False)
-    setting.clock.go_on(30.0)
+    setting.clock.advance(30.0)
     assert not setting.servers.sent
     setting.store.full = False
-    setting.clock.go_on(900.0)
+    setting.clock.advance(900.0)
     assert len(setting.servers.sent) == 1
     assert setting.state(job) is JobState.RUNNING
 
@@ -216,7 +218,7 @@
     assert setting.state(job) is JobState.RUNNING and not setting.ends
     assert setting.sent_jobs() == [job]  # what waits for it is not told either
     setting.store.full = False
-    setting.clock.go_on(2000.0)
+    setting.clock.advance(2000.0)
     found = setting.service.find(job)
     assert (found.state, found.result) == (JobState.DONE, b"done")
     assert setting.sent_jobs() == [job, follower]
@@ -230,7 +232,7 @@
     setting.service.terminate(setting.service.find(first))
     assert not setting.ends
     setting.store.full = False
-    setting.clock.go_on(2000.0)
+    setting.clock.advance(2000.0)
     assert set(setting.ends) == {first, *chain}
     assert f"job {first}" in setting.ends[chain[0]].annotation
 
@@ -239,7 +241,7 @@
     setting.drain(True)
     direct = setting.run("d")
     waits = setting.waiting("w")
-    setting.clock.go_on(3000.0)
+    setting.clock.advance(3000.0)
     assert setting.ends[direct].retry_after is not None
     assert setting.state(waits) is JobState.QUEUED
     assert "no server takes its class" in setting.service.why(waits)
@@ -247,7 +249,7 @@
     assert setting.sent_jobs() == [waits]
     setting.end(waits, Outcome.REJECTED)  # handed back: it never ran
     assert setting.state(waits) is JobState.REQUEUED
-    setting.clock.go_on(3000.0)
+    setting.clock.advance(3000.0)
     assert setting.sent_jobs()[1:] and setting.state(waits) is JobState.RUNNING
     setting.end(waits)
     assert setting.ends[waits].state is JobState.DONE
@@ -270,13 +272,13 @@
 def test_a_restart_restores_graph_hours_holds_ages_and_places(setting: Setting) -> None:
     setting.drain(True)
     old = setting.waiting("old")
-    setting.clock.go_on(4000.0)
+    setting.clock.advance(4000.0)
     young = setting.waiting("young")
     held = setting.waiting("held", submitAsHold=True)
     timed = setting.waiting("timed", startTime=NOON + 60.0)
     first = setting.waiting("first", special={"wantedTime": 1000.0})
     last = setting.waiting("last", first, {"job": old, "on": "ended"})
-    setting.clock.go_on(300.0)
+    setting.clock.advance(300.0)
     setting.crash()
     room = setting.service.room
     assert setting.sent_jobs()[0] == old
@@ -288,9 +290,9 @@
     for _ in range(6):
         for name in [n for n in setting.sent_jobs() if n not in setting.ends]:
             setting.end(name)
-        setting.clock.go_on(20_000.0)
+        setting.clock.advance(20_000.0)
     setting.service.release(setting.service.find(held))
-    setting.clock.go_on(100.0)
+    setting.clock.advance(100.0)
     setting.end(held)
     assert set(setting.ends) == {old, young, held, timed, first, last}
     assert len(setting.sent_jobs()) == len(set(setting.sent_jobs()))
@@ -348,12 +350,12 @@
     members = [name for name, _, _ in setting.store.batch_members(batch.id)]
     assert len(members) == 1000
     for n in range(5):
-        setting.clock.go_on(1.0)
+        setting.clock.advance(1.0)
         out = [d for d in setting.servers.sent if d.outcome is None]
-        assert len(out) <= 3 and len({d.session.call_id for d in out}) == len(out)
+        assert len(out) <= 3 and len({d.request.call_id for d in out}) == len(out)
         later = {setting.service.room.stage(name) for name in members[n + 3 :]}
         assert later <= {RoomStage.READY, RoomStage.RELEASED}
-        setting.end(out[0].session.call_id)
+        setting.end(out[0].request.call_id)
 
 
 def test_the_end_of_an_array_is_known_across_restarts_and_after_its_jobs_are_forgotten(
@@ -367,7 +369,7 @@
         for n, on in enumerate(("done", "failed"))
     ]
     for name in members:
-        setting.clock.go_on(900.0)
+        setting.clock.advance(900.0)
         ended = setting.servers.adopted.get(name)
         if ended is not None:  # it was out when the program crashed
             ended(Outcome.OK, b"")
@@ -381,7 +383,7 @@
     setting.crash()
     assert setting.store.batch("id", batch.id) is None
     setting.service.release(setting.service.find(after[1]))
-    setting.clock.go_on(100.0)
+    setting.clock.advance(100.0)
     assert setting.sent_jobs() == [after[1]]
 
 
@@ -397,14 +399,14 @@
 
 def test_an_hour_counts_by_the_wall_clock_as_it_is_set(setting: Setting) -> None:
     job = setting.waiting("k", startTime=NOON + 3600.0)
-    setting.clock.go_on(10_000.0)
+    setting.clock.advance(10_000.0)
     setting.step = -7200.0
-    setting.clock.go_on(3_700_000.0)
+    setting.clock.advance(3_700_000.0)
     assert not setting.servers.sent
     setting.step = 0.0
-    setting.clock.go_on(1100.0)
+    setting.clock.advance(1100.0)
     setting.step = -7200.0
-    setting.clock.go_on(2000.0)
+    setting.clock.advance(2000.0)
     assert setting.sent_jobs() == [job]
 
 
@@ -414,7 +416,7 @@
     setting.service.hold(setting.service.find(direct))
     assert setting.state(direct) is JobState.QUEUED_HELD
     setting.drain(False)
-    setting.clock.go_on(100.0)
+    setting.clock.advance(100.0)
     assert not setting.servers.sent
     setting.service.release(setting.service.find(direct))
     assert setting.sent_jobs() == [direct]
@@ -429,7 +431,7 @@
     late = setting.waiting("b", first, startTime=NOON + 60.0)
     setting.store.remove(first)
     setting.crash()
-    setting.clock.go_on(70_000.0)
+    setting.clock.advance(70_000.0)
     assert setting.sent_jobs() == [late]
 
 
--- a/tests/test_jobs_after_restart.py
+++ b/tests/test_jobs_after_restart.py
@@ -41,9 +41,9 @@
     job = setting.run("k", category)
     setting.crash()
     assert setting.state(job) is JobState.UNDETERMINED and not setting.servers.sent
-    setting.clock.go_on(200.0)
+    setting.clock.advance(200.0)
     setting.servers.given_up.pop(job)()
-    setting.clock.go_on(500.0)
+    setting.clock.advance(500.0)
     assert setting.sent_jobs() == [job] and setting.state(job) is JobState.RUNNING
     setting.end(job)
     assert setting.ends[job].result == b"done"
@@ -53,9 +53,9 @@
     # Guards against a second run of what must not run twice.
     job = setting.run("k", "order")
     setting.crash()
-    setting.clock.go_on(14_000.0)
+    setting.clock.advance(14_000.0)
     assert not setting.servers.given_up and not setting.servers.sent
-    setting.clock.go_on(5000.0)
+    setting.clock.advance(5000.0)
     assert "perhaps run" in setting.ends[job].annotation
 
 
@@ -65,13 +65,13 @@
     # Guards against a second copy beside one that still runs.
     job = setting.run("k", "book")
     setting.crash()
-    setting.clock.go_on(2000.0)
+    setting.clock.advance(2000.0)
     assert job in setting.servers.given_up and not setting.servers.sent
     ended = setting.servers.adopted[job]
     assert ended is not None
     ended(Outcome.OK, b"late")  # its first attempt is heard of after all
     setting.servers.given_up.pop(job)()
-    setting.clock.go_on(500.0)
+    setting.clock.advance(500.0)
     assert setting.ends[job].result == b"late" and not setting.servers.sent
 
 
@@ -79,9 +79,9 @@
     # Guards against a repeat that its server would take for another job.
     job = setting.run("k", "book")
     setting.crash()
-    setting.clock.go_on(WINDOW_MS)
+    setting.clock.advance(WINDOW_MS)
     setting.servers.given_up.pop(job)()
-    setting.clock.go_on(500.0)
+    setting.clock.advance(500.0)
     assert not setting.servers.sent and setting.state(job) is JobState.UNDETERMINED
 
 
@@ -91,10 +91,10 @@
     # Guards against "it has not run" about a job of which that is not known.
     job = setting.run("k", "book")
     setting.crash()
-    setting.clock.go_on(200.0)
+    setting.clock.advance(200.0)
     setting.drain(True)
     setting.servers.given_up.pop(job)()
-    setting.clock.go_on(WINDOW_MS + 200.0)
+    setting.clock.advance(WINDOW_MS + 200.0)
     assert not setting.servers.sent
     assert setting.ends[job].state is JobState.FAILED and "perhaps run" in setting.ends[job].annotation
 
@@ -103,16 +103,16 @@
     # Guards against a window that begins anew with each retry.
     job = setting.run("k", "book")
     setting.crash()
-    setting.clock.go_on(200.0)
+    setting.clock.advance(200.0)
     setting.servers.given_up.pop(job)()
-    setting.clock.go_on(500.0)
+    setting.clock.advance(500.0)
     assert setting.sent_jobs() == [job]
     setting.crash()
     earlier = setting.store.earlier_attempts()[job]
     assert earlier.count == 2
-    setting.clock.go_on(WINDOW_MS - 700.0)
+    setting.clock.advance(WINDOW_MS - 700.0)
     setting.servers.given_up.pop(job)()
-    setting.clock.go_on(500.0)
+    setting.clock.advance(500.0)
     assert not setting.servers.sent
 
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -10,9 +10,9 @@
 import pytest
 
 from grebestack.core.api import ListKind, WorkerState
-from grebestack.protocol.settings import name_odd_discovery, settings_of
-from grebestack.protocol.worker_list import ListReader, Objects
-from grebestack.routing.worker_table import ServerTable
+from grebestack.protocol.settings import parse_settings, warn_unknown_discovery
+from grebestack.protocol.worker_list import JsonObjectReader, WorkerListReader
+from grebestack.routing.worker_table import WorkerTable
 from grebestack.transport.client import LineStream
 
 
@@ -33,13 +33,13 @@
     sent = [listing(*map(entry, names)), listing(entry(names[3], "Terminating"), rev=2, whole=False)]
     lines = [json.dumps(one, indent=indent) + "\n" for one in sent]
     text = (lines[0] + "\n" + lines[1] + "\n").encode()
-    got, beats, objects = [], 0, Objects()
+    got, beats, objects = [], 0, JsonObjectReader()
 
     def line(data: bytes) -> None:
         nonlocal beats
-        if (raw := objects.line(data)) is not None:
+        if (raw := objects.feed_line(data)) is not None:
             got.append(raw)
-        elif not objects.parts:
+        elif not objects.pending_lines:
             beats += 1
 
     stream = LineStream(b"GET", line, lambda: None)
@@ -49,33 +49,33 @@
     for at in range(0, len(data), piece):
         stream.data_received(data[at : at + piece])
     assert got == sent and beats == 2
-    reader, table = ListReader({"models": ["m"], "zones": ["a"]}), ServerTable()
+    reader, table = WorkerListReader({"models": ["m"], "zones": ["a"]}), WorkerTable()
     for raw in got:
-        _, whole, servers = reader.message(raw)
+        _, whole, servers = reader.read_list(raw)
         table.update(ListKind.FULL if whole else ListKind.CHANGES, servers)
-    assert len(table.servers) == len(names) and sum(map(table.accepts, names)) == len(names) - 1
+    assert len(table.workers) == len(names) and sum(map(table.accepts_work, names)) == len(names) - 1
 
 
 def test_an_object_that_was_cut_or_is_none_is_told_at_the_next_line() -> None:
     good = json.dumps(listing(entry("s-1"))).encode()
     for cut, after in ((good[:-9], b""), (good[:-9], good), (b'{"rev": 1,', good), (b"{", b"\r")):
-        objects = Objects()
-        assert objects.line(cut) is None
+        objects = JsonObjectReader()
+        assert objects.feed_line(cut) is None
         with pytest.raises(ValueError):
-            objects.line(after)
-        assert objects.line(good) is not None, "what follows is read again"
+            objects.feed_line(after)
+        assert objects.feed_line(good) is not None, "what follows is read again"
     for bad in (b"x", b"[1]", b"7", b'{"a":1}}', b"null", b"[" * 100_000 + b"]" * 100_000):
         with pytest.raises(ValueError):
-            Objects().line(bad)
-    assert Objects().line(b"{}") == {}
+            JsonObjectReader().feed_line(bad)
+    assert JsonObjectReader().feed_line(b"{}") == {}
 
 
 def test_no_drain_is_lost_by_what_stands_beside_it(caplog: pytest.LogCaptureFixture) -> None:
-    reader, table = ListReader({"models": ["m"], "zones": ["a"]}), ServerTable()
+    reader, table = WorkerListReader({"models": ["m"], "zones": ["a"]}), WorkerTable()
 
     def tell(*targets: Any, whole: bool = False) -> None:
         kind = ListKind.FULL if whole else ListKind.CHANGES
-        table.update(kind, reader.message(listing(*targets, whole=whole))[2])
+        table.update(kind, reader.read_list(listing(*targets, whole=whole))[2])
 
     tell(*(entry(f"s-{n}") for n in range(9)), whole=True)
     odd: list[Any] = [None, 7, {}, []]
@@ -92,51 +92,51 @@
         ]
     ):
         tell(*odd, drain, *odd)
-        assert not table.accepts(f"s-{n}"), drain
+        assert not table.accepts_work(f"s-{n}"), drain
     tell(entry("s-7", "Terminating"), entry("s-7"), entry("s-8"), entry("s-8", "Gone"))
-    assert not table.accepts("s-7") and "s-8" not in table.servers and "s-1" not in table.servers
-    assert table.servers["s-0"].address == ("127.0.0.1", 9000), "what is out there is still reached"
+    assert not table.accepts_work("s-7") and "s-8" not in table.workers and "s-1" not in table.workers
+    assert table.workers["s-0"].address == ("127.0.0.1", 9000), "what is out there is still reached"
     named = [record.__dict__["kv"]["field"] for record in caplog.records]
     assert len(named) == len(set(named))
     assert {"state", "endpoint", "entry", "uid", "capacity_hint"} <= set(named)
     tell(entry("s-3"))
-    assert table.accepts("s-3")
+    assert table.accepts_work("s-3")
 
 
 def test_zones_that_the_settings_do_not_name_are_told_apart() -> None:
-    reader, other = ListReader({"zones": ["a", "b"]}), ListReader({"zones": ["a", "b"]})
-    zones = [reader.server(entry("s", az=az)).entry.zone for az in ("a", "b", "c", "d", "c", None, "")]
+    reader, other = WorkerListReader({"zones": ["a", "b"]}), WorkerListReader({"zones": ["a", "b"]})
+    zones = [reader.read_worker(entry("s", az=az)).entry.zone for az in ("a", "b", "c", "d", "c", None, "")]
     assert zones[:2] == [0, 1] and zones[2] == zones[4] and zones[5] == zones[6] == -1
     assert len(set(zones)) == 5  # a job that is bound to its zone may be repeated there alone
-    assert other.server(entry("s", az="d")).entry.zone == zones[3]
+    assert other.read_worker(entry("s", az="d")).entry.zone == zones[3]
 
 
 def test_a_persons_own_list_is_taken_strictly() -> None:
-    reader = ListReader({})
+    reader = WorkerListReader({})
     for bad, words in (
         (entry("a", "Asleep"), "state must be one of Ready, Terminating, Gone, not 'Asleep'"),
         (entry("a", "Terminating", "nowhere"), "'nowhere' is no HOST:PORT"),
     ):
         with pytest.raises(ValueError, match=words):
-            reader.server(bad, strict=True)
-    assert reader.server(entry("a"), strict=True).entry.state is WorkerState.READY
+            reader.read_worker(bad, strict=True)
+    assert reader.read_worker(entry("a"), strict=True).entry.state is WorkerState.READY
 
 
 def test_any_bytes_leave_the_reader_able_to_read_on() -> None:
     drawn, good = random.Random(3), json.dumps(listing(entry("s-1")), indent=1).encode().split(b"\n")
     for _ in range(300):
-        objects, reader = Objects(), ListReader({})
+        objects, reader = JsonObjectReader(), WorkerListReader({})
         for _ in range(30):
             line = bytearray(drawn.choice(good))
             if line and drawn.random() < 0.5:
                 line[drawn.randrange(len(line))] = drawn.randrange(256)
             try:
-                if (raw := objects.line(bytes(line))) is not None:
-                    reader.message(raw)
+                if (raw := objects.feed_line(bytes(line))) is not None:
+                    reader.read_list(raw)
             except ValueError:
-                objects = Objects()  # the watch is opened anew
-        objects = Objects()
-        assert [raw for raw in map(objects.line, good) if raw is not None] == [listing(entry("s-1"))]
+                objects = JsonObjectReader()  # the watch is opened anew
+        objects = JsonObjectReader()
+        assert [raw for raw in map(objects.feed_line, good) if raw is not None] == [listing(entry("s-1"))]
 
 
 def test_a_word_for_discovery_that_is_not_known_counts_as_pushed(caplog: pytest.LogCaptureFixture) -> None:
@@ -144,6 +144,6 @@
     caplog.set_level(logging.INFO)
     for word, asked in (("pushed", False), ("on_request", True), (None, False), ("push", False), (3, False)):
         options = {"services": services, "discovery": word}
-        assert settings_of(options).polls_endpoint_list is asked
-        name_odd_discovery(options)
+        assert parse_settings(options).polls_endpoint_list is asked
+        warn_unknown_discovery(options)
     assert [record.__dict__["kv"]["value"] for record in caplog.records] == [None, "push", 3]
--- a/tests/test_many_dispatchers.py
+++ b/tests/test_many_dispatchers.py
@@ -27,10 +27,10 @@
 from grebestack.program.log import KeyValueFormatter
 from grebestack.program.traffic_log import TrafficCounts
 from grebestack.protocol.discovery import DiscoveryWatcher
-from grebestack.protocol.settings import settings_of
-from grebestack.protocol.worker_list import ListReader
-from grebestack.routing.requests import Dispatch
-from grebestack.routing.worker_table import ServerTable
+from grebestack.protocol.settings import parse_settings
+from grebestack.protocol.worker_list import WorkerListReader
+from grebestack.routing.requests import Attempt
+from grebestack.routing.worker_table import WorkerTable
 
 CLASSES = (
     api.JobClass(
@@ -175,13 +175,15 @@
     day = Day(30, 150.0, 10.0, seed=9)
     used: dict[int, set[str]] = defaultdict(set)
     for engine in day.fleet.engines:
-        port = cast(Any, engine.servers)
+        port = cast(Any, engine.workers)
 
-        def dispatch(d: Dispatch, number: int = engine.settings.dispatcher, go: Any = port.dispatch) -> None:
-            used[number].add(d.server)
+        def dispatch(
+            d: Attempt, number: int = engine.settings.dispatcher, go: Any = port.send_attempt
+        ) -> None:
+            used[number].add(d.worker)
             go(d)
 
-        port.dispatch = dispatch
+        port.send_attempt = dispatch
     day.play(10.0)
     assert sum(map(len, used.values())) / DISPATCHERS <= 15
 
@@ -219,21 +221,24 @@
 
 
 def test_the_calls_of_a_watch_go_on_over_a_move() -> None:
-    loop, table = cast(asyncio.AbstractEventLoop, None), ServerTable()
-    watch = DiscoveryWatcher(loop, ("127.0.0.1", 1), ListReader({}), table)
-    watch.calls = 7  # the tally counts from the start of the program
-    assert DiscoveryWatcher(loop, ("127.0.0.1", 2), ListReader({}), table, replaces=watch).calls == 7
+    loop, table = cast(asyncio.AbstractEventLoop, None), WorkerTable()
+    watch = DiscoveryWatcher(loop, ("127.0.0.1", 1), WorkerListReader({}), table)
+    watch.request_count = 7  # the tally counts from the start of the program
+    assert (
+        DiscoveryWatcher(loop, ("127.0.0.1", 2), WorkerListReader({}), table, replaces=watch).request_count
+        == 7
+    )
     known = {"uid": "s-1", "endpoint": "127.0.0.1:9", "state": "Ready"}
     watch.load_cached_list({"rev": 1, "all": True, "targets": [known]})
-    assert not table.servers  # what its agent has counts as told: it is waited for
+    assert not table.workers  # what its agent has counts as told: it is waited for
     watch.use_cached_list()
-    assert table.servers and not table.known  # jobs are taken with it until a live one comes
+    assert table.workers and not table.has_live_list  # jobs are taken with it until a live one comes
 
 
 def test_odd_figures_of_the_list_and_the_settings_count_as_their_defaults(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    reader, table = ListReader({"models": ["c8"]}), ServerTable()
+    reader, table = WorkerListReader({"models": ["c8"]}), WorkerTable()
     engine = Fleet(SimClock(), SETTINGS, 1, Machines(SimClock(), 1, 0, 8, lambda d, r: 1.0), 1, 1).engines[0]
     table.on_change = engine.table.on_change
     engine.policy.estimates.on_slots_seen(0, 8.0)
@@ -242,7 +247,7 @@
         raw = {"uid": f"s-{n}", "endpoint": "127.0.0.1:9", "state": "Ready", "model": "c8"}
         for rev in (1, 2):  # a start that is to come must not count as a new one each time
             figures = {"capacity_hint": weight and float(weight), "boot_ms": boot and float(boot)}
-            table.update(api.ListKind.CHANGES, reader.message({"rev": rev, "targets": [raw | figures]})[2])
+            table.update(api.ListKind.CHANGES, reader.read_list({"rev": rev, "targets": [raw | figures]})[2])
             for _ in range(2):
                 engine.policy.handle(engine.clock.now_ms(), api.TimerFired(0))
     views = engine.policy.workers
@@ -251,7 +256,7 @@
     assert all(view.warm_at_ms <= engine.clock.now_ms() + SETTINGS.slow_start_ms for view in views.values())
     for dispatcher_count in (None, -3, 0, float("nan"), float("inf")):
         options = {"services": [{"name": "a", "aimMs": 1, "hardLimitMs": 2, "effect": "free"}]}
-        assert settings_of(options | {"siblings": dispatcher_count}).dispatcher_count == 1
+        assert parse_settings(options | {"siblings": dispatcher_count}).dispatcher_count == 1
     engine.policy.handle(engine.clock.now_ms(), api.RequestArrived(1, 0, engine.clock.now_ms() + 5000.0))
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,9 +6,9 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from grebestack.protocol.http_workers import Said
-from grebestack.protocol.platform import PlatformFront
-from grebestack.protocol.settings import settings_of
+from grebestack.protocol.http_workers import CallbackResult
+from grebestack.protocol.platform import PlatformApi
+from grebestack.protocol.settings import parse_settings
 from grebestack.routing.engine import Engine
 from grebestack.transport import server
 from tests.standins import OPTIONS
@@ -24,12 +24,12 @@
         self.taken: list[str] = []
         self.more: dict[str, dict[str, Any]] = {}  # by call id: the further figures of its session
 
-    def open(self, frontend: Any, call_id: str, *rest: Any, **more: Any) -> Any:
+    def open_request(self, frontend: Any, call_id: str, *rest: Any, **more: Any) -> Any:
         self.taken.append(call_id)
         self.more[call_id] = more
         return SimpleNamespace(closed=False)
 
-    def gone(self, session: Any) -> None:
+    def on_client_disconnected(self, session: Any) -> None:
         pass
 
 
@@ -42,7 +42,7 @@
 def taken(options: dict[str, Any], **headers: str) -> dict[str, Any]:
     """What one job with these headers is taken for."""
     engine = Taker()
-    front = PlatformFront(cast(Engine, engine), settings_of(options), lambda body: Said.TAKEN)
+    front = PlatformApi(cast(Engine, engine), parse_settings(options), lambda body: CallbackResult.ACCEPTED)
     ask(Wire(server.Acceptor(front, most=64)()), "a", **headers)
     return engine.more["a"]
 
@@ -67,7 +67,9 @@
 def test_two_callers_or_two_costs_are_refused_for_they_leave_open_which_one_counts() -> None:
     for name, one, other in (("X-Caller", "electric", "water"), ("X-Call-Cost", "1", "2000")):
         engine = Taker()
-        front = PlatformFront(cast(Engine, engine), settings_of(TENANTS), lambda body: Said.TAKEN)
+        front = PlatformApi(
+            cast(Engine, engine), parse_settings(TENANTS), lambda body: CallbackResult.ACCEPTED
+        )
         wire = Wire(server.Acceptor(front, most=64)())
         ask(wire, "a", **{name: f"{one}\r\n{name}: {other}"})
         assert b"400" in wire.written and not engine.taken
@@ -83,13 +85,13 @@
 def test_while_it_stops_some_of_its_clients_connections_stay_free() -> None:
     # Guards against a job that takes the last connection: clients can open no other one here any more.
     engine = Taker()
-    front = PlatformFront(cast(Engine, engine), settings_of(OPTIONS), lambda body: Said.TAKEN)
+    front = PlatformApi(cast(Engine, engine), parse_settings(OPTIONS), lambda body: CallbackResult.ACCEPTED)
     acceptor = server.Acceptor(front, most=64)
     wires = [Wire(acceptor()) for _ in range(24)]
     for n, wire in enumerate(wires):
         ask(wire, f"a{n}")
         cast(server.Connection, wire.protocol).answer(200)
-    front.leaving = True
+    front.stopping = True
     for n, wire in enumerate(wires):
         ask(wire, f"b{n}")
     assert len(engine.taken) == 24 + 20
@@ -99,8 +101,8 @@
 
 def test_a_lone_client_is_served_on_while_it_stops() -> None:
     engine = Taker()
-    front = PlatformFront(cast(Engine, engine), settings_of(OPTIONS), lambda body: Said.TAKEN)
+    front = PlatformApi(cast(Engine, engine), parse_settings(OPTIONS), lambda body: CallbackResult.ACCEPTED)
     wire = Wire(server.Acceptor(front, most=64)())
-    front.leaving = True
+    front.stopping = True
     ask(wire, "a")
     assert engine.taken == ["a"]
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -10,9 +10,9 @@
 
 from grebestack.core import api
 from grebestack.core.api import Outcome
-from grebestack.routing.requests import Stage as Progress
+from grebestack.routing.requests import AttemptStage
 from grebestack.transport import client as transport
-from tests.loop_dispatcher import SOON_S, Client, Peer, Stage, play
+from tests.loop_dispatcher import WAIT_TIMEOUT_S, Client, InProcessDispatcher, Peer, run_with_dispatcher
 
 TCP_CLOSED = 7  # as the system numbers the states of a connection
 TAKEN = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
@@ -29,22 +29,22 @@
 ) -> None:
     """Where the settings forbid to give up, the job was sent as soon as the connection was up."""
 
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         stage.pools.gate.clear()
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", job_class)
-        await stage.until(lambda: stage.engine.counts["dispatches"] == 1)
-        caller.leave()
-        await stage.until(lambda: stage.engine.counts["gone"] == 1)
+        caller.send_job("a", job_class)
+        await stage.wait_until(lambda: stage.engine.counts["dispatches"] == 1)
+        caller.close()
+        await stage.wait_until(lambda: stage.engine.counts["gone"] == 1)
         stage.pools.gate.set()
         other = stage.client()  # a job behind it shows that the connection has come up
-        other.order("b", "view")
-        await stage.until(lambda: any(b"X-Call-Id: b" in data for data in peer.whole()))
-        await stage.turns()
-        peer.look()
-        assert not any(b"X-Call-Id: a" in data for data in peer.got.values())
+        other.send_job("b", "view")
+        await stage.wait_until(lambda: any(b"X-Call-Id: b" in data for data in peer.complete_requests()))
+        await stage.run_loop()
+        peer.read_available()
+        assert not any(b"X-Call-Id: a" in data for data in peer.received.values())
 
-    play(test, cancel=cancel)
+    run_with_dispatcher(test, cancel=cancel)
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -54,51 +54,51 @@
 ) -> None:
     monkeypatch.setattr(transport, "HOLD_S", 0.2)  # its last byte is held for 0.3 s
 
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", "order", body=b"last byte: !")
-        await stage.until(lambda: any(b"last byte: " in data for data in peer.whole()))
-        caller.leave()
-        await stage.until(lambda: stage.engine.counts["gone"] == 1)
-        await stage.until(lambda: peer.whole() and peer.over)
-        assert not any(b"!" in data for data in peer.got.values())
+        caller.send_job("a", "order", body=b"last byte: !")
+        await stage.wait_until(lambda: any(b"last byte: " in data for data in peer.complete_requests()))
+        caller.close()
+        await stage.wait_until(lambda: stage.engine.counts["gone"] == 1)
+        await stage.wait_until(lambda: peer.complete_requests() and peer.ended)
+        assert not any(b"!" in data for data in peer.received.values())
 
-    play(test, cancel=cancel)
+    run_with_dispatcher(test, cancel=cancel)
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_no_retry_follows_a_client_that_left_in_the_turn_in_which_its_attempt_broke(cancel: bool) -> None:
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, peers = stage.client(), stage.peers
-        caller.order("a", "book")
-        await stage.until(lambda: any(peer.whole() for peer in peers))
-        first = next(peer for peer in peers if peer.got)
+        caller.send_job("a", "book")
+        await stage.wait_until(lambda: any(peer.complete_requests() for peer in peers))
+        first = next(peer for peer in peers if peer.received)
         first.reset(0)
-        caller.leave()
-        await stage.until(lambda: stage.engine.counts["gone"] == 1)
-        await stage.turns()
-        sends = [data for peer in peers for data in peer.whole() if data.startswith(b"POST")]
+        caller.close()
+        await stage.wait_until(lambda: stage.engine.counts["gone"] == 1)
+        await stage.run_loop()
+        sends = [data for peer in peers for data in peer.complete_requests() if data.startswith(b"POST")]
         assert len(sends) + (stage.engine.counts["dispatches"] - 1) <= 2
         later = stage.engine.counts["dispatches"]
         await asyncio.sleep(0.15)
-        assert stage.engine.counts["dispatches"] == later and not stage.engine.sessions
+        assert stage.engine.counts["dispatches"] == later and not stage.engine.requests
 
-    play(test, servers=2, cancel=cancel)
+    run_with_dispatcher(test, worker_count=2, cancel=cancel)
 
 
 def test_a_job_that_is_cancelled_while_its_connection_comes_up_is_not_sent() -> None:
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         stage.pools.gate.clear()
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", "order")
-        await stage.until(lambda: stage.engine.counts["dispatches"] == 1)
-        stage.engine.terminate(stage.engine.open_by_call_id["a"])
+        caller.send_job("a", "order")
+        await stage.wait_until(lambda: stage.engine.counts["dispatches"] == 1)
+        stage.engine.cancel_request(stage.engine.open_by_call_id["a"])
         stage.pools.gate.set()
-        await stage.until(lambda: caller.status)
-        await stage.turns()
-        assert caller.status == 502 and not peer.whole()
+        await stage.wait_until(lambda: caller.status)
+        await stage.run_loop()
+        assert caller.status == 502 and not peer.complete_requests()
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 # Orders and keys.
@@ -107,20 +107,20 @@
 def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent() -> None:
     """The window was looked at when the repeat was decided on, and its connection came up later."""
 
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, peers = stage.client(), stage.peers
-        caller.order("a", "book")
-        await stage.until(lambda: any(peer.whole() for peer in peers))
+        caller.send_job("a", "book")
+        await stage.wait_until(lambda: any(peer.complete_requests() for peer in peers))
         stage.pools.gate.clear()
-        next(peer for peer in peers if peer.got).reset(0)
-        await stage.until(lambda: stage.engine.counts["dispatches"] == 2)
+        next(peer for peer in peers if peer.received).reset(0)
+        await stage.wait_until(lambda: stage.engine.counts["dispatches"] == 2)
         await asyncio.sleep(0.35)  # the window is over
         stage.pools.gate.set()
-        await stage.until(lambda: caller.status)
-        assert sum(len(peer.whole()) for peer in peers) == 1
+        await stage.wait_until(lambda: caller.status)
+        assert sum(len(peer.complete_requests()) for peer in peers) == 1
         assert caller.status in (502, 503)
 
-    play(test, servers=2, retry_window_ms=300.0)
+    run_with_dispatcher(test, worker_count=2, retry_window_ms=300.0)
 
 
 class IdleConnection(NamedTuple):
@@ -133,13 +133,13 @@
     transport: asyncio.Transport
 
 
-async def idle_connection(stage: Stage) -> IdleConnection:
+async def idle_connection(stage: InProcessDispatcher) -> IdleConnection:
     warm, caller, (peer, other) = stage.client(), stage.client(), stage.peers
-    stage.listed(["Ready", "Terminating"])
-    warm.order("warm")
-    await stage.until(lambda: peer.whole())
-    peer.say(0, TAKEN)
-    await stage.until(lambda: any(pool.idle for pool in stage.pools.pools.values()))
+    stage.set_worker_states(["Ready", "Terminating"])
+    warm.send_job("warm")
+    await stage.wait_until(lambda: peer.complete_requests())
+    peer.send(0, TAKEN)
+    await stage.wait_until(lambda: any(pool.idle for pool in stage.pools.pools.values()))
     stage.call_back("warm", "s0", result="r")
     await asyncio.sleep(2 * transport.REST_S)
     ((kept,),) = [pool.idle for pool in stage.pools.pools.values() if pool.idle]
@@ -153,81 +153,81 @@
     return bool(info[0] == TCP_CLOSED)
 
 
-async def assert_runs_at_the_other_server(stage: Stage, idle: IdleConnection) -> None:
+async def assert_runs_at_the_other_server(stage: InProcessDispatcher, idle: IdleConnection) -> None:
     """The order is known not to have run at the first server, and runs once."""
-    await stage.until(lambda: stage.engine.counts["connect_failed"] == 1)
-    stage.listed(["Ready", "Ready"])
-    await stage.until(lambda: idle.other.whole())
+    await stage.wait_until(lambda: stage.engine.counts["connect_failed"] == 1)
+    stage.set_worker_states(["Ready", "Ready"])
+    await stage.wait_until(lambda: idle.other.complete_requests())
     stage.call_back("a", "s1", result="r")
-    await stage.until(lambda: idle.caller.status == 200)
-    assert len(idle.peer.whole()) == 1 and stage.engine.counts["dispatches"] == 3
-    assert len(idle.other.whole()) == 1
+    await stage.wait_until(lambda: idle.caller.status == 200)
+    assert len(idle.peer.complete_requests()) == 1 and stage.engine.counts["dispatches"] == 3
+    assert len(idle.other.complete_requests()) == 1
 
 
 def test_an_order_written_to_an_idle_connection_that_its_server_has_reset_runs_once() -> None:
     # Guards against an order counted as perhaps run: the reset lies unread while the order is written.
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         idle = await idle_connection(stage)
         idle.transport.pause_reading()
         idle.peer.reset(0)
-        await stage.until(lambda: is_reset(idle.transport))
-        idle.caller.order("a", "order")
+        await stage.wait_until(lambda: is_reset(idle.transport))
+        idle.caller.send_job("a", "order")
         await assert_runs_at_the_other_server(stage, idle)
 
-    play(test, servers=2)
+    run_with_dispatcher(test, worker_count=2)
 
 
 def test_an_order_whose_idle_connection_is_reset_before_its_last_byte_runs_once() -> None:
     # Guards against an order counted as perhaps run: the reset comes while the last byte is held back.
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         idle = await idle_connection(stage)
         (pool,) = [pool for pool in stage.pools.pools.values() if pool.idle]
-        pool.round_trip_s = 2 * SOON_S  # the last byte waits for longer than this test
-        idle.caller.order("a", "order")
-        await stage.until(lambda: any(b"X-Call-Id: a" in data for data in idle.peer.whole()))
+        pool.round_trip_s = 2 * WAIT_TIMEOUT_S  # the last byte waits for longer than this test
+        idle.caller.send_job("a", "order")
+        await stage.wait_until(lambda: any(b"X-Call-Id: a" in data for data in idle.peer.complete_requests()))
         idle.peer.reset(0)
         pool.round_trip_s = transport.HOLD_S
         await assert_runs_at_the_other_server(stage, idle)
 
-    play(test, servers=2)
+    run_with_dispatcher(test, worker_count=2)
 
 
 def test_an_order_that_comes_after_its_idle_connection_was_seen_reset_runs_once_on_a_new_one() -> None:
     # Guards against an order that is lost with a connection which is known to have ended.
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         idle = await idle_connection(stage)
         idle.peer.reset(0)
-        await stage.until(lambda: not any(pool.all for pool in stage.pools.pools.values()))
-        idle.caller.order("a", "order")
-        await stage.until(lambda: any(b"X-Call-Id: a" in data for data in idle.peer.whole()))
-        stage.listed(["Ready", "Ready"])
-        await stage.until(lambda: idle.peer.whole()[-1].endswith(b"body"))
-        idle.peer.say(1, TAKEN)
+        await stage.wait_until(lambda: not any(pool.all for pool in stage.pools.pools.values()))
+        idle.caller.send_job("a", "order")
+        await stage.wait_until(lambda: any(b"X-Call-Id: a" in data for data in idle.peer.complete_requests()))
+        stage.set_worker_states(["Ready", "Ready"])
+        await stage.wait_until(lambda: idle.peer.complete_requests()[-1].endswith(b"body"))
+        idle.peer.send(1, TAKEN)
         stage.call_back("a", "s0", result="r")
-        await stage.until(lambda: idle.caller.status == 200)
-        await stage.turns()
-        assert len(idle.peer.whole()) == 2 and not idle.other.whole()
+        await stage.wait_until(lambda: idle.caller.status == 200)
+        await stage.run_loop()
+        assert len(idle.peer.complete_requests()) == 2 and not idle.other.complete_requests()
         assert stage.engine.counts["connect_failed"] == 0 and stage.engine.counts["dispatches"] == 2
 
-    play(test, servers=2)
+    run_with_dispatcher(test, worker_count=2)
 
 
 def test_a_server_whose_202_crosses_the_give_up_is_told_as_well_and_gets_no_other_copy_meanwhile() -> None:
     """The end of a connection is a give-up before the 202 alone: the job ran on beside its repeat."""
 
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", "book")
-        await stage.until(lambda: peer.whole())
-        (dispatch,) = stage.engine.open_by_call_id["a"].dispatches
-        peer.say(0, TAKEN)  # it lies unread while the dispatcher gives up
-        stage.engine._cancel(dispatch.session, api.Cancel(dispatch.session.number, 0))
-        await stage.until(lambda: any(b"DELETE /jobs/a " in data for data in peer.whole()))
-        await stage.turns()
-        sends = [data for data in peer.whole() if data.startswith(b"POST")]
+        caller.send_job("a", "book")
+        await stage.wait_until(lambda: peer.complete_requests())
+        (dispatch,) = stage.engine.open_by_call_id["a"].attempts
+        peer.send(0, TAKEN)  # it lies unread while the dispatcher gives up
+        stage.engine._cancel_attempt(dispatch.request, api.Cancel(dispatch.request.number, 0))
+        await stage.wait_until(lambda: any(b"DELETE /jobs/a " in data for data in peer.complete_requests()))
+        await stage.run_loop()
+        sends = [data for data in peer.complete_requests() if data.startswith(b"POST")]
         assert len(sends) == 1, "a copy beside a give-up that is not answered"
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 @pytest.mark.parametrize(
@@ -240,96 +240,106 @@
 def test_a_job_that_is_called_back_goes_elsewhere_once_its_server_has_given_it_up(said: bytes) -> None:
     """Where copies are forbidden: never before, and not at all if the server says no."""
 
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, peers = stage.client(), stage.peers
-        caller.order("a", "view")
-        await stage.until(lambda: any(peer.whole() for peer in peers))
-        first = 0 if peers[0].got else 1
-        peers[first].say(0, TAKEN)
-        await stage.until(lambda: stage.engine.open_by_call_id["a"].out()[0].stage is Progress.ACCEPTED)
+        caller.send_job("a", "view")
+        await stage.wait_until(lambda: any(peer.complete_requests() for peer in peers))
+        first = 0 if peers[0].received else 1
+        peers[first].send(0, TAKEN)
+        await stage.wait_until(
+            lambda: stage.engine.open_by_call_id["a"].open_attempts()[0].stage is AttemptStage.ACCEPTED
+        )
         number = stage.engine.open_by_call_id["a"].number
-        stage.engine._carry_out(api.Cancel(number, 0, at_once=False))
-        await stage.until(lambda: any(b"DELETE /jobs/a " in data for data in peers[first].whole()))
-        await stage.turns()
-        assert not peers[1 - first].whole() and stage.engine.counts["dispatches"] == 1
-        on = next(n for n, data in peers[first].got.items() if b"DELETE" in data)
-        peers[first].say(on, said)
+        stage.engine._execute(api.Cancel(number, 0, at_once=False))
+        await stage.wait_until(
+            lambda: any(b"DELETE /jobs/a " in data for data in peers[first].complete_requests())
+        )
+        await stage.run_loop()
+        assert not peers[1 - first].complete_requests() and stage.engine.counts["dispatches"] == 1
+        on = next(n for n, data in peers[first].received.items() if b"DELETE" in data)
+        peers[first].send(on, said)
         if b"204" in said:
-            await stage.until(lambda: peers[1 - first].whole())
+            await stage.wait_until(lambda: peers[1 - first].complete_requests())
             stage.call_back("a", f"s{first}", result="of the one that gave it up")
             stage.call_back("a", f"s{1 - first}", result="r")
         else:
-            await stage.turns()
-            assert not peers[1 - first].whole()
+            await stage.run_loop()
+            assert not peers[1 - first].complete_requests()
             stage.call_back("a", f"s{first}", result="r")
-        await stage.until(lambda: caller.status == 200)
-        assert caller.heard.endswith(b"\r\n\r\nr")
+        await stage.wait_until(lambda: caller.status == 200)
+        assert caller.received.endswith(b"\r\n\r\nr")
 
-    play(test, servers=2, reports_attempt_start=True)
+    run_with_dispatcher(test, worker_count=2, reports_attempt_start=True)
 
 
 # A server's answers and call-backs.
 
 
 def test_a_call_back_before_the_202_repeated_and_from_the_wrong_server_settles_once() -> None:
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, (peer, _) = stage.client(), stage.peers
-        stage.listed(["Ready", "Terminating"])
-        caller.order("a", "order")
-        await stage.until(lambda: peer.whole())
+        stage.set_worker_states(["Ready", "Terminating"])
+        caller.send_job("a", "order")
+        await stage.wait_until(lambda: peer.complete_requests())
         stage.call_back("a", "s1", result="wrong")
-        await stage.until(lambda: stage.engine.open_by_call_id["a"].out()[0].stage is Progress.WRITTEN)
+        await stage.wait_until(
+            lambda: stage.engine.open_by_call_id["a"].open_attempts()[0].stage is AttemptStage.WRITTEN
+        )
         stage.call_back("a", "s0", result="right")
         stage.call_back("a", "s0", "failed")
-        peer.say(0, TAKEN)
-        await stage.until(lambda: caller.status)
+        peer.send(0, TAKEN)
+        await stage.wait_until(lambda: caller.status)
         stage.call_back("a", "s0", "lost")
-        await stage.turns()
-        assert caller.look().count(b"HTTP/1.1") == 1 and caller.heard.endswith(b"right")
+        await stage.run_loop()
+        assert caller.read_available().count(b"HTTP/1.1") == 1 and caller.received.endswith(b"right")
 
-    play(test, servers=2)
+    run_with_dispatcher(test, worker_count=2)
 
 
 def test_a_reset_after_the_202_ends_nothing() -> None:
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", "order")
-        await stage.until(lambda: peer.whole())
-        await stage.until(lambda: stage.engine.open_by_call_id["a"].out()[0].stage is Progress.WRITTEN)
-        peer.say(0, TAKEN)
-        await stage.until(lambda: stage.engine.open_by_call_id["a"].out()[0].stage is Progress.ACCEPTED)
+        caller.send_job("a", "order")
+        await stage.wait_until(lambda: peer.complete_requests())
+        await stage.wait_until(
+            lambda: stage.engine.open_by_call_id["a"].open_attempts()[0].stage is AttemptStage.WRITTEN
+        )
+        peer.send(0, TAKEN)
+        await stage.wait_until(
+            lambda: stage.engine.open_by_call_id["a"].open_attempts()[0].stage is AttemptStage.ACCEPTED
+        )
         peer.reset(0)
-        await stage.until(lambda: not any(pool.all for pool in stage.pools.pools.values()))
+        await stage.wait_until(lambda: not any(pool.all for pool in stage.pools.pools.values()))
         stage.call_back("a", "s0", result="r")
-        await stage.until(lambda: caller.status == 200)
+        await stage.wait_until(lambda: caller.status == 200)
         assert stage.engine.counts["dispatches"] == 1
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 def test_a_202_to_half_an_order_is_no_word_about_it(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is left of an answer before: the order counted as taken and was waited for until its deadline."""
     monkeypatch.setattr(transport, "HOLD_S", 0.2)
 
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, peers = stage.client(), stage.peers
-        caller.order("a", "order", body=b"last byte: !")
-        await stage.until(lambda: any(peer.whole() for peer in peers))
-        first = 0 if peers[0].got else 1
-        await stage.until(lambda: peers[first].whole()[0].endswith(b"last byte: "))
-        peers[first].say(0, TAKEN)
-        await stage.until(lambda: any(b"!" in data for data in peers[1 - first].whole()))
-        assert b"!" not in peers[first].got[0] and stage.engine.counts["dispatches"] == 2
+        caller.send_job("a", "order", body=b"last byte: !")
+        await stage.wait_until(lambda: any(peer.complete_requests() for peer in peers))
+        first = 0 if peers[0].received else 1
+        await stage.wait_until(lambda: peers[first].complete_requests()[0].endswith(b"last byte: "))
+        peers[first].send(0, TAKEN)
+        await stage.wait_until(lambda: any(b"!" in data for data in peers[1 - first].complete_requests()))
+        assert b"!" not in peers[first].received[0] and stage.engine.counts["dispatches"] == 2
         stage.call_back("a", f"s{1 - first}", result="r")
-        await stage.until(lambda: caller.status == 200)
+        await stage.wait_until(lambda: caller.status == 200)
 
-    play(test, servers=2)
+    run_with_dispatcher(test, worker_count=2)
 
 
 def test_a_connection_that_comes_up_in_the_turn_in_which_its_time_ends_keeps_its_request() -> None:
     """The loop closes what it opens for a task that is cancelled, though a request has gone on it."""
 
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         loop, opened = stage.loop, stage.loop.create_connection
 
         async def slow(*arguments: Any, **more: Any) -> Any:
@@ -344,15 +354,15 @@
         stage.pools.loop = cast(Any, _Loop(loop, slow))
         stage.pools.connect_timeout_s = 0.1
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", "book")
-        await stage.until(lambda: peer.whole())
+        caller.send_job("a", "book")
+        await stage.wait_until(lambda: peer.complete_requests())
         await asyncio.sleep(0.3)
-        peer.look()
-        assert not peer.over and stage.engine.counts["reset"] == 0
+        peer.read_available()
+        assert not peer.ended and stage.engine.counts["reset"] == 0
         stage.call_back("a", "s0", result="r")
-        await stage.until(lambda: caller.status == 200)
+        await stage.wait_until(lambda: caller.status == 200)
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 class _Loop:
@@ -366,19 +376,19 @@
 
 
 def test_a_drain_told_while_a_connection_comes_up_keeps_the_job_back() -> None:
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         stage.pools.gate.clear()
         caller = stage.client()
-        caller.order("a", "book")
-        await stage.until(lambda: stage.engine.counts["dispatches"] == 1)
-        first = int(stage.engine.open_by_call_id["a"].dispatches[0].server[1:])
-        stage.listed("Terminating" if n == first else "Ready" for n in range(2))
+        caller.send_job("a", "book")
+        await stage.wait_until(lambda: stage.engine.counts["dispatches"] == 1)
+        first = int(stage.engine.open_by_call_id["a"].attempts[0].worker[1:])
+        stage.set_worker_states("Terminating" if n == first else "Ready" for n in range(2))
         stage.pools.gate.set()
         other = stage.peers[1 - first]
-        await stage.until(lambda: other.whole())
-        assert not stage.peers[first].whole()
+        await stage.wait_until(lambda: other.complete_requests())
+        assert not stage.peers[first].complete_requests()
 
-    play(test, servers=2)
+    run_with_dispatcher(test, worker_count=2)
 
 
 # Our closes.
@@ -387,83 +397,83 @@
 def test_a_client_reads_why_it_is_refused_though_the_rest_of_its_request_lies_unread() -> None:
     """A close over unread bytes resets the connection, and the answer goes with it."""
 
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller = stage.client()
         caller.send(b"POST /api HTTP/1.1\r\n")
         connection = await accepted(stage)
-        await stage.until(lambda: connection.partial)
+        await stage.wait_until(lambda: connection.partial)
         caller.send(b"x" * 60_000)  # lies in the kernel while the head comes to its end:
         connection.data_received(b"Content-Length: 200000\r\n\r\n")
-        await stage.until(lambda: caller.status == 413)
-        await stage.until(lambda: caller.look() and caller.ended)
-        assert caller.ended == "closed"
+        await stage.wait_until(lambda: caller.status == 413)
+        await stage.wait_until(lambda: caller.read_available() and caller.close_reason)
+        assert caller.close_reason == "closed"
 
-    play(test)
+    run_with_dispatcher(test)
 
 
-async def accepted(stage: Stage) -> Any:
-    await stage.until(lambda: stage.acceptor.connections)
+async def accepted(stage: InProcessDispatcher) -> Any:
+    await stage.wait_until(lambda: stage.acceptor.connections)
     (connection,) = stage.acceptor.connections
     return connection
 
 
 def test_bytes_that_lie_unread_behind_the_last_request_do_not_take_its_answer_along() -> None:
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", "view", "Connection: close\r\n")
-        await stage.until(lambda: peer.whole())
+        caller.send_job("a", "view", "Connection: close\r\n")
+        await stage.wait_until(lambda: peer.complete_requests())
         caller.send(b"POST /api HTTP/1.1\r\n")  # lies in the kernel while the answer goes:
         stage.call_back("a", "s0", result="r" * 30_000)
-        await stage.turns()
+        await stage.run_loop()
         assert caller.status == 200
-        await stage.until(lambda: caller.look() and caller.ended)
-        assert caller.ended == "closed" and caller.heard.endswith(b"r" * 30_000)
-        caller.leave()
-        await stage.until(lambda: not stage.acceptor.connections)
+        await stage.wait_until(lambda: caller.read_available() and caller.close_reason)
+        assert caller.close_reason == "closed" and caller.received.endswith(b"r" * 30_000)
+        caller.close()
+        await stage.wait_until(lambda: not stage.acceptor.connections)
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 def test_a_request_that_lies_unread_as_its_idle_connection_is_closed_is_not_read_any_more() -> None:
     """Its client is met by a reset and may send it once more; nothing of it is handed on."""
 
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a")
-        await stage.until(lambda: peer.whole())
+        caller.send_job("a")
+        await stage.wait_until(lambda: peer.complete_requests())
         stage.call_back("a", "s0", result="r")
-        await stage.until(lambda: caller.status == 200)
+        await stage.wait_until(lambda: caller.status == 200)
         connection = await accepted(stage)
-        await stage.until(lambda: connection in stage.acceptor.idle)
-        caller.order("b")
+        await stage.wait_until(lambda: connection in stage.acceptor.idle)
+        caller.send_job("b")
         connection.close()
-        await stage.until(lambda: caller.look() and caller.ended)
-        assert caller.ended == "reset" and stage.engine.counts["sessions"] == 1
+        await stage.wait_until(lambda: caller.read_available() and caller.close_reason)
+        assert caller.close_reason == "reset" and stage.engine.counts["sessions"] == 1
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 def test_a_client_with_half_a_request_is_told_why_when_others_push_it_out() -> None:
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller = stage.client()
         caller.send(b"POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf")
         connection = await accepted(stage)
-        await stage.until(lambda: connection.partial)
+        await stage.wait_until(lambda: connection.partial)
         stage.acceptor.resize(1)
         stage.client()
-        await stage.until(lambda: caller.status)
+        await stage.wait_until(lambda: caller.status)
         assert caller.status == 503
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 def test_a_client_that_sends_without_end_behind_its_last_answer_is_cut_off() -> None:
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", "view", "Connection: close\r\n")
-        await stage.until(lambda: peer.whole())
+        caller.send_job("a", "view", "Connection: close\r\n")
+        await stage.wait_until(lambda: peer.complete_requests())
         stage.call_back("a", "s0", result="r")
-        await stage.until(lambda: caller.status == 200)
+        await stage.wait_until(lambda: caller.status == 200)
 
         def flood() -> bool:
             try:
@@ -474,10 +484,10 @@
                 return True
             return False
 
-        await stage.until(flood)
-        await stage.until(lambda: not stage.acceptor.connections)
+        await stage.wait_until(flood)
+        await stage.wait_until(lambda: not stage.acceptor.connections)
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 # Bad input.
@@ -512,25 +522,27 @@
 ) -> None:
     """A share or a load of hundreds of digits was an OverflowError, and its job stayed open."""
 
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caught: list[Any] = []
         stage.loop.set_exception_handler(lambda loop, context: caught.append(context))
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", "order")
-        await stage.until(lambda: peer.whole())
-        await stage.until(lambda: stage.engine.open_by_call_id["a"].out()[0].stage is Progress.WRITTEN)
+        caller.send_job("a", "order")
+        await stage.wait_until(lambda: peer.complete_requests())
+        await stage.wait_until(
+            lambda: stage.engine.open_by_call_id["a"].open_attempts()[0].stage is AttemptStage.WRITTEN
+        )
         runner = stage.client()
         runner.send(b"POST /callback HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-        await stage.until(lambda: runner.status)
+        await stage.wait_until(lambda: runner.status)
         assert runner.status in (204, 400) and not caught
         said = [record for record in caplog.records if record.message == "bad_call_back"]
         assert len(said) == 1 or runner.status == 204, "one line names field and value"
         assert all({"field", "value"} <= cast(Any, record).kv.keys() for record in said)
         stage.call_back("a", "s0", result="r")
-        await stage.until(lambda: caller.status)
+        await stage.wait_until(lambda: caller.status)
 
     caplog.set_level("INFO")
-    play(test)
+    run_with_dispatcher(test)
     assert not [record for record in caplog.records if record.exc_info], caplog.text
 
 
@@ -553,7 +565,7 @@
     headers: dict[str, str | None],
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         good: dict[str, str | None] = {
             "X-Call-Id": "a",
             "X-Call-Class": "book",
@@ -563,11 +575,11 @@
         lines = [f"{name}: {value}\r\n" for name, value in (good | headers).items() if value is not None]
         for _ in range(3):
             stage.client().send(f"POST /api HTTP/1.1\r\n{''.join(lines)}Content-Length: 0\r\n\r\n".encode())
-        await stage.until(lambda: all(caller.status for caller in stage.clients))
+        await stage.wait_until(lambda: all(caller.status for caller in stage.clients))
         assert [caller.status for caller in stage.clients] == [400] * 3
-        assert stage.engine.counts["malformed"] == 3 and not stage.engine.sessions
+        assert stage.engine.counts["malformed"] == 3 and not stage.engine.requests
 
     caplog.set_level("INFO")
-    play(test)
+    run_with_dispatcher(test)
     said = [cast(Any, record).kv["field"] for record in caplog.records if record.message == "malformed"]
     assert set(said) == {field} and len(said) <= 2
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -13,8 +13,8 @@
 
 from grebestack.core import api
 from grebestack.core.api import Outcome, WorkerEntry
-from grebestack.routing.requests import Dispatch, Payload, Session
-from grebestack.routing.worker_table import Server
+from grebestack.routing.requests import Attempt, Payload, Request
+from grebestack.routing.worker_table import WorkerEndpoint
 
 CLASSES = (
     api.JobClass(
@@ -76,10 +76,12 @@
         super().add(name, zone, started_ms)
         self.free[name], self.kept[name] = float(self.size(name)[0]), OrderedDict()
 
-    def entries(self) -> tuple[Server, ...]:
+    def entries(self) -> tuple[WorkerEndpoint, ...]:
         """The list tells sizes, and no load."""
         return tuple(
-            Server(WorkerEntry(name, zone, weight=slots * speed, started_ms=self.started.get(name)), ("", 1))
+            WorkerEndpoint(
+                WorkerEntry(name, zone, weight=slots * speed, started_ms=self.started.get(name)), ("", 1)
+            )
             for name, zone in self.zone.items()
             for slots, speed in [self.size(name)]
         )
@@ -87,10 +89,10 @@
     def _begin(self, name: str) -> None:
         queue, kept, (_, speed) = self.queues[name], self.kept[name], self.size(name)
         while queue and self.free[name] >= 1.0:
-            port, dispatch = max(queue, key=lambda one: one[1].session.asked.job_class)
+            port, dispatch = max(queue, key=lambda one: one[1].request.arrival.job_class)
             queue.remove((port, dispatch))
             self.free[name] -= 1.0
-            asked = dispatch.session.asked
+            asked = dispatch.request.arrival
             found = asked.key in kept
             self.found[found] += 1
             kept[asked.key] = None
@@ -99,11 +101,13 @@
                 kept.popitem(last=False)
             took = ((asked.cost_ms or 0.0) + (0.0 if found else FETCH_MS)) / speed
             took /= self.warmth(name, SETTINGS, self.clock.now)
-            self.clock.call_at(self.clock.now + self.WIRE_MS, partial(port.engine.progress, dispatch, None))
+            self.clock.call_at(
+                self.clock.now + self.WIRE_MS, partial(port.engine.on_progress, dispatch, None)
+            )
             self.clock.call_at(self.clock.now + took, partial(self._end, port, dispatch))
 
-    def _answer(self, port: SimServers, dispatch: Dispatch, outcome: Outcome) -> None:
-        settle = partial(port.engine.settle, dispatch, outcome, {}, b"done")
+    def _answer(self, port: SimServers, dispatch: Attempt, outcome: Outcome) -> None:
+        settle = partial(port.engine.finish_attempt, dispatch, outcome, {}, b"done")
         self.clock.call_at(self.clock.now + self.WIRE_MS, settle)
 
 
@@ -114,9 +118,9 @@
         super().__init__(clock)
         self.asked, self.in_time = [0.0, 0.0], [0.0, 0.0]
 
-    def served(self, session: Session, result: bytes) -> None:
-        super().served(session, result)
-        asked = session.asked
+    def on_served(self, session: Request, result: bytes) -> None:
+        super().on_served(session, result)
+        asked = session.arrival
         c, cost = CLASSES[asked.job_class], asked.cost_ms or 0.0
         if (
             self.clock.now - self.arrived[session.call_id]
@@ -142,7 +146,7 @@
         worth.asked[index] += cost
         key, tenant = chance.choices(range(KEYS), weights)[0], chance.randrange(2)
         deadline_ms = clock.now + CLASSES[index].deadline_ms
-        engine.open(
+        engine.open_request(
             worth, call_id, Payload(b"", b""), index, deadline_ms, key=key, cost_ms=cost, tenant=tenant
         )
         if clock.now < 20_000.0:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,7 +15,7 @@
 from grebestack.core.policy import Policy
 from grebestack.program.config.errors import ConfigError
 from grebestack.program.config.platform import check_reload, from_platform
-from grebestack.protocol.settings import merged, settings_of
+from grebestack.protocol.settings import merge_settings, parse_settings
 from tests.policy_driver import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT, Dispatcher, sends, settings
 from tests.standins import OPTIONS, World, call, wait_until
 
@@ -84,15 +84,15 @@
 
 
 def test_a_class_keeps_its_place_and_a_place_its_meaning() -> None:
-    first = settings_of(OPTIONS)
+    first = parse_settings(OPTIONS)
     changed = deepcopy(OPTIONS)
     changed["services"][1]["effect"] = "single_shot"
     changed["services"].insert(0, {"name": "new", "aimMs": 1.0, "hardLimitMs": 9.0, "effect": "free"})
     del changed["extra"]["classStretch"], changed["services"][1]
-    second = merged(first, settings_of(changed))
+    second = merge_settings(first, parse_settings(changed))
     assert second.classes[:2] == first.classes and second.retired == {0, 1}
     assert [c.name for c in second.classes[2:]] == ["new", "reading"]
-    back = merged(second, first)
+    back = merge_settings(second, first)
     assert back.classes == second.classes and back.retired == {2, 3}
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -18,22 +18,22 @@
     encode,
 )
 from grebestack.consensus.register import Ballot
-from tests.dispatcher_group import Yard
+from tests.dispatcher_group import DispatcherGroup
 from tests.standins import OPTIONS, wait_until
 
 MEMORY_MB, SOCKETS = 32, 256  # the platform's smallest day
 
 
 def test_1024_servers_and_dispatchers_fit_the_smallest_dispatcher(tmp_path: Path) -> None:
-    yard = Yard(tmp_path, dispatchers=1, runners=1024, each=64)
+    yard = DispatcherGroup(tmp_path, dispatchers=1, workers=1024, workers_per_port=64)
     yard.settings = OPTIONS | {"siblings": 1024, "discovery": "pushed", "me": 1023}
     try:
         yard.start("n0")
         process = yard.processes["n0"].pid
-        yard.traffic(0.05)
+        yard.send_traffic(0.05)
         wait_until(lambda: len(yard.sends) > 60)
         yard.changes += [(f"s-{n}", "Terminating") for n in range(0, 1024, 2)]  # comes indented
-        yard.do(lambda: yard.learn("n0"))
+        yard.run_on_loop(lambda: yard.update_agent("n0"))
         before = len(yard.sends)
         wait_until(lambda: len(yard.sends) > before + 60)
         status = Path(f"/proc/{process}/status").read_text()
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -8,7 +8,7 @@
 import pytest
 
 from grebestack.program.lifecycle import KILL_MARGIN_MS, Lifecycle
-from tests.loop_dispatcher import Stage, play
+from tests.loop_dispatcher import InProcessDispatcher, run_with_dispatcher
 from tests.standins import World, call, wait_until
 
 LONG_DEADLINE_MS = 30_000.0  # of each class on the stage
@@ -38,42 +38,44 @@
     job_class: str, is_sent: bool, status: int, comes_after_the_stop: bool
 ) -> None:
     # Guards against a connection that the kill cuts: only an order that may have run is called failed.
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, (peer,) = stage.client(), stage.peers
         if not is_sent:
-            stage.listed(["Terminating"])
+            stage.set_worker_states(["Terminating"])
 
         async def stop() -> None:
             now_ms = stage.engine.clock.now_ms()
-            stage.front.expect_kill(now_ms + LONG_DEADLINE_MS / 2, now_ms + 300.0)
+            stage.front.answer_before_kill(now_ms + LONG_DEADLINE_MS / 2, now_ms + 300.0)
 
         async def order() -> None:
-            caller.order("a", job_class)
-            await stage.until(lambda: bool(peer.whole()) if is_sent else bool(stage.engine.sessions))
+            caller.send_job("a", job_class)
+            await stage.wait_until(
+                lambda: bool(peer.complete_requests()) if is_sent else bool(stage.engine.requests)
+            )
 
         for step in (stop, order) if comes_after_the_stop else (order, stop):
             await step()
         assert caller.status == 0
-        await stage.until(lambda: caller.status)
-        assert caller.status == status and not stage.engine.open_sessions()
+        await stage.wait_until(lambda: caller.status)
+        assert caller.status == status and not stage.engine.open_requests()
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 def test_a_request_due_before_the_kill_keeps_its_deadline() -> None:
     # Guards against a stop that takes time from requests which it need not hurry.
-    async def test(stage: Stage) -> None:
+    async def test(stage: InProcessDispatcher) -> None:
         caller, (peer,) = stage.client(), stage.peers
-        caller.order("a", "order")
-        await stage.until(lambda: peer.whole())
+        caller.send_job("a", "order")
+        await stage.wait_until(lambda: peer.complete_requests())
         now_ms = stage.engine.clock.now_ms()
-        stage.front.expect_kill(now_ms + 2 * LONG_DEADLINE_MS, now_ms + 1.0)
-        await stage.turns()
+        stage.front.answer_before_kill(now_ms + 2 * LONG_DEADLINE_MS, now_ms + 1.0)
+        await stage.run_loop()
         assert caller.status == 0
         stage.call_back("a", "s0", result="r")
-        await stage.until(lambda: caller.status == 200)
+        await stage.wait_until(lambda: caller.status == 200)
 
-    play(test)
+    run_with_dispatcher(test)
 
 
 def test_no_request_is_open_at_the_kill_though_a_worker_hangs_through_the_whole_stop(world: World) -> None:
