--- a/grebestack/protocol/__init__.py
+++ b/grebestack/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What messages mean: fronts, runner calls and call-backs, discovery, settings."""
+"""The protocols of clients, workers, discovery and settings."""
--- a/grebestack/protocol/discovery.py
+++ b/grebestack/protocol/discovery.py
@@ -22,17 +22,17 @@
 
 
 def watch_settings(settings: Settings) -> WatchSettings:
-    """The settings of the watch among those of the dispatcher."""
+    """Return the settings of the watch from those of the dispatcher."""
     return WatchSettings(not settings.polls_endpoint_list, settings.drain_grace_ms, settings.dispatcher_count)
 
 
 class WatchConnection:
-    """One watch: its connection, also while it is being made, and its lines."""
+    """One watch: its connection, which may still be being established, and its lines."""
 
     def __init__(self, number: int, request: bytes, watcher: DiscoveryWatcher) -> None:
-        """Send the request as soon as `stream` is connected."""
+        """Have the request sent as soon as `stream` is connected."""
         self.number, self.watcher = number, watcher
-        self.objects = JsonObjectReader()
+        self.object_reader = JsonObjectReader()
         self.stream = LineStream(request, self._on_line, self._on_ended)
         self.task: asyncio.Task[None] | None = None
         self.closed = False
@@ -47,12 +47,12 @@
             self.watcher.on_ended(self)
 
     def on_connect_failed(self) -> None:
-        """The connection was refused, or not made in time."""
+        """The connection was refused, or not established in time."""
         if self.stream.transport is None:
             self._on_ended()
 
     def close(self) -> None:
-        """Close the connection, or stop making it. The watcher is not called any more."""
+        """Close the connection, or stop establishing it. The watcher is not called any more."""
         self.closed = True
         self.stream.close()
         if self.task is not None and not self.task.done():
@@ -60,7 +60,7 @@
 
 
 class DiscoveryWatcher:
-    """Watches the list at one address."""
+    """Watches the endpoint list at one address and passes it to the worker table."""
 
     def __init__(
         self,
@@ -72,34 +72,34 @@
         settings: WatchSettings | None = None,
         draw: Callable[[], float] = random.random,
     ) -> None:
-        """`replaces` is the watcher of a former address, which is stopped once a list has come here."""
+        """Watch nothing yet.
+
+        `replaces` is the watcher of a former address, which is stopped once a list has arrived here.
+        """
         self.loop, self.address, self.reader, self.table = loop, address, reader, table
         self.replaces = replaces
         self.state_machine = EndpointWatch(WatchSettings() if settings is None else settings, draw)
         self.version = 0  # of this address's list; 0 requests the complete list
-        self.cached_workers: list[
-            WorkerEndpoint
-        ] = []  # of a list from before the start, not in the table so far
+        self.cached_workers: list[WorkerEndpoint] = []  # of a list from before the start, not applied yet
         self.connections: dict[int, WatchConnection] = {}
-        self.request_count: int = (
-            replaces.request_count if replaces is not None else 0
-        )  # requests since the start
+        # Since the process started, also those of former addresses.
+        self.request_count: int = replaces.request_count if replaces is not None else 0
         self.timer: asyncio.TimerHandle | None = None
         self.timer_ms = 0.0
 
     def load_cached_list(self, raw: Mapping[str, Any]) -> None:
-        """Take a list from before the start, which may be outdated.
+        """Load a list from before the start, which may be outdated.
 
-        Changes to it may come at once. Where lists are pushed it is not used until then, or until
-        `use_cached_list`: the agent's list counts as delivered from the first moment, and a worker of the
-        cached list may be draining there.
+        The source may send changes to it from now on. Where lists are pushed, it is used only once such a
+        change arrives or `use_cached_list` is called: the agent's list counts as delivered from the start,
+        and a worker of the cached list may be draining there.
         """
         self.version, _, self.cached_workers = self.reader.read_list(raw)
         if not self.state_machine.settings.pushed:  # a polled list counts as delivered seconds later
             self.use_cached_list()
 
     def use_cached_list(self) -> None:
-        """Put the cached list into the table, unless a newer one has come."""
+        """Apply the cached list to the table, unless a newer one has arrived."""
         workers, self.cached_workers = self.cached_workers, []
         if workers:
             self.table.update(ListKind.CACHED, workers)
@@ -109,7 +109,7 @@
         self._handle(state_machine.Started())
 
     def retire(self) -> None:
-        """Read open watches and open no others: the watcher of another address replaces this one."""
+        """Keep reading open watches but open no more: the watcher of another address replaces this one."""
         self._handle(state_machine.AddressChanged())
 
     def stop(self) -> None:
@@ -121,16 +121,16 @@
             self.timer = None
 
     def on_ended(self, connection: WatchConnection) -> None:
-        """A connection is closed, or was never made."""
+        """A connection was closed, or could not be established."""
         self.connections.pop(connection.number, None)
         self._handle(state_machine.WatchEnded(connection.number))
 
     def on_line(self, connection: WatchConnection, line: bytes) -> None:
-        """A line has come on a connection."""
+        """A line was received on a connection."""
         try:
-            raw = connection.objects.feed_line(line)
+            raw = connection.object_reader.feed_line(line)
             if raw is None:
-                if not connection.objects.pending_lines:  # else a list goes on in the next line
+                if not connection.object_reader.pending_lines:  # else the list continues on the next line
                     self._on_heartbeat(connection)
                 return
             version, is_complete, workers = self.reader.read_list(raw)
@@ -146,7 +146,7 @@
 
     def _on_malformed(self, connection: WatchConnection, error: ValueError) -> None:
         log.warning("bad_list_line", extra={"kv": {"error": f"{error!r:.200}", "rev": self.version}})
-        self.version = 0  # later changes would be to a list that is not known
+        self.version = 0  # later changes would refer to a list that was not received
         self._handle(state_machine.MalformedEvent(connection.number))
 
     def _on_list(
@@ -157,10 +157,10 @@
         self._handle(state_machine.EventReceived(connection.number))
         self.version = version
         if self.cached_workers and not is_complete:
-            self.use_cached_list()  # the changes are to this list
+            self.use_cached_list()  # the changes refer to this list
         self.cached_workers = []
-        # Only now, so that there is no gap after a move; and before the update, so that no list of the former
-        # address can follow the new one.
+        # Not earlier, so that the table is updated without a gap after a move; and before the update, so that
+        # no list of the former address can overwrite the new one.
         self._stop_replaced()
         self.table.update(ListKind.FULL if is_complete else ListKind.CHANGES, workers)
 
@@ -194,12 +194,12 @@
         self._handle(state_machine.TimerFired())
 
     def _on_stage_changed(self, stage: Stage) -> None:
-        kv = {"stage": stage.value, "rev": self.version, "calls": self.request_count}
+        fields = {"stage": stage.value, "rev": self.version, "calls": self.request_count}
         if stage is Stage.SILENT:
-            log.warning("watch_silent", extra={"kv": kv})
-            self.table.on_silent("its watch missed a line")
+            log.warning("watch_silent", extra={"kv": fields})
+            self.table.on_silent("its watch received no heartbeat in time")
         elif stage is not Stage.CONNECTING:
-            log.info("watch", extra={"kv": kv})
+            log.info("watch", extra={"kv": fields})
 
     def _open(self, number: int) -> None:
         self.request_count += 1
@@ -223,5 +223,5 @@
                 await self.loop.create_connection(lambda: connection.stream, host, port)
         except (OSError, TimeoutError):
             connection.on_connect_failed()
-        if connection.closed:  # while the connection was made
+        if connection.closed:  # while it was being established
             connection.stream.close()
--- a/grebestack/protocol/http_workers.py
+++ b/grebestack/protocol/http_workers.py
@@ -1,4 +1,4 @@
-"""What is said to job runners and what their answers and call-backs mean."""
+"""Sends jobs, cancellations and probes to workers over HTTP, and handles their responses and call-backs."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
 from grebestack.transport.client import Exchange, Pool, Pools, Response
 
 log = logging.getLogger(__name__)
-FINAL = {
+OUTCOME_BY_FINAL_STATE = {
     "done": Outcome.OK,
     "failed": Outcome.ERROR,
     "returned": Outcome.REJECTED,
     "lost": Outcome.RESET,
 }
-SIDE_CALL_MS = 3000.0  # a give-up or a probe is answered within this, or is let go
-SITE_NAMES = {"latency_ms": "run_ms", "inflight": "active", "queue": "waiting", "util": "cpu"}
+SIDE_EXCHANGE_TIMEOUT_MS = 3000.0  # for a cancellation or a probe
+DEFAULT_REPORT_NAMES = {"latency_ms": "run_ms", "inflight": "active", "queue": "waiting", "util": "cpu"}
 
 
-Ended = Callable[[Outcome, bytes], None]
+OnJobEnded = Callable[[Outcome, bytes], None]
 
 
-def _figure(value: Any) -> float | None:
-    """A finite number as such, be it one of many digits; None for all else."""
+def _finite_number(value: Any) -> float | None:
+    """Return a finite number as a float; None for anything else, and for an integer too large for a float."""
     if not isinstance(value, int | float):
         return None
     try:
-        figure = float(value)
+        number = float(value)
     except OverflowError:
         return None
-    return figure if math.isfinite(figure) else None
+    return number if math.isfinite(number) else None
 
 
-def result_of(raw: Mapping[str, Any]) -> bytes:
-    """What a job came to, as it goes back to the client."""
+def encode_result(raw: Mapping[str, Any]) -> bytes:
+    """Return the result in a call-back as the client gets it."""
     result = raw.get("result", "")
     text = result if isinstance(result, str) else json.dumps(result, separators=(",", ":"))
     return text.encode("utf-8", "surrogatepass")
 
 
 class CallbackResult(Enum):
-    """What a call-back was."""
+    """What became of a call-back."""
 
     MALFORMED = "malformed"
     ACCEPTED = "taken"
@@ -58,20 +58,20 @@
 
 
 class LoadReportReader:
-    """Reads load reports into the decision module's names."""
+    """Reads load reports and renames their fields to those of the decision module."""
 
     def __init__(self, names: Mapping[str, str]) -> None:
-        self.names: dict[str, str] = SITE_NAMES | dict(names)
+        self.names: dict[str, str] = DEFAULT_REPORT_NAMES | dict(names)
 
-    def fields(self, raw: Any) -> dict[str, float]:
-        """A report that came as an object; what is no finite number is left out."""
+    def read_object(self, raw: Any) -> dict[str, float]:
+        """Read a report from a JSON object; values that are not finite numbers are left out."""
         if not isinstance(raw, dict):
             return {}
-        read = {self.names.get(name, str(name)): _figure(value) for name, value in raw.items()}
+        read = {self.names.get(name, str(name)): _finite_number(value) for name, value in raw.items()}
         return {name: value for name, value in read.items() if value is not None}
 
-    def header(self, value: bytes | None) -> dict[str, float]:
-        """A report that came as `name=value,name=value`."""
+    def read_header(self, value: bytes | None) -> dict[str, float]:
+        """Read a report from `name=value,name=value`."""
         raw: dict[str, float] = {}
         for part in (value or b"").decode("latin-1").split(","):
             name, _, text = part.partition("=")
@@ -79,90 +79,97 @@
                 raw[name.strip()] = float(text)
             except ValueError:
                 continue
-        return self.fields(raw)
+        return self.read_object(raw)
 
 
-class Call:
-    """The exchange that carries one dispatch to its runner."""
+class AttemptExchange:
+    """The HTTP exchange that sends one attempt to its worker."""
 
-    def __init__(self, runners: HttpWorkers, dispatch: Attempt, pool: Pool) -> None:
-        self.runners, self.dispatch, self.pool = runners, dispatch, pool
-        index = dispatch.request.arrival.job_class
-        self.careful = runners.engine.settings.classes[index].effect is Effect.NOT_IDEMPOTENT
+    def __init__(self, workers: HttpWorkers, attempt: Attempt, pool: Pool) -> None:
+        self.workers, self.attempt, self.pool = workers, attempt, pool
+        index = attempt.request.arrival.job_class
+        self.careful = workers.engine.settings.classes[index].effect is Effect.NOT_IDEMPOTENT
 
     def begin(self) -> bytes | None:
-        if not self.runners.engine.confirm_send(self.dispatch):
-            # Guards the grace of a drain: it was told while the connection came up, and no byte has gone.
-            self.runners.end(self.dispatch, Outcome.CONNECT_FAILED)
+        if not self.workers.engine.confirm_send(self.attempt):
+            # For example, the worker was drained while the connection was being established. No byte has been
+            # sent.
+            self.workers.finish(self.attempt, Outcome.CONNECT_FAILED)
             return None
-        payload, asked = self.dispatch.request.payload, self.dispatch.request.arrival
-        left_ms = max(1.0, asked.deadline_ms - self.runners.engine.clock.now_ms())
+        payload, arrival = self.attempt.request.payload, self.attempt.request.arrival
+        left_ms = max(1.0, arrival.deadline_ms - self.workers.engine.clock.now_ms())
         return b"%sHost: %s:%d\r\nX-Budget: %.3f\r\n%sContent-Length: %d\r\n\r\n%s" % (
             payload.head,
             self.pool.address[0].encode(),
             self.pool.address[1],
             left_ms / 1000.0,
-            self.runners.audit_header(),
+            self.workers.audit_header(),
             len(payload.body),
             payload.body,
         )
 
     def committed(self) -> None:
-        self.dispatch.stage = AttemptStage.WRITTEN
+        self.attempt.stage = AttemptStage.WRITTEN
 
     def answered(self, response: Response) -> None:
         if response.status == 202:
-            self.dispatch.stage = AttemptStage.ACCEPTED
+            self.attempt.stage = AttemptStage.ACCEPTED
             return
         never_ran = response.status in (503, 504) and response.headers.get(b"x-rejected") == b"1"
-        report = self.runners.reports.header(response.headers.get(b"x-load-report"))
-        self._log("answer", status=response.status)
-        self.runners.end(self.dispatch, Outcome.REJECTED if never_ran else Outcome.ERROR, report)
+        report = self.workers.reports.read_header(response.headers.get(b"x-load-report"))
+        self._log_failure("answer", status=response.status)
+        self.workers.finish(self.attempt, Outcome.REJECTED if never_ran else Outcome.ERROR, report)
 
-    def _log(self, how: str, **more: object) -> None:
-        """Guards the on-call staff's time: which server failed a job, and how, is in one line."""
-        session = self.dispatch.request
-        kv = {"call_id": session.call_id, "server": self.dispatch.worker, "how": how, **more}
-        log.info("dispatch_failed", extra={"kv": kv})
+    def _log_failure(self, how: str, **more: object) -> None:
+        """Log in one line which worker failed a job, and how, so that operators need not correlate lines."""
+        request = self.attempt.request
+        fields = {"call_id": request.call_id, "server": self.attempt.worker, "how": how, **more}
+        log.info("dispatch_failed", extra={"kv": fields})
 
-    def called_back(self, state: str) -> None:
-        """A final call-back that brings no result."""
-        self._log("call_back", state=state)
+    def log_failed_callback(self, state: str) -> None:
+        """Log a final call-back that reports a failure."""
+        self._log_failure("call_back", state=state)
 
     def unsent(self) -> None:
-        self._log("no_connection")
-        self.runners.end(self.dispatch, Outcome.CONNECT_FAILED)
+        self._log_failure("no_connection")
+        self.workers.finish(self.attempt, Outcome.CONNECT_FAILED)
 
     def broken(self) -> None:
-        self._log("connection_broke")
-        self.runners.end(self.dispatch, Outcome.RESET)
+        self._log_failure("connection_broke")
+        self.workers.finish(self.attempt, Outcome.RESET)
 
 
-class Limit:
-    """Ends an exchange that no session's deadline ends.
+class ExchangeTimeout:
+    """Ends an exchange that no request's deadline ends.
 
-    Guards against a hung runner: its connections stay open and silent, and would be held for ever.
+    The connections of a hung worker stay open and silent, so such an exchange would otherwise never end.
     """
 
     def __init__(self, clock: Clock, pool: Pool, exchange: Exchange) -> None:
         self.pool, self.exchange = pool, exchange
-        self.timer = clock.call_at(clock.now_ms() + SIDE_CALL_MS, self._passed)
+        self.timer = clock.call_at(clock.now_ms() + SIDE_EXCHANGE_TIMEOUT_MS, self._on_timeout)
 
-    def _passed(self) -> None:
+    def _on_timeout(self) -> None:
         if not self.pool.withdraw(self.exchange):
             self.pool.cut(self.exchange)
         self.exchange.broken()
 
-    def lift(self) -> None:
+    def cancel(self) -> None:
         """The exchange has ended."""
         self.timer.cancel()
 
 
-class GiveUp(Exchange):
-    """The exchange that tells a runner that a job is no longer waited for.
+class CancelExchange(Exchange):
+    """The exchange that tells a worker that a job is no longer waited for.
 
-    `taken` is called once the runner has said that it gives the job up, `heard` once it has answered
-    anything, `unheard` if it never does.
+    Parameters
+    ----------
+    on_confirmed
+        Called when the worker has confirmed that it drops the job.
+    on_response
+        Called when the worker has responded, whatever the status.
+    on_no_response
+        Called if the worker never responds.
     """
 
     def __init__(
@@ -170,225 +177,228 @@
         clock: Clock,
         call_id: str,
         pool: Pool,
-        taken: Callable[[], None] = lambda: None,
-        heard: Callable[[], None] = lambda: None,
-        unheard: Callable[[], None] = lambda: None,
+        on_confirmed: Callable[[], None] = lambda: None,
+        on_response: Callable[[], None] = lambda: None,
+        on_no_response: Callable[[], None] = lambda: None,
     ) -> None:
-        self.taken, self.heard, self.unheard = taken, heard, unheard
+        self.on_confirmed, self.on_response, self.on_no_response = on_confirmed, on_response, on_no_response
         self.data = b"DELETE /jobs/%s HTTP/1.1\r\nHost: %s:%d\r\nContent-Length: 0\r\n\r\n" % (
             quote(call_id, safe="", encoding="latin-1").encode(),
             pool.address[0].encode(),
             pool.address[1],
         )
-        self.lift = Limit(clock, pool, self).lift
+        self.cancel_timeout = ExchangeTimeout(clock, pool, self).cancel
         pool.submit(self)
 
     def begin(self) -> bytes | None:
         return self.data
 
     def answered(self, response: Response) -> None:
-        self.lift()
+        self.cancel_timeout()
         if 200 <= response.status < 300:
-            self.taken()
-        self.heard()
+            self.on_confirmed()
+        self.on_response()
 
-    def _lost(self) -> None:
-        self.lift()
-        self.unheard()
+    def _on_lost(self) -> None:
+        self.cancel_timeout()
+        self.on_no_response()
 
-    unsent = broken = _lost
+    unsent = broken = _on_lost
 
 
-class Probe(Exchange):
-    """The exchange that asks a runner for its load report."""
+class ProbeExchange(Exchange):
+    """The exchange that requests the load report of a worker."""
 
-    def __init__(self, runners: HttpWorkers, server: str, pool: Pool) -> None:
-        self.runners, self.server, self.pool = runners, server, pool
-        self.sent_ms = runners.engine.clock.now_ms()
-        self.limit = Limit(runners.engine.clock, pool, self)
+    def __init__(self, workers: HttpWorkers, worker: str, pool: Pool) -> None:
+        self.workers, self.worker, self.pool = workers, worker, pool
+        self.sent_ms = workers.engine.clock.now_ms()
+        self.timeout = ExchangeTimeout(workers.engine.clock, pool, self)
 
     def begin(self) -> bytes | None:
-        if not self.runners.engine.table.accepts_work(self.server):  # it drains since: it is left alone
-            self._ended(Outcome.CONNECT_FAILED, {})
+        if not self.workers.engine.table.accepts_work(self.worker):  # drained meanwhile: nothing more is sent
+            self._end(Outcome.CONNECT_FAILED, {})
             return None
         return b"GET /stats HTTP/1.1\r\nHost: %s:%d\r\n\r\n" % (
             self.pool.address[0].encode(),
             self.pool.address[1],
         )
 
-    def _ended(self, outcome: Outcome, report: Mapping[str, float]) -> None:
-        self.limit.lift()
-        engine = self.runners.engine
-        engine.on_probe_ended(self.server, outcome, engine.clock.now_ms() - self.sent_ms, report)
+    def _end(self, outcome: Outcome, report: Mapping[str, float]) -> None:
+        self.timeout.cancel()
+        engine = self.workers.engine
+        engine.on_probe_ended(self.worker, outcome, engine.clock.now_ms() - self.sent_ms, report)
 
     def answered(self, response: Response) -> None:
         try:
-            report = self.runners.reports.fields(json.loads(response.body or b"{}"))
+            report = self.workers.reports.read_object(json.loads(response.body or b"{}"))
         except (ValueError, RecursionError):
-            report = self.runners.reports.header(response.body)
-        self._ended(Outcome.OK if response.status == 200 else Outcome.ERROR, report)
+            report = self.workers.reports.read_header(response.body)
+        self._end(Outcome.OK if response.status == 200 else Outcome.ERROR, report)
 
     def unsent(self) -> None:
-        self._ended(Outcome.CONNECT_FAILED, {})
+        self._end(Outcome.CONNECT_FAILED, {})
 
     def broken(self) -> None:
-        self._ended(Outcome.RESET, {})
+        self._end(Outcome.RESET, {})
 
 
 class HttpWorkers:
-    """The engine's servers: dispatches go out by POST, and most ends come back as call-backs."""
+    """The engine's workers: attempts are sent by POST, and most results are returned as call-backs."""
 
     def __init__(self, engine: Engine, pools: Pools, reports: LoadReportReader) -> None:
         self.engine, self.pools, self.reports = engine, pools, reports
-        self.adopted: dict[tuple[str, str], Ended] = {}  # sent before a restart
-        self.calls: dict[tuple[str, str], Call] = {}  # by call id and server: what is waited for
-        self.given_up: set[tuple[str, str]] = set()  # what a server has not confirmed to be given up
-        self.audit_header: Callable[[], bytes] = bytes  # a header line of an audit's, or nothing
-        self.quiet_until_ms = 0.0  # no second line about a spoilt call-back before
-        self.uids: dict[str, str] = {}  # servers that have moved: the id that their call-backs bring
-
-    def send_attempt(self, dispatch: Attempt) -> None:
-        """Send a session to the server that the dispatch names."""
-        server = self.engine.table.workers.get(dispatch.worker)
-        if server is not None and server.uid:
-            self.uids[dispatch.worker] = server.uid
-        key = self._key(dispatch)
-        # One attempt of a session at a time at one server; a give-up on its way would end the next one.
-        if server is None or key in self.calls or key in self.given_up:
-            self.engine.finish_attempt(dispatch, Outcome.CONNECT_FAILED)
+        # The keys are a call id and the id that the worker's call-backs carry.
+        self.adopted_jobs: dict[tuple[str, str], OnJobEnded] = {}  # sent by another process, or earlier
+        self.exchanges: dict[tuple[str, str], AttemptExchange] = {}  # of the attempts that are waited for
+        self.unconfirmed_cancels: set[tuple[str, str]] = set()  # jobs whose worker may still run them
+        self.audit_header: Callable[[], bytes] = bytes  # returns a header line for the audit, or nothing
+        self.next_bad_callback_log_ms = 0.0
+        self.callback_ids: dict[str, str] = {}  # of workers that have moved
+
+    def send_attempt(self, attempt: Attempt) -> None:
+        """Send a request to the worker that the attempt names."""
+        worker = self.engine.table.workers.get(attempt.worker)
+        if worker is not None and worker.uid:
+            self.callback_ids[attempt.worker] = worker.uid
+        key = self._key(attempt)
+        # A worker gets one attempt of a request at a time: a cancellation in transit would end the next one.
+        if worker is None or key in self.exchanges or key in self.unconfirmed_cancels:
+            self.engine.finish_attempt(attempt, Outcome.CONNECT_FAILED)
             return
-        pool = self.pools.pool(server.address)
-        call = self.calls[key] = Call(self, dispatch, pool)
-        pool.submit(call)
-
-    def _key(self, dispatch: Attempt) -> tuple[str, str]:
-        return dispatch.request.call_id, self.uids.get(dispatch.worker, dispatch.worker)
-
-    def end(self, dispatch: Attempt, outcome: Outcome, report: Mapping[str, float] | None = None) -> None:
-        """A dispatch ended without a call-back."""
-        if dispatch.outcome is None:
-            self.calls.pop(self._key(dispatch), None)
-            self.engine.finish_attempt(dispatch, outcome, report or {})
-
-    def abandon_attempt(self, dispatch: Attempt) -> None:
-        """Stop waiting for a dispatch and tell its server so."""
-        key = self._key(dispatch)
-        call = self.calls.pop(key, None)
-        if call is None or call.pool.withdraw(call):
+        pool = self.pools.pool(worker.address)
+        exchange = self.exchanges[key] = AttemptExchange(self, attempt, pool)
+        pool.submit(exchange)
+
+    def _key(self, attempt: Attempt) -> tuple[str, str]:
+        return attempt.request.call_id, self.callback_ids.get(attempt.worker, attempt.worker)
+
+    def finish(self, attempt: Attempt, outcome: Outcome, report: Mapping[str, float] | None = None) -> None:
+        """An attempt ended without a call-back."""
+        if attempt.outcome is None:
+            self.exchanges.pop(self._key(attempt), None)
+            self.engine.finish_attempt(attempt, outcome, report or {})
+
+    def abandon_attempt(self, attempt: Attempt) -> None:
+        """Stop waiting for an attempt and tell its worker so."""
+        key = self._key(attempt)
+        exchange = self.exchanges.pop(key, None)
+        if exchange is None or exchange.pool.withdraw(exchange):
             return
-        if dispatch.stage is not AttemptStage.ACCEPTED:
-            call.pool.cut(call)
-        # The end of a connection is no word to a server whose 202 has crossed it: where another attempt may
-        # follow, it is told as well.
-        if dispatch.stage is AttemptStage.ACCEPTED or (
-            dispatch.stage is AttemptStage.WRITTEN and not dispatch.request.closed
+        if attempt.stage is not AttemptStage.ACCEPTED:
+            exchange.pool.cut(exchange)
+        # A worker whose 202 is in transit does not take the end of the connection for a cancellation. It is
+        # told explicitly where another attempt may follow.
+        if attempt.stage is AttemptStage.ACCEPTED or (
+            attempt.stage is AttemptStage.WRITTEN and not attempt.request.closed
         ):
-            self.given_up.add(key)
-            GiveUp(
+            self.unconfirmed_cancels.add(key)
+            CancelExchange(
                 self.engine.clock,
-                dispatch.request.call_id,
-                call.pool,
-                heard=partial(self.given_up.discard, key),
-                unheard=partial(self._forget_at_deadline, key, dispatch.request.arrival.deadline_ms),
+                attempt.request.call_id,
+                exchange.pool,
+                on_response=partial(self.unconfirmed_cancels.discard, key),
+                on_no_response=partial(self._forget_at_deadline, key, attempt.request.arrival.deadline_ms),
             )
 
     def _forget_at_deadline(self, key: tuple[str, str], deadline_ms: float) -> None:
-        """Send no other attempt of a job to a server that may still run it: the give-up was not heard."""
-        self.engine.clock.call_at(deadline_ms, partial(self.given_up.discard, key))
+        """Send no other attempt of the job to a worker that did not respond: it may still run the first."""
+        self.engine.clock.call_at(deadline_ms, partial(self.unconfirmed_cancels.discard, key))
 
-    def hand_over(self, dispatch: Attempt) -> str:
-        """Wait no longer for a dispatch's call-back; tells the id by which its server names itself."""
-        key = self._key(dispatch)
-        self.calls.pop(key, None)
+    def hand_over(self, attempt: Attempt) -> str:
+        """Stop waiting for the call-back of an attempt; return the id that the worker's call-backs carry."""
+        key = self._key(attempt)
+        self.exchanges.pop(key, None)
         return key[1]
 
-    def cancel_attempt(self, dispatch: Attempt) -> None:
-        """Ask a server to cancel a dispatch; it is waited for on, since it may still end otherwise."""
-        call = self.calls.get(self._key(dispatch))
-        if call is not None:
-            self.cancel_job(dispatch.worker, dispatch.request.call_id, partial(self._cancelled, dispatch))
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Ask a worker to cancel an attempt, which is still waited for: it may end in another way first."""
+        exchange = self.exchanges.get(self._key(attempt))
+        if exchange is not None:
+            self.cancel_job(attempt.worker, attempt.request.call_id, partial(self._on_cancelled, attempt))
 
-    def cancel_job(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
-        """Ask a server to give a job up."""
-        known = self.engine.table.workers.get(server)
+    def cancel_job(self, worker: str, call_id: str, on_confirmed: Callable[[], None]) -> None:
+        """Ask a worker to cancel a job; `on_confirmed` is called if it does."""
+        known = self.engine.table.workers.get(worker)
         if known is not None:
-            GiveUp(self.engine.clock, call_id, self.pools.pool(known.address), taken)
+            CancelExchange(self.engine.clock, call_id, self.pools.pool(known.address), on_confirmed)
 
-    def abandon_job(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
-        """Tell a server that a job is not waited for; False if the server is not known.
+    def abandon_job(self, worker: str, call_id: str, on_response: Callable[[], None]) -> bool:
+        """Tell a worker that a job is no longer waited for; False if the worker is not listed.
 
-        `heard` is called once the server has answered: then it has given up whatever it had of the job.
+        `on_response` is called once the worker has responded: it has then dropped whatever it had of the job.
         """
-        known = self.engine.table.workers.get(server)
+        known = self.engine.table.workers.get(worker)
         if known is None:
             return False
-        GiveUp(self.engine.clock, call_id, self.pools.pool(known.address), heard=heard)
+        CancelExchange(self.engine.clock, call_id, self.pools.pool(known.address), on_response=on_response)
         return True
 
-    def _cancelled(self, dispatch: Attempt) -> None:
-        if dispatch.outcome is None:
-            del self.calls[self._key(dispatch)]
-            self.engine.on_attempt_cancelled(dispatch)
+    def _on_cancelled(self, attempt: Attempt) -> None:
+        if attempt.outcome is None:
+            del self.exchanges[self._key(attempt)]
+            self.engine.on_attempt_cancelled(attempt)
 
-    def set_callback_handler(self, call_id: str, server: str, ended: Ended | None) -> None:
-        """Wait for the call-back of a job that was sent before a restart; None: no longer."""
-        if ended is None:
-            self.adopted.pop((call_id, server), None)
+    def set_callback_handler(self, call_id: str, worker: str, on_ended: OnJobEnded | None) -> None:
+        """Wait for the final call-back of a job that this process did not send; None stops waiting."""
+        if on_ended is None:
+            self.adopted_jobs.pop((call_id, worker), None)
         else:
-            self.adopted[(call_id, server)] = ended
+            self.adopted_jobs[(call_id, worker)] = on_ended
 
-    def probe(self, server: str) -> None:
-        """Ask a server for its load report."""
-        known = self.engine.table.workers.get(server)
+    def probe(self, worker: str) -> None:
+        """Request the load report of a worker."""
+        known = self.engine.table.workers.get(worker)
         if known is None:
-            self.engine.on_probe_ended(server, Outcome.CONNECT_FAILED, 0.0, {})
+            self.engine.on_probe_ended(worker, Outcome.CONNECT_FAILED, 0.0, {})
             return
         pool = self.pools.pool(known.address)
-        pool.submit(Probe(self, server, pool))
+        pool.submit(ProbeExchange(self, worker, pool))
 
     def on_callback(self, body: bytes) -> CallbackResult:
-        """Take a call-back.
+        """Handle a call-back.
 
-        It may precede the 202, repeat, or name a session that this process never knew: what is not waited for
-        from that server is passed over.
+        It may arrive before the 202, be repeated, or name a job that this process never had. One that is not
+        waited for from that worker is ignored.
         """
         try:
             raw = json.loads(body)
         except (ValueError, RecursionError):
             raw = None
         if not isinstance(raw, dict):
-            return self._odd("body", body)
+            return self._log_malformed("body", body)
         for name in ("id", "from", "state"):
             if not isinstance(raw.get(name), str):
-                return self._odd(name, raw.get(name))
-        call_id, server, state = raw["id"], raw["from"], raw["state"]
-        call = self.calls.get((call_id, server))
-        if call is None and state in FINAL and (call_id, server) in self.adopted:
-            self.adopted.pop((call_id, server))(FINAL[state], result_of(raw))
+                return self._log_malformed(name, raw.get(name))
+        call_id, worker, state = raw["id"], raw["from"], raw["state"]
+        exchange = self.exchanges.get((call_id, worker))
+        if exchange is None and state in OUTCOME_BY_FINAL_STATE and (call_id, worker) in self.adopted_jobs:
+            self.adopted_jobs.pop((call_id, worker))(OUTCOME_BY_FINAL_STATE[state], encode_result(raw))
             return CallbackResult.ACCEPTED
-        if call is None:
-            log.debug("call_back_unknown", extra={"kv": {"call_id": call_id, "server": server}})
+        if exchange is None:
+            log.debug("call_back_unknown", extra={"kv": {"call_id": call_id, "server": worker}})
             return CallbackResult.UNKNOWN
-        if state in FINAL:
-            del self.calls[(call_id, server)]
-            if FINAL[state] is not Outcome.OK:
-                call.called_back(state)
-            report = self.reports.fields(raw.get("load"))
-            self.engine.finish_attempt(call.dispatch, FINAL[state], report, result_of(raw))
+        if state in OUTCOME_BY_FINAL_STATE:
+            del self.exchanges[(call_id, worker)]
+            if OUTCOME_BY_FINAL_STATE[state] is not Outcome.OK:
+                exchange.log_failed_callback(state)
+            report = self.reports.read_object(raw.get("load"))
+            self.engine.finish_attempt(
+                exchange.attempt, OUTCOME_BY_FINAL_STATE[state], report, encode_result(raw)
+            )
         elif state == "started":
-            self.engine.on_progress(call.dispatch, None)
+            self.engine.on_progress(exchange.attempt, None)
         elif state != "running":
-            self._odd("state", state)
-        elif (share := _figure(raw.get("share"))) is not None:
-            self.engine.on_progress(call.dispatch, share)
+            self._log_malformed("state", state)
+        elif (share := _finite_number(raw.get("share"))) is not None:
+            self.engine.on_progress(exchange.attempt, share)
         else:
-            self._odd("share", raw.get("share"))
+            self._log_malformed("share", raw.get("share"))
         return CallbackResult.ACCEPTED
 
-    def _odd(self, name: str, value: object) -> CallbackResult:
-        """A call-back that can't be read, or not all of it: one line a second at most says what was odd."""
+    def _log_malformed(self, name: str, value: object) -> CallbackResult:
+        """Log a field of a call-back that can't be parsed, in at most one line a second."""
         now_ms = self.engine.clock.now_ms()
-        if now_ms >= self.quiet_until_ms:
-            self.quiet_until_ms = now_ms + 1000.0
+        if now_ms >= self.next_bad_callback_log_ms:
+            self.next_bad_callback_log_ms = now_ms + 1000.0
             log.info("bad_call_back", extra={"kv": {"field": name, "value": f"{value!r:.80}"}})
         return CallbackResult.MALFORMED
--- a/grebestack/protocol/membership_adapter.py
+++ b/grebestack/protocol/membership_adapter.py
@@ -1,6 +1,6 @@
-"""Membership's shell: sources are heard, the server table is told, people read about it in the log.
+"""Connects membership to its surroundings: feeds it from sources and updates the worker table and the log.
 
-Only an appliance has one; on the platform discovery feeds the server table itself.
+Only an appliance has one; on the platform discovery updates the worker table directly.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 from grebestack.routing.worker_table import WorkerEndpoint, WorkerTable
 
 log = logging.getLogger(__name__)
-SAVE_MS = 2000.0  # lists that come together are written together
+SAVE_DELAY_MS = 2000.0  # so that lists that arrive together are saved together
 STANDINGS = {WorkerState.READY: Standing.READY, WorkerState.DRAINING: Standing.DRAINING}
 
 
 class MembershipAdapter:
-    """Feeds membership what sources say and carries out what it decides."""
+    """Passes what sources report to membership and executes the actions that it returns."""
 
     def __init__(self, settings: api.MembershipSettings, clock: Clock, table: WorkerTable) -> None:
         self.members, self.clock, self.table = Membership(settings), clock, table
         self.timer: Timer | None = None
-        self.current: list[MembershipSource] = []
-        self.former: list[str] = []  # sources that go once the current ones have been heard
-        self.snapshot, self.saving = "", False
+        self.sources: list[MembershipSource] = []
+        self.former_sources: list[str] = []  # removed once all current ones have reported a list
+        self.snapshot_path, self.save_scheduled = "", False
 
     def handle_event(self, event: api.Event) -> None:
-        """Tell membership something."""
+        """Pass an event to membership and execute its actions."""
         for action in self.members.handle(self.clock.now_ms(), event):
             match action:
                 case api.Tell(members):
-                    self.table.update(ListKind.CHANGES, [self._server(member) for member in members])
+                    self.table.update(ListKind.CHANGES, [self._endpoint(member) for member in members])
                 case api.Note(name, pairs, warning):
                     log.log(logging.WARNING if warning else logging.INFO, name, extra={"kv": dict(pairs)})
                 case api.Wake(at_ms):
@@ -47,7 +47,7 @@
                         self.timer.cancel()
                     self.timer = self.clock.call_at(at_ms, lambda: self.handle_event(api.Tick()))
 
-    def _server(self, member: api.Member) -> WorkerEndpoint:
+    def _endpoint(self, member: api.Member) -> WorkerEndpoint:
         if member.belief is Belief.GONE:
             state = WorkerState.GONE
         else:
@@ -56,72 +56,78 @@
         uid = member.server if member.server != member.name else ""
         return WorkerEndpoint(entry, member.address, uid, member.belief.name.lower())
 
-    def replace_sources(self, names: Sequence[str], stale_ms: float, snapshot: str) -> list[MembershipSource]:
-        """The ways in of new sources. What former ones said stands until all of these have told their lists.
+    def replace_sources(
+        self, names: Sequence[str], stale_ms: float, snapshot_path: str
+    ) -> list[MembershipSource]:
+        """Return new sources. What the former ones reported counts until all new ones have reported a list.
 
-        Where there is no former one, the lists of the snapshot's file stand until then.
+        If there are no former ones, the lists of the snapshot count until then.
         """
-        self.former, self.snapshot = [source.name for source in self.current], snapshot
-        fresh: list[MembershipSource] = []
+        self.former_sources, self.snapshot_path = [source.name for source in self.sources], snapshot_path
+        added: list[MembershipSource] = []
         for name in names:
             number, unique = 1, name
             while unique in self.members.sources:
                 number += 1
                 unique = f"{name} {number}"
-            self.handle_event(api.SourceAdded(unique, len(fresh), stale_ms))
-            fresh.append(MembershipSource(self, unique, name))
-        self.current = fresh
-        if not self.former and snapshot:
-            self._begin_from(snapshot)
-        return fresh
-
-    def _begin_from(self, path: str) -> None:
+            self.handle_event(api.SourceAdded(unique, len(added), stale_ms))
+            added.append(MembershipSource(self, unique, name))
+        self.sources = added
+        if not self.former_sources and snapshot_path:
+            self._load_snapshot(snapshot_path)
+        return added
+
+    def _load_snapshot(self, path: str) -> None:
         try:
             lists = load_lists(path)
-        except SnapshotError as error:  # a wrong list is worse than none
+        except SnapshotError as error:  # no list is safer than a wrong one
             log.warning("snapshot_refused", extra={"kv": {"error": error}})
             return
-        for source in self.current:
+        for source in self.sources:
             if source.label in lists:
-                heard, servers = lists[source.label]
-                kv = {"source": source.name, "servers": len(servers), "age_s": round(time.time() - heard)}
-                log.info("snapshot_used", extra={"kv": kv})
-                source.update(ListKind.CACHED, servers)
+                received, workers = lists[source.label]
+                fields = {
+                    "source": source.name,
+                    "servers": len(workers),
+                    "age_s": round(time.time() - received),
+                }
+                log.info("snapshot_used", extra={"kv": fields})
+                source.update(ListKind.CACHED, workers)
 
-    def updated(self) -> None:
-        """A source has told a list: the former ones may go, and the file be written."""
+    def on_list_received(self) -> None:
+        """Remove former sources if all current ones have reported, and schedule the snapshot to be saved."""
         self.table.has_live_list = True
-        if self.former and all(source.has_live_list for source in self.current):
-            former, self.former = self.former, []
+        if self.former_sources and all(source.has_live_list for source in self.sources):
+            former, self.former_sources = self.former_sources, []
             for name in former:
                 self.handle_event(api.SourceRemoved(name))
-        if self.snapshot and not self.saving:
-            self.saving = True
-            self.clock.call_at(self.clock.now_ms() + SAVE_MS, self.save)
-
-    def save(self) -> None:
-        """Write the last good lists."""
-        self.saving = False
-        lists = {s.label: (s.heard_unix, s.servers) for s in self.current if s.has_live_list}
-        if not self.snapshot or not lists:
+        if self.snapshot_path and not self.save_scheduled:
+            self.save_scheduled = True
+            self.clock.call_at(self.clock.now_ms() + SAVE_DELAY_MS, self.save_snapshot)
+
+    def save_snapshot(self) -> None:
+        """Save the last complete list of each source."""
+        self.save_scheduled = False
+        lists = {s.label: (s.received_unix_s, s.workers) for s in self.sources if s.has_live_list}
+        if not self.snapshot_path or not lists:
             return
         try:
-            save_lists(self.snapshot, lists)
+            save_lists(self.snapshot_path, lists)
         except OSError as error:
-            log.warning("snapshot_failed", extra={"kv": {"file": self.snapshot, "error": error}})
+            log.warning("snapshot_failed", extra={"kv": {"file": self.snapshot_path, "error": error}})
 
-    def set_drained(self, server: str, on: bool) -> None:
-        """The operator drains a server, or does no longer; KeyError if none has this name."""
-        if server not in self.members.states:
-            raise KeyError(server)
-        self.handle_event(api.Drained(server, on))
+    def set_drained(self, worker: str, on: bool) -> None:
+        """Drain a worker for the operator, or end that; KeyError if no worker has this name."""
+        if worker not in self.members.states:
+            raise KeyError(worker)
+        self.handle_event(api.Drained(worker, on))
 
     def accept_removals(self, source: str) -> None:
-        """The operator accepts what a source takes away; KeyError if there is no such source."""
+        """Apply the removals of a source that are held back; KeyError if there is no such source."""
         self.handle_event(api.Accepted(source))
 
     def describe(self) -> dict[str, Any]:
-        """What a console shows of the sources and of what is believed."""
+        """Return the states of all sources and workers, for the operator's console."""
         now = self.clock.now_ms()
         return {
             "sources": [
@@ -142,7 +148,7 @@
                     "reason": m.reason,
                     "for_s": round((now - m.since_ms) / 1000.0, 1),
                     "address": ":".join(map(str, m.address)),
-                    "sources": ", ".join(f"{source}={word}" for source, word in m.sources),
+                    "sources": ", ".join(f"{source}={state}" for source, state in m.sources),
                     "disagree": m.disagree,
                 }
                 for m in self.members.members()
@@ -151,54 +157,54 @@
 
 
 class MembershipSource:
-    """What a source speaks to in place of the server table."""
+    """Receives the lists of one source and reports its workers to membership."""
 
-    def __init__(self, roster: MembershipAdapter, name: str, label: str) -> None:
-        self.roster, self.name, self.label = roster, name, label
-        self.servers: tuple[WorkerEndpoint, ...] = ()  # its last whole list
-        self.made: dict[str, tuple[WorkerEndpoint, Claim]] = {}  # the claims of the last telling
-        self.heard_unix = 0.0  # and when that came
+    def __init__(self, adapter: MembershipAdapter, name: str, label: str) -> None:
+        self.adapter, self.name, self.label = adapter, name, label
+        self.workers: tuple[WorkerEndpoint, ...] = ()  # of the last complete list
+        self.claims: dict[str, tuple[WorkerEndpoint, Claim]] = {}  # the last claim for each worker
+        self.received_unix_s = 0.0  # when the last complete list arrived
 
     @property
     def has_live_list(self) -> bool:
-        """Whether the source has been heard since the start."""
-        source = self.roster.members.sources.get(self.name)
+        """Whether the source has responded since the start."""
+        source = self.adapter.members.sources.get(self.name)
         return source is not None and source.heard_ms is not None
 
-    def update(self, kind: ListKind, servers: Iterable[WorkerEndpoint]) -> None:
-        """Take a list or changes to it."""
-        servers = tuple(servers)
-        claims, gone, made = [], [], self.made
-        for server in servers:
-            name = server.entry.worker
-            known = self.made.get(name)
-            if known is not None and known[0] is server:  # a large list of which most has not changed
+    def update(self, kind: ListKind, workers: Iterable[WorkerEndpoint]) -> None:
+        """Apply a list or changes to it."""
+        workers = tuple(workers)
+        claims, gone, known_claims = [], [], self.claims
+        for worker in workers:
+            name = worker.entry.worker
+            known = self.claims.get(name)
+            if known is not None and known[0] is worker:  # most workers of a large list have not changed
                 claims.append(known[1])
-            elif server.entry.state is WorkerState.GONE:
+            elif worker.entry.state is WorkerState.GONE:
                 gone.append(name)
             else:
-                # The state is what differs from one telling to the next; membership keeps it as a standing.
-                standing = Standing.CRITICAL if server.reason else STANDINGS[server.entry.state]
-                entry = replace(server.entry, state=WorkerState.READY)
-                claims.append(Claim(entry, server.address, standing, server.reason))
-                made[name] = (server, claims[-1])
-        if len(made) > 2 * len(servers) + 64:
-            self.made = {claim.server: made[claim.server] for claim in claims}
-        whole, old = kind is not ListKind.CHANGES, kind is ListKind.CACHED
-        if self.name not in self.roster.members.sources:
-            return  # another source has taken its place
-        self.roster.handle_event(api.Listed(self.name, tuple(claims), whole, tuple(gone), old))
-        if not old:
-            if whole:
-                self.servers, self.heard_unix = servers, time.time()
-            self.roster.updated()
+                # The state changes between lists, so membership keeps it apart from the entry, as a standing.
+                standing = Standing.CRITICAL if worker.reason else STANDINGS[worker.entry.state]
+                entry = replace(worker.entry, state=WorkerState.READY)
+                claims.append(Claim(entry, worker.address, standing, worker.reason))
+                known_claims[name] = (worker, claims[-1])
+        if len(known_claims) > 2 * len(workers) + 64:
+            self.claims = {claim.server: known_claims[claim.server] for claim in claims}
+        is_complete, is_cached = kind is not ListKind.CHANGES, kind is ListKind.CACHED
+        if self.name not in self.adapter.members.sources:
+            return  # this source has been replaced
+        self.adapter.handle_event(api.Listed(self.name, tuple(claims), is_complete, tuple(gone), is_cached))
+        if not is_cached:
+            if is_complete:
+                self.workers, self.received_unix_s = workers, time.time()
+            self.adapter.on_list_received()
 
     def on_unchanged(self) -> None:
-        """The source has answered and nothing has changed."""
+        """The source has responded and nothing has changed."""
         if self.has_live_list:
-            self.roster.handle_event(api.Heard(self.name))
+            self.adapter.handle_event(api.Heard(self.name))
 
-    def on_silent(self, why: str) -> None:
-        """The source did not answer."""
-        if self.name in self.roster.members.sources:
-            self.roster.handle_event(api.Silent(self.name, why))
+    def on_silent(self, reason: str) -> None:
+        """The source did not respond."""
+        if self.name in self.adapter.members.sources:
+            self.adapter.handle_event(api.Silent(self.name, reason))
--- a/grebestack/protocol/settings.py
+++ b/grebestack/protocol/settings.py
@@ -1,4 +1,4 @@
-"""The settings object, as the simulator's first message and a dispatcher's configuration hold it."""
+"""Parses the settings object of the simulator's `begin` message and of a dispatcher's configuration."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 
 class FormatError(Exception):
-    """A line that the wire does not allow; the text says what is wrong with it."""
+    """A message or setting is malformed; the text says how."""
 
 
 def required_field(raw: Raw, name: str, types: type | tuple[type, ...]) -> Any:
     value = raw.get(name)
     if isinstance(value, types) and (not isinstance(value, bool) or types is bool):
         return value
-    what = "lacks" if value is None else f"has a bad value {value!r} in"
-    raise FormatError(f"message {raw.get('msg')!r} {what} the field {name!r}")
+    fault = "lacks" if value is None else f"has a bad value {value!r} in"
+    raise FormatError(f"message {raw.get('msg')!r} {fault} the field {name!r}")
 
 
 def required_int(raw: Raw, name: str) -> int:
@@ -69,28 +69,29 @@
 
 
 class PlaceNumbers:
-    """The numbers of zones and kinds of worker, which the settings name."""
+    """Maps the names of zones and of worker kinds to the numbers that the decision module uses."""
 
     def __init__(self, options: Raw) -> None:
         self.zones = [str(name) for name in options.get("zones") or ()]
         self.models = [str(name) for name in options.get("models") or ()]
 
     def zone(self, name: str, default: int) -> int:
-        """A zone's number. One that the settings don't name has its own, the same in each process.
+        """Return the number of a zone.
 
-        Guards against two such zones that pass for one: a job that is bound to its zone may not cross them.
+        A zone that the settings don't name gets a number of its own, the same in each process. With a common
+        number for all of them, a job that must stay in its zone could be sent to another one.
         """
         if name in self.zones:
             return self.zones.index(name)
         return len(self.zones) + 1 + crc32(name.encode("utf-8", "surrogatepass")) if name else default
 
     def kind(self, name: str) -> int:
-        """A kind's number; the first for one that is not named."""
+        """Return the number of a worker kind; the first one for a kind that the settings don't name."""
         return self.models.index(name) if name in self.models else 0
 
 
 def report_names(extra: Raw) -> dict[str, str]:
-    """The module's names for the wire's report values; x0 and x1 mean what the settings say."""
+    """Return the decision module's names of report values; the settings define what x0 and x1 mean."""
     names = dict(REPORT_NAMES)
     for name in ("x0", "x1"):
         meaning = str(extra.get("report" + name.upper()))
@@ -98,8 +99,8 @@
     return names
 
 
-def fleet_size(options: Raw) -> int:
-    """The number of dispatchers; one that is missing, null, no finite number or under 1 counts as 1."""
+def dispatcher_count(options: Raw) -> int:
+    """Return the number of dispatchers; 1 if it is missing, null, not finite or less than 1."""
     value = optional_number(options, "siblings", 1)
     if math.isfinite(value) and value >= 1:
         return int(value)
@@ -107,24 +108,29 @@
     return 1
 
 
-def on_request(options: Raw) -> bool:
-    """Whether lists are asked for. A word that is missing or not known counts as `pushed`.
+def polls_endpoint_list(options: Raw) -> bool:
+    """Whether endpoint lists are polled. A value that is missing or unknown counts as `pushed`.
 
-    That is the choice which keeps the rule on drains: the list is never older than the grace allows.
+    With `pushed` the list is never older than the grace for drains allows, so no drain rule is broken.
     """
     return options.get("discovery") == "on_request"
 
 
 def warn_unknown_discovery(options: Raw) -> None:
-    """Log a `discovery` word that is missing or not known."""
-    word = options.get("discovery")
-    if word not in ("pushed", "on_request"):
-        kv = {"field": "discovery", "value": word, "allowed": "pushed or on_request", "taken_as": "pushed"}
-        log.warning("bad_setting", extra={"kv": kv})
+    """Log a value of `discovery` that is missing or unknown."""
+    mode = options.get("discovery")
+    if mode not in ("pushed", "on_request"):
+        fields = {
+            "field": "discovery",
+            "value": mode,
+            "allowed": "pushed or on_request",
+            "taken_as": "pushed",
+        }
+        log.warning("bad_setting", extra={"kv": fields})
 
 
 def parse_settings(options: Raw) -> api.Settings:
-    """Translate the options of a `begin` message."""
+    """Parse the settings object, which is the `options` of a `begin` message."""
     extra: Raw = options.get("extra") or {}
     limits: Raw = options.get("limits") or {}
     rules: Raw = options.get("rules") or {}
@@ -156,14 +162,14 @@
     return api.Settings(
         classes=classes,
         dispatcher=int(optional_number(options, "me")),
-        dispatcher_count=fleet_size(options),
+        dispatcher_count=dispatcher_count(options),
         zone=int(optional_number(options, "zone")),
         tenants=tuple(
             api.Tenant(str(tenant.get("name", "")), optional_number(tenant, "allowancePerS"))
             for tenant in options.get("accounts") or ()
         ),
         over_quota_weight_factor=optional_number(options, "overShareWorth", 1.0),
-        polls_endpoint_list=on_request(options),
+        polls_endpoint_list=polls_endpoint_list(options),
         poll_deadline_ms=optional_number(rules, "mustAskInMs", 10_000.0),
         drain_grace_ms=optional_number(rules, "drainGraceMs"),
         answer_grace_ms=optional_number(rules, "graceToAnswerMs"),
@@ -189,12 +195,13 @@
     )
 
 
-FIXED = ("zones", "models", "zone", "discovery", "report", "tickMs")  # servers are known in their terms
-FIXED_EXTRA = ("reportX0", "reportX1")
+# What is known of workers depends on these, so a change of them needs a restart.
+RESTART_FIELDS = ("zones", "models", "zone", "discovery", "report", "tickMs")
+RESTART_EXTRA_FIELDS = ("reportX0", "reportX1")
 
 
 def merge_settings(former: api.Settings, new: api.Settings) -> api.Settings:
-    """The new settings with all classes of the former ones in their places; see `Settings.classes`."""
+    """Return the new settings with all classes of the former ones at their index; see `Settings.classes`."""
     classes = list(former.classes)
     for job_class in new.classes:
         if job_class not in classes:
@@ -213,55 +220,60 @@
 
 
 def changed_restart_fields(former: Raw, new: Raw) -> list[str]:
-    """The fields that have changed and wait for a restart."""
-    was: Raw = former.get("extra") or {}
+    """Return the changed fields that need a restart."""
+    former_extra: Raw = former.get("extra") or {}
     extra: Raw = new.get("extra") or {}
-    waits = [name for name in FIXED if former.get(name) != new.get(name)]
-    return waits + [f"extra.{name}" for name in FIXED_EXTRA if was.get(name) != extra.get(name)]
+    changed = [name for name in RESTART_FIELDS if former.get(name) != new.get(name)]
+    return changed + [
+        f"extra.{name}" for name in RESTART_EXTRA_FIELDS if former_extra.get(name) != extra.get(name)
+    ]
 
 
 def collect_key_paths(raw: Any, path: str = "") -> set[str]:
-    """The paths of all keys of an object and of those in it; of a list, those that all its objects have."""
+    """Return the paths of all keys of an object and its nested objects.
+
+    Of a list of objects, only the keys that all of them have are included.
+    """
     if isinstance(raw, dict):
-        inner = (
+        nested = (
             collect_key_paths(value, f"{path}.{name}") | {f"{path}.{name}"} for name, value in raw.items()
         )
-        return set().union(*inner)
+        return set().union(*nested)
     if isinstance(raw, list) and raw and all(isinstance(item, dict) for item in raw):
         return set.intersection(*(collect_key_paths(item, f"{path}[]") for item in raw))
     return set()
 
 
 def check_numbers(options: Raw) -> None:
-    """FormatError where a figure that decisions rest on can't be meant; the start takes defaults for some."""
+    """Raise FormatError for a number that can't be intended; at a start some of them get defaults instead."""
     services = options.get("services")
-    if not isinstance(services, list) or not services or not all(isinstance(one, dict) for one in services):
+    if not isinstance(services, list) or not services or not all(isinstance(raw, dict) for raw in services):
         raise FormatError(f"settings.services must be a list of classes, at least one, not {services!r:.40}")
-    names = [one.get("name") for one in services]
+    names = [raw.get("name") for raw in services]
     if not all(isinstance(name, str) and name for name in names) or len(set(names)) < len(names):
         raise FormatError(f"settings.services[].name must be words, each once, not {names!r:.80}")
-    for one in services:
-        where = f"settings.services[{one['name']}]"
+    for raw in services:
+        path = f"settings.services[{raw['name']}]"
         for name in ("aimMs", "hardLimitMs"):
-            _figure(where, one, name, above=0.0)
+            _check_number(path, raw, name, above=0.0)
         for name in ("value", "lateWorth", "windowMs", "aimStretch"):
-            if one.get(name) is not None:
-                _figure(where, one, name)
+            if raw.get(name) is not None:
+                _check_number(path, raw, name)
     limits = options.get("limits")
     if not isinstance(limits, dict):
         raise FormatError(f"settings.limits must be an object, not {limits!r:.40}")
-    _figure("settings.limits", limits, "mostTries", above=0.0)
+    _check_number("settings.limits", limits, "mostTries", above=0.0)
     if limits["mostTries"] != int(limits["mostTries"]):
         raise FormatError(f"settings.limits.mostTries must be a whole number, not {limits['mostTries']!r}")
-    for part in ("limits", "rules"):
-        for name, value in (options.get(part) or {}).items():
+    for section in ("limits", "rules"):
+        for name, value in (options.get(section) or {}).items():
             if not isinstance(value, bool | str) and value is not None:
-                _figure(f"settings.{part}", options[part], name)
+                _check_number(f"settings.{section}", options[section], name)
 
 
-def _figure(where: str, raw: Raw, name: str, above: float | None = None) -> None:
+def _check_number(path: str, raw: Raw, name: str, above: float | None = None) -> None:
     value = raw.get(name)
-    good = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
-    if value is None or not good or value < 0.0 or (above is not None and value <= above):
+    is_number = isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
+    if value is None or not is_number or value < 0.0 or (above is not None and value <= above):
         allowed = "a positive number" if above is not None else "a number of at least 0"
-        raise FormatError(f"{where}.{name} must be {allowed}, not {value!r:.40}")
+        raise FormatError(f"{path}.{name} must be {allowed}, not {value!r:.40}")
--- a/grebestack/protocol/snapshot.py
+++ b/grebestack/protocol/snapshot.py
@@ -1,4 +1,4 @@
-"""The last good lists of servers, in a file: a start while their sources are down begins from it."""
+"""A file with the last lists of workers, from which a start begins while their sources are unavailable."""
 
 from __future__ import annotations
 
@@ -12,17 +12,15 @@
 from grebestack.routing.worker_table import WorkerEndpoint
 
 FORMAT = 1
-Lists = Mapping[
-    str, tuple[float, Sequence[WorkerEndpoint]]
-]  # by source: when it was heard (Unix s), its servers
+Lists = Mapping[str, tuple[float, Sequence[WorkerEndpoint]]]  # by source: when received (Unix s), and workers
 
 
 class SnapshotError(Exception):
     """The file can't be used; the text says why."""
 
 
-def _line(server: WorkerEndpoint) -> dict[str, Any]:
-    entry = server.entry
+def _encode_worker(worker: WorkerEndpoint) -> dict[str, Any]:
+    entry = worker.entry
     return {
         "id": entry.worker,
         "zone": entry.zone,
@@ -30,22 +28,22 @@
         "cell": entry.cell,
         "weight": entry.weight,
         "state": entry.state.value,
-        "host": server.address[0],
-        "port": server.address[1],
-        "reason": server.reason,
+        "host": worker.address[0],
+        "port": worker.address[1],
+        "reason": worker.reason,
     }
 
 
-def _server(line: Mapping[str, Any]) -> WorkerEndpoint:
+def _decode_worker(raw: Mapping[str, Any]) -> WorkerEndpoint:
     entry = WorkerEntry(
-        str(line["id"]),
-        int(line["zone"]),
-        int(line["kind"]),
-        int(line["cell"]),
-        WorkerState(line["state"]),
-        float(line["weight"]),
+        str(raw["id"]),
+        int(raw["zone"]),
+        int(raw["kind"]),
+        int(raw["cell"]),
+        WorkerState(raw["state"]),
+        float(raw["weight"]),
     )
-    return WorkerEndpoint(entry, (str(line["host"]), int(line["port"])), reason=str(line["reason"]))
+    return WorkerEndpoint(entry, (str(raw["host"]), int(raw["port"])), reason=str(raw["reason"]))
 
 
 def _checksum(text: str) -> str:
@@ -53,20 +51,20 @@
 
 
 def save_lists(path: str, lists: Lists) -> None:
-    """Write the lists in place of what the file held, all or nothing, kept over a loss of power. OSError."""
+    """Replace the file atomically, and durably across a loss of power; OSError."""
     text = json.dumps(
         {
-            name: {"heard": heard, "servers": [_line(server) for server in servers]}
-            for name, (heard, servers) in lists.items()
+            name: {"heard": received, "servers": [_encode_worker(worker) for worker in workers]}
+            for name, (received, workers) in lists.items()
         }
     )
-    whole = json.dumps({"grebestack_servers": FORMAT, "checksum": _checksum(text), "lists": text})
-    beside = f"{path}.new"
-    with open(beside, "w", encoding="utf-8") as file:
-        file.write(whole)
+    contents = json.dumps({"grebestack_servers": FORMAT, "checksum": _checksum(text), "lists": text})
+    temporary_path = f"{path}.new"
+    with open(temporary_path, "w", encoding="utf-8") as file:
+        file.write(contents)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(beside, path)
+    os.replace(temporary_path, path)
     folder = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
     try:
         os.fsync(folder)
@@ -75,7 +73,7 @@
 
 
 def load_lists(path: str) -> dict[str, tuple[float, list[WorkerEndpoint]]]:
-    """The lists of a file; nothing where there is none. SnapshotError: it is torn, or another program's."""
+    """Return the lists of a file, none if there is no file; SnapshotError if it can't be used."""
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
@@ -84,14 +82,14 @@
     except (OSError, ValueError) as error:
         raise SnapshotError(f"{path}: {error}") from error
     if not isinstance(raw, dict) or raw.get("grebestack_servers") != FORMAT:
-        raise SnapshotError(f"{path}: is no list of servers of format {FORMAT}")
+        raise SnapshotError(f"{path}: not a list of workers of format {FORMAT}")
     text = str(raw.get("lists"))
     if raw.get("checksum") != _checksum(text):
-        raise SnapshotError(f"{path}: its checksum does not fit")
+        raise SnapshotError(f"{path}: checksum mismatch")
     try:
         lists = json.loads(text)
         return {
-            name: (float(one["heard"]), [_server(line) for line in one["servers"]])
+            name: (float(one["heard"]), [_decode_worker(worker) for worker in one["servers"]])
             for name, one in lists.items()
         }
     except (ValueError, KeyError, TypeError, AttributeError) as error:
--- a/grebestack/protocol/worker_list.py
+++ b/grebestack/protocol/worker_list.py
@@ -1,4 +1,4 @@
-"""What discovery's list says: the objects of a watch, and the servers that they name."""
+"""Reads the endpoint list of discovery: the JSON objects of a watch, and the workers that they list."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 log = logging.getLogger(__name__)
 STATES = {"Ready": WorkerState.READY, "Terminating": WorkerState.DRAINING, "Gone": WorkerState.GONE}
-NOWHERE: Address = ("", 0)  # of a server whose address can't be read: the one that was known stays
-CLOCKS_MS = 2000.0  # a server's clock may be so much ahead of ours
-MOST_OBJECT = 4 * 1024 * 1024  # bytes of one object: some 10,000 servers, indented
+UNKNOWN_ADDRESS: Address = ("", 0)  # could not be parsed; the worker table keeps the previous one
+MAX_CLOCK_SKEW_MS = 2000.0  # by which a worker's clock may be ahead of this one
+MAX_OBJECT_BYTES = 4 * 1024 * 1024  # some 10,000 workers, indented
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
 def parse_address(text: str) -> Address:
-    """A host and port; ValueError if it is none."""
+    """Parse `host:port`; ValueError if it is malformed."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r} is no HOST:PORT")
@@ -32,95 +32,96 @@
 
 
 class JsonObjectReader:
-    """Puts the lines of a watch together to objects: one a line, or indented over many."""
+    """Assembles JSON objects from the lines of a watch, one to a line or indented over several lines."""
 
     def __init__(self) -> None:
-        self.pending_lines: list[bytes] = []  # of the object that has begun
+        self.pending_lines: list[bytes] = []  # of an object that is not complete
         self.size = self.depth = 0
 
     def feed_line(self, line: bytes) -> Mapping[str, Any] | None:
-        """The object that the line ends; None where none ends, ValueError where it can't be read."""
+        """Return the object that the line completes, if any; ValueError if it can't be parsed."""
         if not self.pending_lines:
             if not line.strip():
                 return None
             try:
-                return self._object(line)
+                return self._parse(line)
             except ValueError:
                 self._add(line)
                 if self.depth <= 0:
                     raise
             return None
-        if not line.strip() or self.size + len(line) > MOST_OBJECT or self._begins(line):
+        if not line.strip() or self.size + len(line) > MAX_OBJECT_BYTES or self._is_complete_list(line):
             self.pending_lines, self.size, self.depth = [], 0, 0
-            raise ValueError("an object that does not end")  # its rest was lost, or will never come
+            raise ValueError("the JSON object is incomplete")  # the rest was lost, or will never arrive
         self._add(line)
         if self.depth > 0:
             return None
-        parts, self.pending_lines, self.size, self.depth = self.pending_lines, [], 0, 0
-        return self._object(b"\n".join(parts))
+        lines, self.pending_lines, self.size, self.depth = self.pending_lines, [], 0, 0
+        return self._parse(b"\n".join(lines))
 
     def _add(self, line: bytes) -> None:
-        plain = STRING.sub(b"", line)
+        outside = STRING.sub(b"", line)
         self.pending_lines.append(line)
         self.size += len(line)
-        self.depth += plain.count(b"{") + plain.count(b"[") - plain.count(b"}") - plain.count(b"]")
+        self.depth += outside.count(b"{") + outside.count(b"[") - outside.count(b"}") - outside.count(b"]")
 
     @staticmethod
-    def _object(text: bytes) -> Mapping[str, Any]:
+    def _parse(text: bytes) -> Mapping[str, Any]:
         try:
             raw = json.loads(text)
         except RecursionError as error:
-            raise ValueError("an object of too many layers") from error
+            raise ValueError("the JSON object is nested too deeply") from error
         if not isinstance(raw, dict):
-            raise ValueError(f"no object: {raw!r:.40}")
+            raise ValueError(f"not a JSON object: {raw!r:.40}")
         return raw
 
-    def _begins(self, line: bytes) -> bool:
-        """Whether a line is a list by itself, so that the one begun before was cut."""
+    def _is_complete_list(self, line: bytes) -> bool:
+        """Whether a line is a list by itself, which means that the pending object was cut off."""
         if b'"targets"' not in line or not line.rstrip().endswith(b"}"):
             return False
         try:
-            return "targets" in self._object(line)
+            return "targets" in self._parse(line)
         except ValueError:
             return False
 
 
 class WorkerListReader:
-    """Reads the list's entries; zones and kinds are named in the settings.
+    """Reads the entries of endpoint lists; zones and worker kinds are named in the settings.
 
-    What can be read of an entry is used, so that no drain is lost by a figure beside it that can't. Each
-    field with an odd value is named once in the log.
+    Every field of an entry that can be parsed is used, so that a drain is not lost because of a malformed
+    value beside it. Each field with an unexpected value is logged once.
     """
 
     def __init__(self, options: Mapping[str, Any]) -> None:
         self.places = PlaceNumbers(options)
-        self.told: set[str] = set()  # fields of which an odd value has been logged
-        # Fixed once: the decision module tells a restart by a start time that differs from the one before.
+        self.warned_fields: set[str] = set()
+        # Computed once: the decision module detects the restart of a worker by a changed start time.
         self.unix_to_clock_ms = (time.monotonic() - time.time()) * 1000.0
 
-    def _figure(self, raw: Mapping[str, Any], name: str, default: float) -> float:
-        """A figure of an entry; one that is missing, null, negative or no finite number is the default."""
+    def _number(self, raw: Mapping[str, Any], name: str, default: float) -> float:
+        """Return a number of an entry; the default if it is missing, null, negative or not finite."""
         value = default if raw.get(name) is None else raw[name]
         try:
-            figure = float(value)
+            number = float(value)
         except (ValueError, TypeError, OverflowError):
-            figure = math.nan
-        if not (math.isfinite(figure) and figure >= 0.0):
+            number = math.nan
+        if not (math.isfinite(number) and number >= 0.0):
             self.warn_unexpected(name, value, default)
             return default
-        return figure
+        return number
 
-    def warn_unexpected(self, name: str, value: object, taken: object) -> None:
-        """Log a value that is not taken as it is, once for each field."""
-        if name not in self.told:
-            self.told.add(name)
-            kv = {"field": name, "value": f"{value!r:.60}", "taken_as": taken}
-            log.warning("bad_list_value", extra={"kv": kv})
+    def warn_unexpected(self, name: str, value: object, used_instead: object) -> None:
+        """Log a value that is not used as it is, once for each field."""
+        if name not in self.warned_fields:
+            self.warned_fields.add(name)
+            fields = {"field": name, "value": f"{value!r:.60}", "taken_as": used_instead}
+            log.warning("bad_list_value", extra={"kv": fields})
 
     def read_worker(self, raw: Mapping[str, Any], strict: bool = False) -> WorkerEndpoint:
-        """One entry; ValueError if it has no name, or is ready at an address that can't be read.
+        """Read one entry; ValueError if it has no name, or is ready and its address can't be parsed.
 
-        A person's own entries are taken strictly: ValueError for a state or an address that is none.
+        `strict` is for entries that an operator has written: ValueError also for any unknown state, and for
+        any address that can't be parsed.
         """
         uid = raw.get("uid")
         if not isinstance(uid, str | int) or uid == "":
@@ -128,7 +129,7 @@
         state = STATES.get(str(raw.get("state")))
         if state is None and strict:
             raise ValueError(f"state must be one of {', '.join(STATES)}, not {raw.get('state')!r:.60}")
-        if state is None:  # a word of later versions: whatever it means, the server is not plainly ready
+        if state is None:  # a state of a later version; whatever it means, the worker is not plainly ready
             self.warn_unexpected("state", raw.get("state"), "Terminating")
             state = WorkerState.DRAINING
         try:
@@ -137,28 +138,28 @@
             if state is WorkerState.READY or strict:
                 raise
             if state is not WorkerState.GONE:
-                self.warn_unexpected("endpoint", raw.get("endpoint"), "the one before")
-            address = NOWHERE
-        boot_ms = self._figure(raw, "boot_ms", 0.0)
-        if boot_ms > time.time() * 1000.0 + CLOCKS_MS:
-            self.warn_unexpected("boot_ms", boot_ms, "now")  # the module counts a start to come as one of now
+                self.warn_unexpected("endpoint", raw.get("endpoint"), "the previous address")
+            address = UNKNOWN_ADDRESS
+        boot_ms = self._number(raw, "boot_ms", 0.0)
+        if boot_ms > time.time() * 1000.0 + MAX_CLOCK_SKEW_MS:
+            self.warn_unexpected("boot_ms", boot_ms, "now")  # the decision module treats it as a start now
         entry = WorkerEntry(
             worker=str(uid),
             zone=self.places.zone(str(raw.get("az") or ""), -1),
             kind=self.places.kind(str(raw.get("model"))),
-            cell=int(self._figure(raw, "pod_group", 0.0)),
+            cell=int(self._number(raw, "pod_group", 0.0)),
             state=state,
-            weight=self._figure(raw, "capacity_hint", 1.0) or 1.0,
+            weight=self._number(raw, "capacity_hint", 1.0) or 1.0,
             started_ms=boot_ms + self.unix_to_clock_ms if boot_ms > 0 else None,
         )
         return WorkerEndpoint(entry, address)
 
     def read_list(self, raw: Mapping[str, Any]) -> tuple[int, bool, list[WorkerEndpoint]]:
-        """The version, whether it is the whole list, and the entries; malformed ones are left out.
+        """Return the version, whether the list is complete, and its workers without malformed entries.
 
-        Of two entries of one name the one that wants less new work holds.
+        Of two entries with the same name, one that is not ready is used, else the last.
         """
-        servers: dict[str, WorkerEndpoint] = {}
+        workers: dict[str, WorkerEndpoint] = {}
         targets = raw.get("targets")
         if not isinstance(targets, list):
             if targets is not None:
@@ -166,14 +167,14 @@
             targets = []
         for item in targets:
             try:
-                server = self.read_worker(item)
+                worker = self.read_worker(item)
             except (ValueError, TypeError, AttributeError) as error:
-                self.warn_unexpected("entry", error, "left out")
+                self.warn_unexpected("entry", error, "not used")
                 continue
-            name = server.entry.worker
-            if name in servers:
-                self.warn_unexpected("uid", name, "the one that wants less")
-                if servers[name].entry.state is not WorkerState.READY:
+            name = worker.entry.worker
+            if name in workers:
+                self.warn_unexpected("uid", name, "one that is not ready, else the last")
+                if workers[name].entry.state is not WorkerState.READY:
                     continue
-            servers[name] = server
-        return int(self._figure(raw, "rev", 0.0)), raw.get("all") is True, list(servers.values())
+            workers[name] = worker
+        return int(self._number(raw, "rev", 0.0)), raw.get("all") is True, list(workers.values())
--- a/grebestack/routing/__init__.py
+++ b/grebestack/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The engine: carries out what the decision module decides; knows no HTTP."""
+"""The engine executes what the decision module decides; it does not depend on any protocol."""
--- a/grebestack/routing/engine.py
+++ b/grebestack/routing/engine.py
@@ -1,4 +1,4 @@
-"""The engine: feeds the decision module what happens and carries out what it decides."""
+"""The engine: passes events to the decision module and executes the actions that it returns."""
 
 from __future__ import annotations
 
@@ -14,45 +14,43 @@
 from grebestack.routing.worker_table import WorkerTable
 
 log = logging.getLogger(__name__)
-NO_REPORT: Mapping[str, float] = {}
-FAULT_LOG_INTERVAL_MS = 1000.0  # a decision module that raises is logged once in this time
+EMPTY_REPORT: Mapping[str, float] = {}
+FAULT_LOG_INTERVAL_MS = 1000.0  # an exception of the decision module is logged at most once in this time
 
 
 class Engine:
-    """Owns the sessions and dispatches of one dispatcher; both fronts and all servers meet here."""
+    """Owns the requests of one dispatcher and their attempts; all listeners and workers are attached here."""
 
     def __init__(self, settings: api.Settings, seed: int, clock: Clock, table: WorkerTable) -> None:
         self.settings, self.clock, self.table = settings, clock, table
         self.policy = Policy(settings, seed)
         self.workers: Workers
-        self.requests: dict[int, Request] = {}  # by number; open, or with dispatches out
+        self.requests: dict[int, Request] = {}  # by number; those that are open or have open attempts
         self.open_by_call_id: dict[str, Request] = {}
         self.last_number = 0
-        self.events: deque[tuple[api.Event, float]] = deque()
-        self.feeding = False
+        self.events: deque[tuple[api.Event, float]] = deque()  # each with the earliest time to handle it at
+        self.processing = False
         self.next_fault_log_ms = 0.0
         self.counts: Counter[str] = Counter()
-        self.sent_by_worker: Counter[str] = (
-            Counter()
-        )  # dispatches by server since the last `take_traffic_counts`
-        # During an upgrade the other process is told of these.
+        self.sent_by_worker: Counter[str] = Counter()  # attempts since the last `take_traffic_counts`
+        # Set during a hot restart, to notify the other process.
         self.on_request_closed: Callable[[str], None] = lambda call_id: None
-        self.on_attempt_sent: Callable[[Attempt], None] = lambda dispatch: None
-        self.on_attempt_ended: Callable[[Attempt], None] = lambda dispatch: None
-        # An audit writes these down: what is done, of which session, at which server if any.
-        self.on_audited_action: Callable[[str, Request, str], None] = lambda what, session, server: None
-        table.on_change = lambda kind, entries: self._feed(api.WorkersListed(kind, entries))
+        self.on_attempt_sent: Callable[[Attempt], None] = lambda attempt: None
+        self.on_attempt_ended: Callable[[Attempt], None] = lambda attempt: None
+        # Set by the audit log; receives the action, the request, and the worker or an empty string.
+        self.on_audited_action: Callable[[str, Request, str], None] = lambda action, request, worker: None
+        table.on_change = lambda kind, entries: self._process(api.WorkersListed(kind, entries))
 
     def update_settings(self, settings: api.Settings) -> None:
-        """Other settings hold from now on; they keep the places of all classes."""
+        """Apply new settings, in which every class of the former ones keeps its index."""
         self.settings = settings
-        self._feed(api.SettingsChanged(settings))
+        self._process(api.SettingsChanged(settings))
 
-    # What the fronts say.
+    # Called on behalf of clients.
 
     def open_request(
         self,
-        frontend: RequestListener,
+        listener: RequestListener,
         call_id: str,
         payload: Payload,
         job_class: int,
@@ -66,182 +64,186 @@
         retry: bool = False,
         aged: bool = False,
     ) -> Request | None:
-        """Take a session; None if its call id is open already. It may be answered before this returns."""
+        """Accept a request; None if its call id is already open. It may be answered before this returns."""
         if call_id in self.open_by_call_id:
             return None
         self.last_number += 1
-        asked = api.RequestArrived(
+        arrival = api.RequestArrived(
             self.last_number, job_class, deadline_ms, slots, memory, tenant, key, cost_ms, retry, aged
         )
-        session = Request(call_id, asked, payload, frontend)
-        self.requests[self.last_number] = self.open_by_call_id[call_id] = session
-        session.timer = self.clock.call_at(deadline_ms, partial(self._on_deadline, session))
+        request = Request(call_id, arrival, payload, listener)
+        self.requests[self.last_number] = self.open_by_call_id[call_id] = request
+        request.timer = self.clock.call_at(deadline_ms, partial(self._on_deadline, request))
         self.counts["sessions"] += 1
-        self._feed(asked)
-        return session
+        self._process(arrival)
+        return request
 
-    def on_client_disconnected(self, session: Request) -> None:
-        """The client left: nothing more is owed, and what is out is given up.
+    def on_client_disconnected(self, request: Request) -> None:
+        """Close a request without an answer. The decision module may cancel its open attempts.
 
-        What no server has got is taken back here, whatever the settings say of giving up: no byte of it goes.
+        Unsent attempts are abandoned here whatever the settings say about cancelling, so that no byte of
+        them is sent.
         """
-        if self._close(session):
+        if self._close(request):
             self.counts["gone"] += 1
-            self._feed(api.RequestDropped(session.number))
-            for dispatch in session.open_attempts():
-                if dispatch.stage is AttemptStage.UNSENT:
-                    self.workers.abandon_attempt(dispatch)
-                    self.finish_attempt(dispatch, api.Outcome.CANCELLED)
-
-    def shorten_deadline(self, session: Request, deadline_ms: float) -> None:
-        """Answer a session by an earlier deadline than its own, which a successor would still go by."""
-        if session.closed or deadline_ms >= session.arrival.deadline_ms:
+            self._process(api.RequestDropped(request.number))
+            for attempt in request.open_attempts():
+                if attempt.stage is AttemptStage.UNSENT:
+                    self.workers.abandon_attempt(attempt)
+                    self.finish_attempt(attempt, api.Outcome.CANCELLED)
+
+    def shorten_deadline(self, request: Request, deadline_ms: float) -> None:
+        """Answer a request by an earlier deadline. A successor that takes it over uses the original one."""
+        if request.closed or deadline_ms >= request.arrival.deadline_ms:
             return
-        if session.timer is not None:
-            session.timer.cancel()
-        session.timer = self.clock.call_at(deadline_ms, partial(self._on_deadline, session))
-        self._feed(api.DeadlineShortened(session.number, deadline_ms))
-
-    def withdraw_unsent(self, session: Request) -> bool:
-        """Take a session back that no server has been sent; False if one may have it. It gets no answer."""
-        if session.may_have_run or not self._close(session):
+        if request.timer is not None:
+            request.timer.cancel()
+        request.timer = self.clock.call_at(deadline_ms, partial(self._on_deadline, request))
+        self._process(api.DeadlineShortened(request.number, deadline_ms))
+
+    def withdraw_unsent(self, request: Request) -> bool:
+        """Close a request without an answer if no worker can have executed it; return whether it was."""
+        if request.may_have_run or not self._close(request):
             return False
         self.counts["withdrawn"] += 1
-        self._feed(api.RequestDropped(session.number))
+        self._process(api.RequestDropped(request.number))
         return True
 
-    def hand_over(self, session: Request) -> Attempt | None:
-        """Another process waits for the session's end from now on; None if that can't be.
+    def hand_over(self, request: Request) -> Attempt | None:
+        """Release a request to another process and return its open attempt; None if that is not possible.
 
-        It can where one dispatch is out and its server has said that it has the job. Nothing is said to the
-        client or the server, nor to the module, which is about to end with this process.
+        It is possible if exactly one attempt is open and its worker has confirmed that it has the job.
+        Neither client nor worker is notified, nor the decision module, which ends with this process.
         """
-        out = session.open_attempts()
-        if session.closed or len(out) != 1 or out[0].stage is not AttemptStage.ACCEPTED:
+        open_attempts = request.open_attempts()
+        if request.closed or len(open_attempts) != 1 or open_attempts[0].stage is not AttemptStage.ACCEPTED:
             return None
-        self._close(session)
-        self.requests.pop(session.number, None)
-        for timer in (session.timer, out[0].timer):
+        self._close(request)
+        self.requests.pop(request.number, None)
+        for timer in (request.timer, open_attempts[0].timer):
             if timer is not None:
                 timer.cancel()
         self.counts["let_go"] += 1
-        return out[0]
+        return open_attempts[0]
 
-    def cancel_request(self, session: Request) -> None:
-        """The client wants it cancelled: at once if no dispatch may have run, else the server is asked.
+    def cancel_request(self, request: Request) -> None:
+        """Cancel a request for its client: at once if no attempt was written, else by asking the workers.
 
-        Then whatever comes first decides: its end, the server's word that it is cancelled, or the deadline.
+        A request whose workers were asked ends with the first of three events: an attempt ends, the worker
+        confirms that it has cancelled, or the deadline passes.
         """
-        if session.closed or session.cancel_requested:
+        if request.closed or request.cancel_requested:
             return
-        session.cancel_requested = True
-        running = [d for d in session.open_attempts() if d.stage is not AttemptStage.UNSENT]
+        request.cancel_requested = True
+        running = [a for a in request.open_attempts() if a.stage is not AttemptStage.UNSENT]
         if not running:
-            self._terminated(session)
-        for dispatch in running:
-            self.workers.cancel_attempt(dispatch)
+            self._close_cancelled(request)
+        for attempt in running:
+            self.workers.cancel_attempt(attempt)
 
-    def _terminated(self, session: Request) -> None:
-        if self._close(session):
+    def _close_cancelled(self, request: Request) -> None:
+        if self._close(request):
             self.counts["cancelled_by_client"] += 1
-            session.listener.on_cancelled(session)
-            self._feed(api.RequestDropped(session.number))
+            request.listener.on_cancelled(request)
+            self._process(api.RequestDropped(request.number))
 
-    # What the servers' side says.
+    # Called on behalf of workers.
 
-    def on_attempt_cancelled(self, dispatch: Attempt) -> None:
-        """A server says that it has cancelled a dispatch as asked."""
-        if dispatch.outcome is None:
-            if dispatch.request.cancel_requested:
-                self._terminated(dispatch.request)
-            self.finish_attempt(dispatch, api.Outcome.CANCELLED)
+    def on_attempt_cancelled(self, attempt: Attempt) -> None:
+        """A worker has confirmed that it has cancelled an attempt as asked."""
+        if attempt.outcome is None:
+            if attempt.request.cancel_requested:
+                self._close_cancelled(attempt.request)
+            self.finish_attempt(attempt, api.Outcome.CANCELLED)
 
-    def confirm_send(self, dispatch: Attempt) -> bool:
-        """Asked right before the first byte: while the connection came up, a drain may have been told, the
-        client may have left, or the time of a repeat may have passed.
+    def confirm_send(self, attempt: Attempt) -> bool:
+        """Return whether an attempt may still be sent, and audit it if so; called before its first byte.
+
+        While the connection was being established its worker may have been drained, the client may have
+        disconnected, or the time limit of a retry may have passed.
         """
-        may = (
-            dispatch.outcome is None
-            and not dispatch.request.closed
-            and not dispatch.request.cancel_requested
-            and self.clock.now_ms() <= dispatch.send_deadline_ms
-            and self.table.accepts_work(dispatch.worker)
-            and dispatch.request.listener.before_send(dispatch)
+        allowed = (
+            attempt.outcome is None
+            and not attempt.request.closed
+            and not attempt.request.cancel_requested
+            and self.clock.now_ms() <= attempt.send_deadline_ms
+            and self.table.accepts_work(attempt.worker)
+            and attempt.request.listener.before_send(attempt)
         )
-        if may:
-            self.on_audited_action("retry" if dispatch.number else "send", dispatch.request, dispatch.worker)
-        return may
-
-    def on_progress(self, dispatch: Attempt, done: float | None) -> None:
-        """A job has started (None) or got so far."""
-        if dispatch.outcome is None:
-            number = dispatch.request.number
-            self._feed(
-                api.AttemptStarted(number, dispatch.number, dispatch.worker)
+        if allowed:
+            self.on_audited_action("retry" if attempt.number else "send", attempt.request, attempt.worker)
+        return allowed
+
+    def on_progress(self, attempt: Attempt, done: float | None) -> None:
+        """A job has started (`done` is None) or reported the share of it that is done."""
+        if attempt.outcome is None:
+            number = attempt.request.number
+            self._process(
+                api.AttemptStarted(number, attempt.number, attempt.worker)
                 if done is None
-                else api.AttemptProgress(number, dispatch.number, dispatch.worker, done)
+                else api.AttemptProgress(number, attempt.number, attempt.worker, done)
             )
 
     def finish_attempt(
         self,
-        dispatch: Attempt,
+        attempt: Attempt,
         outcome: api.Outcome,
-        report: Mapping[str, float] = NO_REPORT,
+        report: Mapping[str, float] = EMPTY_REPORT,
         result: bytes = b"",
     ) -> None:
-        """A dispatch has ended. Only the first word counts: call-backs repeat and cross other ends."""
-        if dispatch.outcome is not None:
+        """Record how an attempt ended. Later calls are ignored: call-backs may be repeated or late."""
+        if attempt.outcome is not None:
             return
-        dispatch.outcome = outcome
-        if dispatch.timer is not None:
-            dispatch.timer.cancel()
-        session = dispatch.request
+        attempt.outcome = outcome
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        request = attempt.request
         self.counts[outcome.value] += 1
-        if outcome is api.Outcome.OK and self._close(session):
+        if outcome is api.Outcome.OK and self._close(request):
             self.counts["served"] += 1
-            session.listener.on_served(session, result)
-        session.listener.on_attempt_ended(dispatch)
-        self.on_attempt_ended(dispatch)
-        self._forget(session)
-        elapsed = self.clock.now_ms() - dispatch.sent_ms
-        self._feed(
+            request.listener.on_served(request, result)
+        request.listener.on_attempt_ended(attempt)
+        self.on_attempt_ended(attempt)
+        self._remove_if_done(request)
+        elapsed = self.clock.now_ms() - attempt.sent_ms
+        self._process(
             api.AttemptEnded(
-                session.number, dispatch.number, dispatch.worker, outcome, elapsed, session.closed, report
+                request.number, attempt.number, attempt.worker, outcome, elapsed, request.closed, report
             )
         )
-        if session.cancel_requested and not session.open_attempts():
-            self._terminated(session)
+        if request.cancel_requested and not request.open_attempts():
+            self._close_cancelled(request)
 
     def on_probe_ended(
-        self, server: str, outcome: api.Outcome, elapsed_ms: float, report: Mapping[str, float]
+        self, worker: str, outcome: api.Outcome, elapsed_ms: float, report: Mapping[str, float]
     ) -> None:
         """A probe has ended."""
-        self._feed(api.ProbeEnded(server, outcome, elapsed_ms, report))
+        self._process(api.ProbeEnded(worker, outcome, elapsed_ms, report))
 
-    # The module's events and actions.
+    # Events and actions of the decision module.
 
-    def _feed(self, event: api.Event, least_ms: float = 0.0) -> None:
-        self.events.append((event, least_ms))
-        if self.feeding:  # an action had this event follow at once: it waits its turn
+    def _process(self, event: api.Event, earliest_ms: float = 0.0) -> None:
+        self.events.append((event, earliest_ms))
+        if self.processing:  # the event was caused by an action; the loop of the outer call handles it
             return
-        self.feeding = True
+        self.processing = True
         try:
             while self.events:
-                event, least_ms = self.events.popleft()
-                for action in self._decide(max(least_ms, self.clock.now_ms()), event):
+                event, earliest_ms = self.events.popleft()
+                for action in self._decide(max(earliest_ms, self.clock.now_ms()), event):
                     self._execute(action)
         finally:
-            self.feeding = False
+            self.processing = False
 
     def _decide(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Return what the decision module decides on an event.
+        """Return the actions that the decision module returns for an event.
 
-        Where it raises, what it had decided before is carried out, and a request that has just arrived is
-        rejected. All other requests stay as they are: each is answered by its deadline at the latest.
+        If it raises, the actions up to then are executed, and a request that has just arrived is rejected.
+        All other requests stay as they are: each is answered by its deadline at the latest.
         """
         try:
             return self.policy.handle(now_ms, event)
-        except Exception:  # whatever it is: the other events and requests must not suffer from it
+        except Exception:  # of any kind: other events and requests must not be affected
             self._log_fault(now_ms, event)
             actions = self.policy.take_actions()
             sent = {action.request for action in actions if isinstance(action, api.Send)}
@@ -251,85 +253,88 @@
             return actions
 
     def _log_fault(self, now_ms: float, event: api.Event) -> None:
-        """Count and log a fault of the decision module; to be called while its exception is handled."""
+        """Count and log an exception of the decision module; to be called while it is handled."""
         self.counts["decision_faults"] += 1
         if now_ms < self.next_fault_log_ms:
             return
         self.next_fault_log_ms = now_ms + FAULT_LOG_INTERVAL_MS
-        kv = {"on": type(event).__name__, "faults": self.counts["decision_faults"]}
-        log.exception("decision_failed", extra={"kv": kv})
+        fields = {"on": type(event).__name__, "faults": self.counts["decision_faults"]}
+        log.exception("decision_failed", extra={"kv": fields})
 
     def _execute(self, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
-            # Fired as at its time at the earliest: a loop's timers may be a little early.
-            fired = partial(self._feed, api.TimerFired(action.token), action.at_ms)
-            self.clock.call_at(action.at_ms, fired)
+            # The event's time is never before the timer's: timers of an event loop may fire a little early.
+            fire = partial(self._process, api.TimerFired(action.token), action.at_ms)
+            self.clock.call_at(action.at_ms, fire)
         elif isinstance(action, api.Probe):
             self.workers.probe(action.worker)
         elif isinstance(action, api.WatchList | api.FetchList):
-            pass  # the program watches discovery all the time
+            pass  # the program always watches discovery
         else:
-            session = self.requests.get(action.request)
-            if session is None:
-                return  # it ended while this action was on its way; its number is never used again
+            request = self.requests.get(action.request)
+            if request is None:
+                return  # it ended before this action was executed; its number is never reused
             if isinstance(action, api.Send):
-                self._send(session, action)
+                self._send(request, action)
             elif isinstance(action, api.Cancel):
-                self._cancel_attempt(session, action)
+                self._cancel_attempt(request, action)
             else:
-                self._answer(session, action)
+                self._answer(request, action)
 
-    def _send(self, session: Request, action: api.Send) -> None:
-        if session.closed or session.cancel_requested:
+    def _send(self, request: Request, action: api.Send) -> None:
+        if request.closed or request.cancel_requested:
             return
         now = self.clock.now_ms()
-        dispatch = Attempt(session, len(session.attempts), action.worker, now, action.by_ms)
-        session.attempts.append(dispatch)
+        attempt = Attempt(request, len(request.attempts), action.worker, now, action.by_ms)
+        request.attempts.append(attempt)
         if action.timeout_ms is not None:
-            dispatch.timer = self.clock.call_at(now + action.timeout_ms, partial(self._timed_out, dispatch))
+            attempt.timer = self.clock.call_at(now + action.timeout_ms, partial(self._on_timeout, attempt))
         self.counts["dispatches"] += 1
         self.sent_by_worker[action.worker] += 1
-        self.on_attempt_sent(dispatch)
-        self.workers.send_attempt(dispatch)
-
-    def _cancel_attempt(self, session: Request, action: api.Cancel) -> None:
-        dispatch = session.attempts[action.attempt]
-        if not action.at_once and dispatch.stage is not AttemptStage.UNSENT:
-            # Only what the server has said it has: the word could overtake the job, which would run then.
-            if dispatch.outcome is None and dispatch.stage is AttemptStage.ACCEPTED:
-                self.on_audited_action("cancel", session, dispatch.worker)
-                self.workers.cancel_attempt(dispatch)
-        elif dispatch.outcome is None:
-            self.on_audited_action("cancel", session, dispatch.worker)
-            self.workers.abandon_attempt(dispatch)
-            self.finish_attempt(dispatch, api.Outcome.CANCELLED)
-
-    def _timed_out(self, dispatch: Attempt) -> None:
-        if dispatch.outcome is None:
-            self.workers.abandon_attempt(dispatch)
-            self.finish_attempt(dispatch, api.Outcome.TIMEOUT)
-
-    def _on_deadline(self, session: Request, again: bool = False) -> None:
-        """The deadline: nothing is waited for any longer, and the session is answered whatever happened."""
-        if not again:
-            # Guards against a long turn of the loop: a call that the module asked for at once, a tick before
-            # the deadline, stands behind the timers that fell due meanwhile, and would be overtaken by this.
-            session.timer = self.clock.call_at(self.clock.now_ms(), partial(self._on_deadline, session, True))
+        self.on_attempt_sent(attempt)
+        self.workers.send_attempt(attempt)
+
+    def _cancel_attempt(self, request: Request, action: api.Cancel) -> None:
+        attempt = request.attempts[action.attempt]
+        if not action.at_once and attempt.stage is not AttemptStage.UNSENT:
+            # Only a job that the worker has confirmed: the cancellation could overtake another one, which
+            # would then run.
+            if attempt.outcome is None and attempt.stage is AttemptStage.ACCEPTED:
+                self.on_audited_action("cancel", request, attempt.worker)
+                self.workers.cancel_attempt(attempt)
+        elif attempt.outcome is None:
+            self.on_audited_action("cancel", request, attempt.worker)
+            self.workers.abandon_attempt(attempt)
+            self.finish_attempt(attempt, api.Outcome.CANCELLED)
+
+    def _on_timeout(self, attempt: Attempt) -> None:
+        if attempt.outcome is None:
+            self.workers.abandon_attempt(attempt)
+            self.finish_attempt(attempt, api.Outcome.TIMEOUT)
+
+    def _on_deadline(self, request: Request, rescheduled: bool = False) -> None:
+        """Abandon all attempts and answer the request, whatever its state."""
+        if not rescheduled:
+            # After a long turn of the event loop several timers are due together. The decision module acts a
+            # tick before the deadline, but an action that it scheduled for now is queued behind this call.
+            # Scheduling this once more lets such an action run first.
+            request.timer = self.clock.call_at(self.clock.now_ms(), partial(self._on_deadline, request, True))
             return
-        for dispatch in session.open_attempts():
-            self._timed_out(dispatch)
-        if self._close(session):
-            # Guards rule 1 should the decision module let a deadline pass; it has a tick's start.
-            log.error("overdue", extra={"kv": {"call_id": session.call_id}})
-            session.listener.on_failed(session)
-            self._feed(api.RequestDropped(session.number))
+        for attempt in request.open_attempts():
+            self._on_timeout(attempt)
+        if self._close(request):
+            # Only if the decision module has missed the deadline, although it acts a tick earlier: each
+            # request must be answered once.
+            log.error("overdue", extra={"kv": {"call_id": request.call_id}})
+            request.listener.on_failed(request)
+            self._process(api.RequestDropped(request.number))
 
     def open_requests(self) -> list[Request]:
-        """The sessions that are owed an answer."""
+        """Return the requests that are not answered yet."""
         return list(self.open_by_call_id.values())
 
     def take_traffic_counts(self) -> tuple[Counter[str], dict[str, int]]:
-        """Dispatches by server since this was last asked, and those that are out, by server."""
+        """Return, by worker, the attempts sent since the last call, and those that are open."""
         sent, self.sent_by_worker = self.sent_by_worker, Counter()
         return sent, {
             n: worker.attempt_count for n, worker in self.policy.workers.items() if worker.attempt_count
@@ -337,29 +342,29 @@
 
     # Answers.
 
-    def _answer(self, session: Request, action: api.Reject | api.Fail) -> None:
-        if not self._close(session):
+    def _answer(self, request: Request, action: api.Reject | api.Fail) -> None:
+        if not self._close(request):
             return
-        self.on_audited_action("deny" if isinstance(action, api.Reject) else "fail", session, "")
+        self.on_audited_action("deny" if isinstance(action, api.Reject) else "fail", request, "")
         if isinstance(action, api.Reject):
             self.counts["denied"] += 1
-            session.listener.on_rejected(session, action.retry_after_ms)
+            request.listener.on_rejected(request, action.retry_after_ms)
         else:
             self.counts["failed"] += 1
-            session.listener.on_failed(session)
+            request.listener.on_failed(request)
 
-    def _close(self, session: Request) -> bool:
-        """Mark a session as over; False if it was already, so that nothing is answered twice."""
-        if session.closed:
+    def _close(self, request: Request) -> bool:
+        """Mark a request as closed; False if it already was, so that it is answered only once."""
+        if request.closed:
             return False
-        session.closed = True
-        del self.open_by_call_id[session.call_id]
-        self.on_request_closed(session.call_id)
-        self._forget(session)
+        request.closed = True
+        del self.open_by_call_id[request.call_id]
+        self.on_request_closed(request.call_id)
+        self._remove_if_done(request)
         return True
 
-    def _forget(self, session: Request) -> None:
-        if session.closed and not session.open_attempts():
-            self.requests.pop(session.number, None)
-            if session.timer is not None:
-                session.timer.cancel()
+    def _remove_if_done(self, request: Request) -> None:
+        if request.closed and not request.open_attempts():
+            self.requests.pop(request.number, None)
+            if request.timer is not None:
+                request.timer.cancel()
--- a/grebestack/routing/interfaces.py
+++ b/grebestack/routing/interfaces.py
@@ -1,4 +1,7 @@
-"""What the engine asks of the two sides it stands between, and of time. It knows neither side's protocol."""
+"""The interfaces between the engine and its two sides, clients and workers, and its clock.
+
+None of them depends on the protocol of either side.
+"""
 
 from __future__ import annotations
 
@@ -12,75 +15,76 @@
 
 
 class Timer(Protocol):
-    """A call that has been put off."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Let it not happen."""
+        """Cancel the call."""
 
 
 class Clock(Protocol):
     """Monotonic time in milliseconds."""
 
     def now_ms(self) -> float:
-        """The time."""
+        """Return the current time."""
 
     def call_at(self, at_ms: float, call: Callable[[], None]) -> Timer:
-        """Have a call made at a time."""
+        """Schedule a call."""
 
 
 class RequestListener(Protocol):
-    """The client's side of a session.
+    """Receives the events of a request on behalf of its client.
 
-    One of `served`, `denied`, `failed` and `cancelled` is called, once, unless the client left before.
+    Exactly one of `on_served`, `on_rejected`, `on_failed` and `on_cancelled` is called, once, unless the
+    client has disconnected before.
     """
 
-    def before_send(self, dispatch: Attempt) -> bool:
-        """A dispatch's first byte is about to go; False keeps it back."""
+    def before_send(self, attempt: Attempt) -> bool:
+        """The first byte of an attempt is about to be sent; False prevents it."""
 
-    def on_attempt_ended(self, dispatch: Attempt) -> None:
-        """A dispatch has ended."""
+    def on_attempt_ended(self, attempt: Attempt) -> None:
+        """An attempt has ended."""
 
-    def on_served(self, session: Request, result: bytes) -> None:
-        """A server did the job."""
+    def on_served(self, request: Request, result: bytes) -> None:
+        """A worker has done the job."""
 
-    def on_rejected(self, session: Request, retry_after_ms: float | None) -> None:
-        """Not done; trying again is harmless."""
+    def on_rejected(self, request: Request, retry_after_ms: float | None) -> None:
+        """The job was not executed; a retry is harmless."""
 
-    def on_failed(self, session: Request) -> None:
-        """Failed; nothing is promised about the effect."""
+    def on_failed(self, request: Request) -> None:
+        """The request failed; the job may have been executed."""
 
-    def on_cancelled(self, session: Request) -> None:
-        """Terminated as the client asked, before it ended by itself."""
+    def on_cancelled(self, request: Request) -> None:
+        """The request was cancelled as the client asked, before it ended in another way."""
 
 
 class Workers(Protocol):
-    """The servers' side. Whatever it is handed it settles, by `Engine.finish_attempt`, at most once."""
+    """Sends attempts to workers, and reports each end at most once by `Engine.finish_attempt`."""
 
-    def send_attempt(self, dispatch: Attempt) -> None:
-        """Send a session to the server that the dispatch names."""
+    def send_attempt(self, attempt: Attempt) -> None:
+        """Send a request to the worker that the attempt names."""
 
-    def abandon_attempt(self, dispatch: Attempt) -> None:
-        """Stop waiting for a dispatch and tell its server so; nothing is settled for it after this."""
+    def abandon_attempt(self, attempt: Attempt) -> None:
+        """Stop waiting for an attempt and tell its worker so; its end is not reported after this."""
 
-    def cancel_attempt(self, dispatch: Attempt) -> None:
-        """Ask the server to cancel a dispatch; if it does, `Engine.on_attempt_cancelled` follows."""
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Ask the worker to cancel an attempt; if it does, `Engine.on_attempt_cancelled` is called."""
 
-    def probe(self, server: str) -> None:
-        """Ask a server for its load report; the answer goes to `Engine.on_probe_ended`."""
+    def probe(self, worker: str) -> None:
+        """Request the load report of a worker; the response goes to `Engine.on_probe_ended`."""
 
 
 class WorkerListReceiver(Protocol):
-    """What a source of servers speaks to: the server table, or membership before it."""
+    """Receives the lists of a source of workers: the worker table, or membership in front of it."""
 
     @property
     def has_live_list(self) -> bool:
-        """Whether a list from a live source, not only an old one, has come."""
+        """Whether a list from a live source has been received, not only a cached one."""
 
-    def update(self, kind: ListKind, servers: Iterable[WorkerEndpoint]) -> None:
-        """Take a list or changes to it; a server that a whole list leaves out is gone."""
+    def update(self, kind: ListKind, workers: Iterable[WorkerEndpoint]) -> None:
+        """Apply a list or changes to it; a worker that a complete list leaves out is gone."""
 
     def on_unchanged(self) -> None:
-        """The source has answered and nothing has changed."""
+        """The source has responded and nothing has changed."""
 
-    def on_silent(self, why: str) -> None:
-        """The source did not answer."""
+    def on_silent(self, reason: str) -> None:
+        """The source did not respond."""
--- a/grebestack/routing/requests.py
+++ b/grebestack/routing/requests.py
@@ -1,4 +1,4 @@
-"""Records of the engine: a session is what a client asked for, a dispatch is one sending of it."""
+"""Records of the engine: a client's request, and its attempts, each sent to one worker."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """What goes on to a server as it came; the engine never looks inside."""
+    """What is forwarded to a worker unchanged; the engine does not inspect it."""
 
     head: bytes
     body: bytes
 
 
 class AttemptStage(Enum):
-    """How far a dispatch has got."""
+    """How far an attempt has progressed."""
 
-    UNSENT = "waiting"  # its last byte has not gone
-    WRITTEN = "written"  # its last byte may have gone: it may have run
-    ACCEPTED = "accepted"  # the server said that it has it
+    UNSENT = "waiting"  # its last byte has not been written, so it cannot have run
+    WRITTEN = "written"  # its last byte may have been written: it may have run
+    ACCEPTED = "accepted"  # the worker has confirmed that it has the job
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a session to one server."""
+    """One sending of a request to one worker."""
 
     request: Request
     number: int
     worker: str
     sent_ms: float
-    send_deadline_ms: float = math.inf  # its first byte goes by then, or never
+    send_deadline_ms: float = math.inf  # the first byte is sent by then or not at all
     stage: AttemptStage = AttemptStage.UNSENT
     outcome: Outcome | None = None
     timer: Timer | None = None
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request of a client, owed exactly one final answer by its deadline."""
+    """One request of a client, which gets exactly one final answer by its deadline."""
 
     call_id: str
     arrival: RequestArrived
@@ -50,19 +50,19 @@
     listener: RequestListener
     attempts: list[Attempt] = field(default_factory=list)
     closed: bool = False
-    cancel_requested: bool = False  # the client wants it cancelled: it is not sent any more
+    cancel_requested: bool = False  # by the client: no further attempt is sent
     timer: Timer | None = None
 
     @property
     def number(self) -> int:
-        """The number by which the decision module knows it."""
+        """The number that identifies the request in the decision module."""
         return self.arrival.request
 
     @property
     def may_have_run(self) -> bool:
-        """Whether some dispatch is not proven never to have run."""
-        return any(d.outcome is None or not d.outcome.never_ran for d in self.attempts)
+        """Whether some attempt is not proven never to have run."""
+        return any(a.outcome is None or not a.outcome.never_ran for a in self.attempts)
 
     def open_attempts(self) -> list[Attempt]:
-        """The dispatches that have not ended."""
-        return [d for d in self.attempts if d.outcome is None]
+        """The attempts that have not ended."""
+        return [a for a in self.attempts if a.outcome is None]
--- a/grebestack/simhost.py
+++ b/grebestack/simhost.py
@@ -1,6 +1,6 @@
-"""The adapter: speaks the simulator's JSON lines on standard input and output and hosts isolated policies.
+"""The simulator adapter: hosts policies and exchanges JSON lines with the simulator on stdin and stdout.
 
-It only translates. Whatever is decided, `grebestack.core.policy` decides; the instances share nothing.
+It only translates; all decisions are made by `grebestack.core.policy`. The policies share no state.
 """
 
 from __future__ import annotations
@@ -50,25 +50,29 @@
 
 
 class Instance:
-    """One dispatcher's policy and the report names of its site."""
+    """One dispatcher: its policy and the names of its load report fields."""
 
     def __init__(self, raw: Raw) -> None:
         options: Raw = required_field(raw, "options", dict)
-        self.names = report_names(options.get("extra") or {})
+        self.report_names = report_names(options.get("extra") or {})
         self.policy = Policy(parse_settings(options), required_int(raw, "randomSeed"))
 
     def report(self, raw: Raw) -> dict[str, float]:
-        """The load report that came with an outcome or a probe, by the module's names."""
+        """Return the load report in a message, by the decision module's names."""
         stats = raw.get("stats")
         if not stats:
             return {}
         if not isinstance(stats, dict):
             raise FormatError(f"message {raw.get('msg')!r} has a bad value {stats!r} in the field 'stats'")
-        return {self.names.get(str(name), str(name)): float(v) for name, v in stats.items() if v is not None}
+        return {
+            self.report_names.get(str(name), str(name)): float(value)
+            for name, value in stats.items()
+            if value is not None
+        }
 
 
-def _entry(raw: Raw) -> api.WorkerEntry:
-    started = optional_number(raw, "onlineSinceMs")
+def _worker_entry(raw: Raw) -> api.WorkerEntry:
+    started_ms = optional_number(raw, "onlineSinceMs")
     return api.WorkerEntry(
         worker=required_string(raw, "worker"),
         zone=int(optional_number(raw, "rackZone")),
@@ -76,18 +80,18 @@
         cell=int(optional_number(raw, "bay")),
         state=required_choice(raw, "stageState", STATES, str),
         weight=optional_number(raw, "weight", 1.0),
-        started_ms=started if started > 0 else None,
+        started_ms=started_ms if started_ms > 0 else None,
     )
 
 
-def _listed(instance: Instance, raw: Raw) -> api.Event:
+def _workers_listed(instance: Instance, raw: Raw) -> api.Event:
     return api.WorkersListed(
         kind=required_choice(raw, "how", LIST_KINDS, str),
-        workers=tuple(_entry(item) for item in raw.get("items") or ()),
+        workers=tuple(_worker_entry(item) for item in raw.get("items") or ()),
     )
 
 
-def _arrived(instance: Instance, raw: Raw) -> api.Event:
+def _request_arrived(instance: Instance, raw: Raw) -> api.Event:
     return api.RequestArrived(
         request=required_int(raw, "tid"),
         job_class=required_int(raw, "type"),
@@ -101,7 +105,7 @@
     )
 
 
-def _ended(instance: Instance, raw: Raw) -> api.Event:
+def _attempt_ended(instance: Instance, raw: Raw) -> api.Event:
     return api.AttemptEnded(
         request=required_int(raw, "tid"),
         attempt=required_int(raw, "sendNo"),
@@ -113,7 +117,7 @@
     )
 
 
-def _signal(instance: Instance, raw: Raw) -> api.Event | None:
+def _attempt_signal(instance: Instance, raw: Raw) -> api.Event | None:
     request, attempt, worker = (
         required_int(raw, "tid"),
         required_int(raw, "sendNo"),
@@ -126,21 +130,21 @@
     return None
 
 
-def _first(instance: Instance, raw: Raw) -> api.Event:
+def _stream_started(instance: Instance, raw: Raw) -> api.Event:
     return api.StreamStarted(
         required_int(raw, "tid"), required_int(raw, "sendNo"), required_string(raw, "worker")
     )
 
 
-def _dropped(instance: Instance, raw: Raw) -> api.Event:
+def _request_dropped(instance: Instance, raw: Raw) -> api.Event:
     return api.RequestDropped(required_int(raw, "tid"))
 
 
-def _wakeup(instance: Instance, raw: Raw) -> api.Event:
+def _timer_fired(instance: Instance, raw: Raw) -> api.Event:
     return api.TimerFired(required_int(raw, "name"))
 
 
-def _echo(instance: Instance, raw: Raw) -> api.Event:
+def _probe_ended(instance: Instance, raw: Raw) -> api.Event:
     return api.ProbeEnded(
         worker=required_string(raw, "worker"),
         outcome=required_choice(raw, "code", OUTCOMES, int),
@@ -149,25 +153,25 @@
     )
 
 
-def _memo(instance: Instance, raw: Raw) -> None:
-    return None  # the policy sends its peers nothing
+def _ignored_memo(instance: Instance, raw: Raw) -> None:
+    return None  # policies exchange no messages
 
 
-READERS: dict[str, Callable[[Instance, Raw], api.Event | None]] = {
-    "peersKnown": _listed,
-    "submit": _arrived,
-    "ended": _ended,
-    "signal": _signal,
-    "first": _first,
-    "dropped": _dropped,
-    "wakeup": _wakeup,
-    "echo": _echo,
-    "memo": _memo,
+EVENT_READERS: dict[str, Callable[[Instance, Raw], api.Event | None]] = {
+    "peersKnown": _workers_listed,
+    "submit": _request_arrived,
+    "ended": _attempt_ended,
+    "signal": _attempt_signal,
+    "first": _stream_started,
+    "dropped": _request_dropped,
+    "wakeup": _timer_fired,
+    "echo": _probe_ended,
+    "memo": _ignored_memo,
 }
 
 
 def action_message(dispatcher: int, action: api.Action) -> dict[str, Any]:
-    """Put one action into the wire's words."""
+    """Encode an action as a message to the simulator."""
     if isinstance(action, api.Send):
         message = {"msg": "send", "dispatcher": dispatcher, "tid": action.request, "worker": action.worker}
         if action.timeout_ms is not None:
@@ -192,14 +196,14 @@
 
 
 class Host:
-    """Hosts the instances of one process and answers batch by batch."""
+    """Hosts the dispatchers of one process and processes messages in batches."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.now_ms: float | None = None
+        self.now_ms: float | None = None  # of the current batch; None outside of one
 
-    def line(self, text: str) -> list[str]:
-        """Take one line; return the lines to write, which end with `ready` once the batch is complete."""
+    def process_line(self, text: str) -> list[str]:
+        """Process one line; return the lines to write, which end with `ready` once the batch is complete."""
         try:
             raw = json.loads(text)
         except ValueError as error:
@@ -219,10 +223,10 @@
         if message == "overToYou":
             self.now_ms = None
             return ['{"msg":"ready"}']
-        return self._event(message, raw, self.now_ms)
+        return self._process_message(message, raw, self.now_ms)
 
-    def _event(self, message: str, raw: Raw, now_ms: float) -> list[str]:
-        reader = READERS.get(message)
+    def _process_message(self, message: str, raw: Raw, now_ms: float) -> list[str]:
+        reader = EVENT_READERS.get(message)
         if reader is None and message not in ("begin", "halt"):
             raise FormatError(f"unknown message {message!r}")
         dispatcher = required_int(raw, "dispatcher")
@@ -241,22 +245,22 @@
             return [json.dumps(action_message(dispatcher, action)) for action in actions]
         except FormatError:
             raise
-        except Exception as error:  # whatever the module throws ends the day with its cause
-            what = f"{type(error).__name__}: {error}"
-            return [json.dumps({"msg": "panic", "dispatcher": dispatcher, "what": what})]
+        except Exception as error:  # any exception of the decision module ends the simulation, with its cause
+            cause = f"{type(error).__name__}: {error}"
+            return [json.dumps({"msg": "panic", "dispatcher": dispatcher, "what": cause})]
 
 
 def serve(lines: TextIO, out: TextIO, err: TextIO) -> int:
-    """Answer every batch until the input ends; return the exit status."""
+    """Process all batches until the input ends; return the exit status."""
     host = Host()
     pending: list[str] = []
-    for count, text in enumerate(lines, start=1):
+    for number, text in enumerate(lines, start=1):
         if not text.strip():
             continue
         try:
-            replies = host.line(text)
+            replies = host.process_line(text)
         except FormatError as error:
-            print(f"grebestack: input line {count}: {error}", file=err, flush=True)
+            print(f"grebestack: input line {number}: {error}", file=err, flush=True)
             return 1
         pending += replies
         if host.now_ms is None:
@@ -270,7 +274,7 @@
 
 
 def main() -> int:
-    """Run the adapter on the process's own standard streams."""
+    """Run the adapter on the standard streams of the process."""
     for stream in (sys.stdin, sys.stdout):
         stream.reconfigure(encoding="utf-8", errors="strict")  # type: ignore[union-attr]
     try:
--- a/tests/golden/make_decisions.py
+++ b/tests/golden/make_decisions.py
@@ -16,7 +16,7 @@
 
 def record(name: str) -> int:
     """Record one stream; return the number of its events."""
-    recording = Simulation(SCENARIOS[name], Host().line).run()
+    recording = Simulation(SCENARIOS[name], Host().process_line).run()
     streams.write(streams.input_path(name), recording.inputs)
     streams.write(streams.output_path(name), recording.outputs)
     return recording.events
