--- a/tests/dispatcher_group.py
+++ b/tests/dispatcher_group.py
@@ -1,6 +1,7 @@
-"""Several real dispatchers before stand-in runners, an agent for each, and faults drawn from a seed.
+"""Several real dispatchers with stand-in workers, a list agent for each, and faults chosen by a seed.
 
-The runners' own record of first bytes decides: `late_sends` compares it with what each agent had.
+The workers record when they receive the first byte of a job. `late_sends` compares these times with those at
+which each agent reported a worker as draining.
 """
 
 from __future__ import annotations
@@ -24,45 +25,46 @@
 from tests.ports import reserved_port
 from tests.standins import OPTIONS, wait_until
 
-GRACE_S, SLACK_S, SILENT_S, MOVED_S = 0.25, 0.05, 6.0, 4.0  # the settings' grace, and the page's figures
+# The drain grace of the settings, and the tolerances that the platform's rules define.
+GRACE_S, SLACK_S, SILENT_S, MOVED_S = 0.25, 0.05, 6.0, 4.0
 
 
 @dataclass(frozen=True)
 class Sent:
-    """A first byte that a runner saw."""
+    """The first byte of a job, as received by a worker."""
 
     dispatcher: str
-    server: str
+    worker: str
     at: float
     call_id: str
 
 
-def late_sends(sends: list[Sent], told: dict[tuple[str, str], float], late_s: float) -> list[str]:
-    """Sends to servers that the dispatcher had been told of as leaving, beyond grace, slack and lateness."""
-    wrong = []
+def late_sends(sends: list[Sent], reported_at: dict[tuple[str, str], float], max_delay_s: float) -> list[str]:
+    """Return the sends to workers that were reported as draining for longer than all tolerances."""
+    late = []
     for sent in sends:
-        at = told.get((sent.dispatcher, sent.server))
-        if at is not None and sent.at > at + GRACE_S + SLACK_S + late_s:
-            wrong.append(f"{sent.call_id} went to {sent.server} {sent.at - at:.3f} s after it was told")
-    return wrong
+        at = reported_at.get((sent.dispatcher, sent.worker))
+        if at is not None and sent.at > at + GRACE_S + SLACK_S + max_delay_s:
+            late.append(f"{sent.call_id} went to {sent.worker} {sent.at - at:.3f} s after the report")
+    return late
 
 
 @dataclass
 class Agent:
-    """What a dispatcher's own machine has of the list."""
+    """The agent on a dispatcher's own machine, which serves the endpoint list to it."""
 
     name: str
-    keeps: bool  # whether a watch that a silence finds goes on at its end
-    has: int = 0  # changes of the registry that have come here
+    keeps_watches: bool  # whether open watches continue after an outage
+    version: int = 0  # how many changes of the registry the agent has
     silent: bool = False
-    hushed: float = 0.0  # when the open watches fell silent for good
-    counts: float = 0.0  # nothing here counts as told before this
-    writers: dict[asyncio.StreamWriter, int] = field(default_factory=dict)  # watches, and what they were told
-    asked: int = 0
+    watches_silenced_at: float = 0.0  # when the open watches were silenced for good
+    counts_from: float = 0.0  # no report counts before this time
+    writers: dict[asyncio.StreamWriter, int] = field(default_factory=dict)  # by watch: the version sent
+    request_count: int = 0
 
 
 class DispatcherGroup:
-    """All stand-ins on one loop in a thread of its own."""
+    """Dispatcher processes; their workers, agents and clients run on an event loop in a thread of its own."""
 
     def __init__(self, folder: Path, dispatchers: int, workers: int, workers_per_port: int = 1) -> None:
         self.folder, self.names = folder, [f"n{n}" for n in range(dispatchers)]
@@ -73,11 +75,11 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.sends: list[Sent] = []
         self.reported_at: dict[tuple[str, str], float] = {}
-        self.stamps: list[tuple[str, str, str]] = []  # job, server, and the stamp that it came under
-        self.changes: list[tuple[str, str]] = []  # the registry: server and state
+        self.stamps: list[tuple[str, str, str]] = []  # job, worker, and the stamp in the request's header
+        self.changes: list[tuple[str, str]] = []  # of the registry: worker and new state
         ports = [
             reserved_port() for _ in range(workers // workers_per_port)
-        ]  # one listener may stand for several
+        ]  # one listener may serve several
         self.workers = {f"s-{n}": ports[n % len(ports)] for n in range(workers)}
         self.addresses = {name: ("127.0.0.1", reserved_port()) for name in self.names}
         self.agents: dict[str, Agent] = {}
@@ -87,10 +89,10 @@
         self.max_delay_s = 0.0
         for port in ports:
             uids = [uid for uid, at in self.workers.items() if at == port]
-            self.run_coroutine(asyncio.start_server(self._runner(uids), "127.0.0.1", port))
+            self.run_coroutine(asyncio.start_server(self._serve_jobs(uids), "127.0.0.1", port))
         for name in self.names:
-            self.add_agent(name, keeps=True)
-        threading.Thread(target=self._measure, daemon=True).start()
+            self.add_agent(name, keeps_watches=True)
+        threading.Thread(target=self._measure_delay, daemon=True).start()
         self.clients = 0
 
     def run_coroutine(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
@@ -107,8 +109,8 @@
 
         self.run_coroutine(run())
 
-    def _measure(self) -> None:
-        """The longest that this machine has let a thread wait: what is measured here may be so late."""
+    def _measure_delay(self) -> None:
+        """Record the longest delay of a thread on this machine, by which any recorded time may be late."""
         while not self.stopped:
             before = time.monotonic()
             time.sleep(0.01)
@@ -116,32 +118,32 @@
 
     # Agents.
 
-    def add_agent(self, name: str, keeps: bool) -> None:
-        """A new agent for a dispatcher, at an address of its own; the former one stays as it is."""
-        former = self.agents.get(name)
-        agent = self.agents[name] = Agent(name, keeps)
-        if former is not None:
-            agent.has = former.has
+    def add_agent(self, name: str, keeps_watches: bool) -> None:
+        """Start a new agent for a dispatcher, at a new address; the previous one keeps running."""
+        previous = self.agents.get(name)
+        agent = self.agents[name] = Agent(name, keeps_watches)
+        if previous is not None:
+            agent.version = previous.version
         self.ports[name] = reserved_port()
         self.run_coroutine(asyncio.start_server(self._watch(agent), "127.0.0.1", self.ports[name]))
 
     def _watch(self, agent: Agent) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Any]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
-                await listen(reader, writer)
+                await watch(reader, writer)
             except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
                 writer.close()
 
-        async def listen(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = await reader.readuntil(b"\r\n\r\n")
-            agent.asked += 1
+            agent.request_count += 1
             assert head.startswith(b"GET /registry/instances?follow=1&since=")
-            agent.writers[writer] = -1  # the first line is the whole list
-            if agent.silent and not agent.keeps:
-                del agent.writers[writer]  # it is open and will never say anything
+            agent.writers[writer] = -1  # the first line is the complete list
+            if agent.silent and not agent.keeps_watches:
+                del agent.writers[writer]  # it is open but will stay silent
                 await reader.read()
                 return
-            self._tell(agent)
+            self._send_list(agent)
             while writer in agent.writers and not writer.is_closing():
                 await asyncio.sleep(1.0)
                 if writer in agent.writers and not agent.silent:
@@ -150,21 +152,21 @@
 
         return serve
 
-    def _tell(self, agent: Agent) -> None:
+    def _send_list(self, agent: Agent) -> None:
         if agent.silent:
             return
-        for writer, told in list(agent.writers.items()):
-            if told == agent.has + 1:
+        for writer, version in list(agent.writers.items()):
+            if version == agent.version + 1:
                 continue
-            if told < 0:
+            if version < 0:
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            text = json.dumps(self.listing(agent.has), indent=1 if agent.has % 2 else None) + "\n"
-            agent.writers[writer] = agent.has + 1
+            text = json.dumps(self.listing(agent.version), indent=1 if agent.version % 2 else None) + "\n"
+            agent.writers[writer] = agent.version + 1
             writer.write(b"%x\r\n%s\r\n" % (len(text), text.encode()))
 
-    def listing(self, has: int) -> dict[str, Any]:
-        """The whole list after so many changes."""
-        states = {uid: "Ready" for uid in self.workers} | dict(self.changes[:has])
+    def listing(self, version: int) -> dict[str, Any]:
+        """Return the complete list after this many changes."""
+        states = {uid: "Ready" for uid in self.workers} | dict(self.changes[:version])
         targets = [
             {
                 "uid": uid,
@@ -177,73 +179,77 @@
             }
             for uid, state in states.items()
         ]
-        return {"rev": has + 1, "all": True, "targets": targets}
+        return {"rev": version + 1, "all": True, "targets": targets}
 
     def update_agent(self, name: str) -> None:
-        """An agent gets what the registry has, unless it is silent."""
+        """Update an agent from the registry, unless it is silent."""
         agent, now = self.agents[name], time.monotonic()
         if agent.silent:
             return
-        for uid, _ in self.changes[agent.has :]:
-            told = max(now, agent.counts, agent.hushed + SILENT_S if agent.hushed else 0.0)
-            self.reported_at.setdefault((name, uid), told)
-        agent.has = len(self.changes)
-        self._tell(agent)
+        for uid, _ in self.changes[agent.version :]:
+            reported_at = max(
+                now,
+                agent.counts_from,
+                agent.watches_silenced_at + SILENT_S if agent.watches_silenced_at else 0.0,
+            )
+            self.reported_at.setdefault((name, uid), reported_at)
+        agent.version = len(self.changes)
+        self._send_list(agent)
 
     def drain_busiest_workers(self) -> None:
-        """The servers that dispatchers use most just now leave; agents that speak get it at once."""
+        """Drain the workers that are used most at present; agents that are not silent are updated at once."""
 
-        def act() -> None:
-            gone = {uid for uid, _ in self.changes}
+        def apply() -> None:
+            drained = {uid for uid, _ in self.changes}
             for name in self.names:
-                mine = [s.server for s in self.sends[-60:] if s.dispatcher == name]
-                used = Counter(uid for uid in mine if uid not in gone)
+                own = [s.worker for s in self.sends[-60:] if s.dispatcher == name]
+                used = Counter(uid for uid in own if uid not in drained)
                 if used:
-                    gone.add(used.most_common(1)[0][0])
+                    drained.add(used.most_common(1)[0][0])
                     self.changes.append((used.most_common(1)[0][0], "Terminating"))
             for name in self.names:
                 self.update_agent(name)
 
-        self.run_on_loop(act)
+        self.run_on_loop(apply)
 
-    def set_agents_silent(self, on: bool, keeps: bool = True) -> None:
-        """All agents are silent and learn nothing, or come back and learn all at once."""
+    def set_agents_silent(self, on: bool, keeps_watches: bool = True) -> None:
+        """Silence all agents and stop updating them, or end that and update them."""
 
-        def act() -> None:
+        def apply() -> None:
             for name, agent in self.agents.items():
                 if on:
-                    agent.keeps = keeps
-                    agent.writers = agent.writers if keeps else {}
+                    agent.keeps_watches = keeps_watches
+                    agent.writers = agent.writers if keeps_watches else {}
                 agent.silent = on
                 if not on:
-                    agent.hushed = 0.0
+                    agent.watches_silenced_at = 0.0
                     self.update_agent(name)
 
-        self.run_on_loop(act)
+        self.run_on_loop(apply)
 
     def silence_open_watches(self) -> None:
-        """What is open falls silent for good; new watches are answered."""
+        """Silence all open watches for good; new watches are answered."""
 
-        def act() -> None:
+        def apply() -> None:
             for agent in self.agents.values():
-                agent.writers, agent.hushed = {}, time.monotonic()
+                agent.writers, agent.watches_silenced_at = {}, time.monotonic()
 
-        self.run_on_loop(act)
+        self.run_on_loop(apply)
 
     def reset_watches(self) -> None:
-        """The open watches are reset."""
+        """Reset all open watches."""
 
-        def act() -> None:
+        def apply() -> None:
             for agent in self.agents.values():
                 for writer in agent.writers:
                     writer.transport.abort()
                 agent.writers = {}
 
-        self.run_on_loop(act)
+        self.run_on_loop(apply)
 
-    # Runners.
+    # Workers.
 
-    def _runner(self, uids: list[str]) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Any]:
+    def _serve_jobs(self, uids: list[str]) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Any]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 while first := await reader.read(1):
@@ -260,7 +266,7 @@
                         self.stamps.append((call_id, uids[0], stamp.group(1).decode()))
                     self.sends.append(Sent(call_id.partition("-")[0], uids[0], at, call_id))
                     writer.write(b"HTTP/1.1 202 Taken\r\nContent-Length: 0\r\n\r\n")
-                    for uid in uids:  # those of others are passed over
+                    for uid in uids:  # call-backs of the wrong workers are ignored
                         self.spawn(self._call_back(uid, call_id))
             except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
                 writer.close()
@@ -274,7 +280,7 @@
         await self._post(call_id.partition("-")[0], head + body)
 
     async def _post(self, name: str, request: bytes) -> None:
-        """One request to a dispatcher on a connection of its own."""
+        """Send a request to a dispatcher on a new connection."""
         try:
             reader, writer = await asyncio.open_connection(*self.addresses[name])
             writer.write(request)
@@ -286,7 +292,7 @@
     # Dispatchers and their clients.
 
     def write_config(self, name: str) -> Path:
-        """What a dispatcher reads at a start and at SIGHUP; the list it holds is its agent's."""
+        """Write the file that a dispatcher reads at a start and at SIGHUP; its list is that of the agent."""
         path = self.folder / f"{name}.json"
         path.write_text(
             json.dumps(
@@ -294,7 +300,7 @@
                     "settings": self.settings,
                     "seed": "1f",
                     "limits": {"sockets": 256},
-                    "known": self.listing(self.agents[name].has),
+                    "known": self.listing(self.agents[name].version),
                     "discovery": f"127.0.0.1:{self.ports[name]}",
                 }
             )
@@ -302,7 +308,7 @@
         return path
 
     def start(self, name: str) -> None:
-        """Start a dispatcher, or start it anew."""
+        """Start or restart a dispatcher."""
         environ = {
             "RELAY_NAME": name,
             "RELAY_CONFIG": str(self.write_config(name)),
@@ -322,14 +328,14 @@
         self.processes[name].wait()
 
     def move_agent(self, name: str) -> None:
-        """A new configuration names another agent: what it has counts some seconds later."""
-        self.add_agent(name, keeps=True)
-        self.agents[name].counts = time.monotonic() + MOVED_S
+        """Move a dispatcher to a new agent by a new configuration; its reports count some seconds later."""
+        self.add_agent(name, keeps_watches=True)
+        self.agents[name].counts_from = time.monotonic() + MOVED_S
         self.write_config(name)
         self.processes[name].send_signal(signal.SIGHUP)
 
     def send_traffic(self, every_s: float) -> None:
-        """Clients that send to each dispatcher without a pause."""
+        """Have clients send jobs to each dispatcher continuously."""
 
         async def run() -> None:
             while not self.stopped:
@@ -348,7 +354,7 @@
         asyncio.run_coroutine_threadsafe(run(), self.loop)
 
     def is_serving(self, name: str) -> bool:
-        """Whether a runner has just got something from this dispatcher."""
+        """Whether a worker has received a job from this dispatcher in the last half second."""
         return any(sent.dispatcher == name and sent.at > time.monotonic() - 0.5 for sent in self.sends[-400:])
 
     def close(self) -> None:
@@ -368,52 +374,52 @@
 
 
 def run_fault_scenario(folder: Path, seed: int) -> DispatcherGroup:
-    """All kinds of faults, in an order and with times drawn from the seed."""
-    drawn = random.Random(seed)
-    yard = DispatcherGroup(folder, dispatchers=3, workers=16)
+    """Run all kinds of faults; the seed determines their order and times."""
+    randomness = random.Random(seed)
+    group = DispatcherGroup(folder, dispatchers=3, workers=16)
     try:
-        for name in yard.names:
-            yard.start(name)
-        yard.send_traffic(0.02)
-        wait_until(lambda: all(yard.is_serving(name) for name in yard.names))
-
-        def outage() -> None:
-            yard.set_agents_silent(True, keeps=drawn.random() < 0.5)
-            time.sleep(drawn.uniform(0.5, 2.0))
-            victim = drawn.choice(yard.names)
-            yard.kill(victim)
-            yard.start(victim)
-            time.sleep(drawn.uniform(2.5, 4.0))
-            yard.drain_busiest_workers()
-            yard.set_agents_silent(False)
-
-        def hush() -> None:
-            yard.silence_open_watches()
-            time.sleep(drawn.uniform(0.0, 1.0))
-            yard.drain_busiest_workers()
+        for name in group.names:
+            group.start(name)
+        group.send_traffic(0.02)
+        wait_until(lambda: all(group.is_serving(name) for name in group.names))
+
+        def agent_outage() -> None:
+            group.set_agents_silent(True, keeps_watches=randomness.random() < 0.5)
+            time.sleep(randomness.uniform(0.5, 2.0))
+            victim = randomness.choice(group.names)
+            group.kill(victim)
+            group.start(victim)
+            time.sleep(randomness.uniform(2.5, 4.0))
+            group.drain_busiest_workers()
+            group.set_agents_silent(False)
+
+        def silent_watches() -> None:
+            group.silence_open_watches()
+            time.sleep(randomness.uniform(0.0, 1.0))
+            group.drain_busiest_workers()
             time.sleep(3.0)
-            yard.silence_open_watches()  # and those opened since once more
-            yard.drain_busiest_workers()
+            group.silence_open_watches()  # also those that were opened since
+            group.drain_busiest_workers()
             time.sleep(SILENT_S)
 
-        def reset() -> None:
-            yard.reset_watches()
-            time.sleep(drawn.uniform(0.1, 0.6))
-            yard.drain_busiest_workers()
+        def reset_connections() -> None:
+            group.reset_watches()
+            time.sleep(randomness.uniform(0.1, 0.6))
+            group.drain_busiest_workers()
 
-        def move() -> None:
-            name = drawn.choice(yard.names)
-            yard.move_agent(name)
-            time.sleep(drawn.uniform(0.0, 1.0))
-            yard.drain_busiest_workers()
+        def move_to_new_agent() -> None:
+            name = randomness.choice(group.names)
+            group.move_agent(name)
+            time.sleep(randomness.uniform(0.0, 1.0))
+            group.drain_busiest_workers()
             time.sleep(MOVED_S)
 
-        phases = [outage, hush, reset, move]
-        drawn.shuffle(phases)
-        for phase in phases:
-            phase()
+        faults = [agent_outage, silent_watches, reset_connections, move_to_new_agent]
+        randomness.shuffle(faults)
+        for fault in faults:
+            fault()
             time.sleep(1.0)
-        wait_until(lambda: all(yard.is_serving(name) for name in yard.names))
+        wait_until(lambda: all(group.is_serving(name) for name in group.names))
     finally:
-        yard.close()
-    return yard
+        group.close()
+    return group
--- a/tests/loop_dispatcher.py
+++ b/tests/loop_dispatcher.py
@@ -1,7 +1,7 @@
-"""One dispatcher's front, engine and connections on a loop of the test's own, between peers made of sockets.
+"""One dispatcher's API, engine and connections on a test's own event loop, between clients and workers.
 
-Peers write and read by plain calls that don't wait, so that a test puts two events into one turn of the loop
-in whichever order it wants; connections to servers come up when the test opens the gate.
+Clients and workers read and write without blocking, so that a test can put two events into one turn of the
+loop in any order. Connections to workers are established only while the test keeps the gate open.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from grebestack.transport.server import Acceptor
 from tests.policy_driver import BASE, IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT
 
-WAIT_TIMEOUT_S = 20.0  # what does not happen by then does not happen
+WAIT_TIMEOUT_S = 20.0  # a condition that is not met by then is taken to be never met
 
 
 class GatedPools(Pools):
-    """Connections begin to come up while the gate is open."""
+    """Connections are established only while the gate is open."""
 
     gate: asyncio.Event
 
@@ -39,7 +39,7 @@
 
 
 class Peer:
-    """A server's listening socket and what came on its connections."""
+    """A worker: its listening socket, its connections and what was received on them."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -50,18 +50,18 @@
         self.ended: set[int] = set()  # connections that the dispatcher has ended
 
     def read_available(self) -> None:
-        """Accept and read whatever is there."""
+        """Accept and read whatever is available."""
         try:
             while True:
-                taken, _ = self.listener.accept()
-                taken.setblocking(False)
+                connection, _ = self.listener.accept()
+                connection.setblocking(False)
                 self.received[len(self.connections)] = b""
-                self.connections.append(taken)
+                self.connections.append(connection)
         except BlockingIOError:
             pass
-        for number, taken in enumerate(self.connections):
+        for number, connection in enumerate(self.connections):
             try:
-                while number not in self.ended and (data := taken.recv(65536)):
+                while number not in self.ended and (data := connection.recv(65536)):
                     self.received[number] += data
                 self.ended.add(number)
             except BlockingIOError:
@@ -70,7 +70,7 @@
                 self.ended.add(number)
 
     def complete_requests(self) -> list[bytes]:
-        """The requests of which the last byte has come; a DELETE counts as well."""
+        """Return the requests whose head is complete, including DELETE requests."""
         self.read_available()
         return [data for data in self.received.values() if b"\r\n\r\n" in data]
 
@@ -78,14 +78,14 @@
         self.connections[number].send(data)
 
     def reset(self, number: int) -> None:
-        """End a connection as a process that dies does."""
+        """Reset a connection, as the death of a process does."""
         self.connections[number].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.connections[number].close()
         self.ended.add(number)
 
     def close(self) -> None:
-        for one in (self.listener, *self.connections):
-            one.close()
+        for sock in (self.listener, *self.connections):
+            sock.close()
 
 
 class Client:
@@ -103,7 +103,7 @@
     def send_job(
         self, call_id: str, job_class: str = "view", headers: str = "", body: bytes = b"body"
     ) -> None:
-        """Ask for a job."""
+        """Post a job."""
         key = f"Idempotency-Key: {call_id}\r\n"
         self.send(
             f"POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: {call_id}\r\nX-Call-Class: {job_class}\r\n{key}"
@@ -124,18 +124,18 @@
 
     @property
     def status(self) -> int:
-        """Of the first answer, 0 without one."""
-        line = self.read_available().partition(b"\r\n\r\n")
-        return int(line[0].split(b" ")[1]) if line[1] else 0
+        """The status of the first answer; 0 if there is none."""
+        head = self.read_available().partition(b"\r\n\r\n")
+        return int(head[0].split(b" ")[1]) if head[1] else 0
 
     def close(self) -> None:
         self.socket.close()
 
 
 class InProcessDispatcher:
-    """What is between the peers."""
+    """The dispatcher between clients and workers, all in this process."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, settings: api.Settings, servers: int) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: api.Settings, worker_count: int) -> None:
         self.loop = loop
         self.table = WorkerTable()
         self.engine = Engine(settings, 1, LoopClock(loop), self.table)
@@ -146,21 +146,21 @@
         self.front = PlatformApi(self.engine, settings, self.runners.on_callback)
         self.front.ready = True
         self.acceptor = Acceptor(self.front, 64)
-        self.peers = [Peer() for _ in range(servers)]
+        self.peers = [Peer() for _ in range(worker_count)]
         self.clients: list[Client] = []
         self.set_worker_states("Ready" for _ in self.peers)
 
-    async def begin(self) -> None:
+    async def listen(self) -> None:
         self.server = await self.loop.create_server(self.acceptor, "127.0.0.1", 0)
         self.address: tuple[str, int] = self.server.sockets[0].getsockname()
 
     def set_worker_states(self, states: Iterable[str]) -> None:
-        """What discovery tells."""
-        named = {"Ready": api.WorkerState.READY, "Terminating": api.WorkerState.DRAINING}
+        """Apply an endpoint list with a state for each worker."""
+        worker_states = {"Ready": api.WorkerState.READY, "Terminating": api.WorkerState.DRAINING}
         self.table.update(
             api.ListKind.FULL,
             [
-                WorkerEndpoint(api.WorkerEntry(f"s{n}", state=named[state]), peer.address)
+                WorkerEndpoint(api.WorkerEntry(f"s{n}", state=worker_states[state]), peer.address)
                 for n, (peer, state) in enumerate(zip(self.peers, states, strict=True))
             ],
         )
@@ -169,33 +169,33 @@
         self.clients.append(Client(self.address))
         return self.clients[-1]
 
-    def call_back(self, call_id: str, server: str, state: str = "done", **more: Any) -> None:
-        """A call-back, taken in this very turn."""
-        what = {"id": call_id, "from": server, "state": state} | more
-        self.runners.on_callback(json.dumps(what).encode())
+    def call_back(self, call_id: str, worker: str, state: str = "done", **fields: Any) -> None:
+        """Deliver a call-back within the current turn of the loop."""
+        message = {"id": call_id, "from": worker, "state": state} | fields
+        self.runners.on_callback(json.dumps(message).encode())
 
-    async def wait_until(self, true: Callable[[], object]) -> None:
-        """Let the loop turn until something is so; how long that takes on a busy machine does not matter."""
+    async def wait_until(self, condition: Callable[[], object]) -> None:
+        """Run the loop until a condition is met, however long that takes on a busy machine."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.001)
 
     async def run_loop(self, count: int = 50) -> None:
-        """Let the loop turn, for what is to be seen not to happen: what is ready has happened by then."""
+        """Run the loop for some turns, after which everything that was ready has been processed."""
         for _ in range(count):
             await asyncio.sleep(0)
         await asyncio.sleep(0.02)
 
     def close(self) -> None:
         self.server.close()
-        for caller in self.clients:
-            caller.close()
+        for client in self.clients:
+            client.close()
         for peer in self.peers:
             peer.close()
 
 
 def settings(**changes: Any) -> api.Settings:
-    """Three classes, view (safe), book (keyed) and order (unsafe), and no aims that end a wait."""
+    """Settings with long objectives; classes: view (idempotent), book (keyed), order (not idempotent)."""
     retry_window_ms = changes.pop("retry_window_ms", 30_000.0)
     classes = tuple(
         replace(
@@ -214,14 +214,14 @@
 def run_with_dispatcher(
     test: Callable[[InProcessDispatcher], Awaitable[None]], worker_count: int = 1, **changes: Any
 ) -> None:
-    """Run a test on a stage of its own."""
+    """Run a test with a dispatcher of its own."""
 
     async def run() -> None:
-        stage = InProcessDispatcher(asyncio.get_running_loop(), settings(**changes), worker_count)
-        await stage.begin()
+        dispatcher = InProcessDispatcher(asyncio.get_running_loop(), settings(**changes), worker_count)
+        await dispatcher.listen()
         try:
-            await test(stage)
+            await test(dispatcher)
         finally:
-            stage.close()
+            dispatcher.close()
 
     uvloop.run(run())
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: a golden exchange through the real streams, malformed input, isolation and determinism."""
+"""The simulator adapter: a golden exchange over real streams, malformed input, isolation and determinism."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 }
 
 
-def talk(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
     """Run the adapter on the given input."""
     return subprocess.run(
         [sys.executable, "-m", "grebestack.simhost"],
@@ -108,21 +108,21 @@
     }
 
 
-def replies(result: subprocess.CompletedProcess[str]) -> list[list[dict[str, Any]]]:
-    """The replies, batch by batch."""
-    done: list[list[dict[str, Any]]] = [[]]
+def replies_by_batch(result: subprocess.CompletedProcess[str]) -> list[list[dict[str, Any]]]:
+    """Return the replies of each batch."""
+    batches: list[list[dict[str, Any]]] = [[]]
     for text in result.stdout.splitlines():
         message = json.loads(text)
         if message == {"msg": "ready"}:
-            done.append([])
+            batches.append([])
         else:
-            done[-1].append(message)
-    assert done.pop() == []
-    return done
+            batches[-1].append(message)
+    assert batches.pop() == []
+    return batches
 
 
 def test_golden_exchange() -> None:
-    result = talk(
+    result = run_adapter(
         batch(0.0)
         + batch(10.0, *begin())
         + batch(20.0, submit(7, kind=1))
@@ -150,9 +150,9 @@
         )
     )
     assert (result.returncode, result.stderr) == (0, "")
-    told = [[m for m in reply if m["msg"] != "schedule"] for reply in replies(result)]
-    worker = told[2][0]["worker"]
-    assert told == [
+    actions = [[m for m in reply if m["msg"] != "schedule"] for reply in replies_by_batch(result)]
+    worker = actions[2][0]["worker"]
+    assert actions == [
         [],
         [],
         [{"msg": "send", "dispatcher": 0, "tid": 7, "worker": worker}],
@@ -163,25 +163,25 @@
     ]
 
 
-def test_every_outcome_and_a_read_only_home_are_taken(tmp_path: Path) -> None:
+def test_every_outcome_is_accepted(tmp_path: Path) -> None:
     codes = (0, 255, 254, 253, 252, 251, 250, 249)
     text = batch(0.0, *begin())
     for n, code in enumerate(codes):
         text += batch(10.0 + 9 * n, submit(n))
         text += batch(14.0 + 9 * n, ended(n, "w1", code, closed=code == 0))
-    result = talk(text)
+    result = run_adapter(text)
     assert (result.returncode, result.stderr) == (0, "")
-    assert len(replies(result)) == 1 + 2 * len(codes)
+    assert len(replies_by_batch(result)) == 1 + 2 * len(codes)
 
 
-def test_a_long_batch_is_answered_whole() -> None:
-    result = talk(batch(0.0, *begin()) + batch(5.0, *(submit(n) for n in range(4000))) + batch(9000.0))
+def test_a_large_batch_is_answered_completely() -> None:
+    result = run_adapter(batch(0.0, *begin()) + batch(5.0, *(submit(n) for n in range(4000))) + batch(9000.0))
     assert result.returncode == 0
-    assert len(replies(result)) == 3
+    assert len(replies_by_batch(result)) == 3
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "error"),
     [
         ("{]\n", "line 1: not JSON"),
         ("7\n", "line 1: not an object"),
@@ -199,22 +199,22 @@
         (lines({"msg": "beginBatch", "atTimeMs": 1}) * 2, "line 2: 'beginBatch' inside a batch"),
     ],
 )
-def test_a_malformed_line_is_named_plainly_and_ends_the_process(text: str, says: str) -> None:
-    result = talk(text)
+def test_a_malformed_line_is_reported_in_one_line_and_ends_the_process(text: str, error: str) -> None:
+    result = run_adapter(text)
     assert result.returncode == 1
-    assert says in result.stderr
+    assert error in result.stderr
     assert len(result.stderr.splitlines()) == 1
 
 
-def test_an_exception_in_the_module_becomes_panic_with_its_cause() -> None:
-    result = talk(batch(0.0, *begin(), submit(1, kind=9)))
-    (reply,) = replies(result)
+def test_an_exception_of_the_decision_module_becomes_a_panic_message_with_its_cause() -> None:
+    result = run_adapter(batch(0.0, *begin(), submit(1, kind=9)))
+    (reply,) = replies_by_batch(result)
     assert [m for m in reply if m["msg"] == "panic"] == [
         {"msg": "panic", "dispatcher": 0, "what": "IndexError: tuple index out of range"}
     ]
 
 
-def story(dispatchers: list[int]) -> str:
+def event_sequence(dispatchers: list[int]) -> str:
     text = batch(0.0, *(message for d in dispatchers for message in begin(d)))
     for step in range(60):
         text += batch(
@@ -225,12 +225,15 @@
     return text
 
 
-def actions_of(text: str, dispatcher: int, seed: str) -> list[list[dict[str, Any]]]:
-    return [[m for m in reply if m["dispatcher"] == dispatcher] for reply in replies(talk(text, seed))]
+def actions_by_batch(text: str, dispatcher: int, seed: str) -> list[list[dict[str, Any]]]:
+    return [
+        [m for m in reply if m["dispatcher"] == dispatcher]
+        for reply in replies_by_batch(run_adapter(text, seed))
+    ]
 
 
-def test_the_same_events_give_the_same_actions_whatever_the_hash_seed_and_the_company() -> None:
-    alone = actions_of(story([1]), 1, "1")
+def test_actions_depend_neither_on_the_hash_seed_nor_on_other_dispatchers() -> None:
+    alone = actions_by_batch(event_sequence([1]), 1, "1")
     assert any(m["msg"] == "send" for reply in alone for m in reply)
-    assert alone == actions_of(story([1]), 1, "2")
-    assert alone == actions_of(story([3, 1, 0]), 1, "3")
+    assert alone == actions_by_batch(event_sequence([1]), 1, "2")
+    assert alone == actions_by_batch(event_sequence([3, 1, 0]), 1, "3")
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -1,6 +1,6 @@
-"""Every field of the settings and of the server list that decisions rest on, each with a value of its own.
+"""Every field of the settings and of the worker list that decisions depend on is read from its own value.
 
-The deployment here is unlike that of `standins.OPTIONS`: no reports, but starts told, priorities and tenants.
+Unlike `standins.OPTIONS`, this deployment has no load reports, but reported starts, priorities and tenants.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from grebestack.protocol.settings import parse_settings
 from grebestack.protocol.worker_list import WorkerListReader
 
-SECOND: dict[str, Any] = {
+OPTIONS: dict[str, Any] = {
     "accounts": [
         {"name": "north", "allowancePerS": 71.5, "portion": 0.6},
         {"name": "south", "allowancePerS": 40.25, "portion": 0.4},
@@ -83,7 +83,7 @@
     "zone": 1,
     "zones": ["hill", "river", "pine"],
 }
-READ = {
+EXPECTED = {
     "dispatcher": 2,
     "dispatcher_count": 3,
     "zone": 1,
@@ -114,14 +114,14 @@
 }
 
 
-@pytest.mark.parametrize("name", sorted(READ))
+@pytest.mark.parametrize("name", sorted(EXPECTED))
 def test_each_setting_is_read_in_its_unit(name: str) -> None:
-    assert getattr(parse_settings(SECOND), name) == READ[name]
+    assert getattr(parse_settings(OPTIONS), name) == EXPECTED[name]
 
 
 def test_each_field_of_a_class_and_of_a_tenant_is_read() -> None:
-    told = parse_settings(SECOND)
-    flip, read = told.classes
+    parsed = parse_settings(OPTIONS)
+    flip, read = parsed.classes
     assert (flip.name, flip.latency_objective_ms, flip.deadline_ms) == ("flip", 310.0, 4900.0)
     assert (flip.priority_weight, flip.late_priority_weight) == (11.0, 0.45)
     assert (flip.effect, flip.objective_stretch, flip.kind, flip.group) == (
@@ -137,17 +137,17 @@
         Group.CELL,
     )
     assert (read.retry_window_ms, read.priority_weight, read.late_priority_weight) == (9500.0, 31.0, 0.25)
-    assert [(t.name, t.quota_per_s) for t in told.tenants] == [("north", 71.5), ("south", 40.25)]
+    assert [(t.name, t.quota_per_s) for t in parsed.tenants] == [("north", 71.5), ("south", 40.25)]
 
 
-def test_a_stretch_that_a_class_names_itself_comes_before_the_list_of_all() -> None:
-    one = SECOND | {"services": [SECOND["services"][0] | {"aimStretch": 0.5}]}
-    assert parse_settings(one).classes[0].objective_stretch == 0.5
+def test_the_stretch_of_a_class_takes_precedence_over_the_list_for_all_classes() -> None:
+    options = OPTIONS | {"services": [OPTIONS["services"][0] | {"aimStretch": 0.5}]}
+    assert parse_settings(options).classes[0].objective_stretch == 0.5
 
 
 def test_each_field_of_a_list_entry_is_read() -> None:
     boot_ms = time.time() * 1000.0 - 8000.0
-    server = WorkerListReader(SECOND).read_worker(
+    worker = WorkerListReader(OPTIONS).read_worker(
         {
             "uid": "s-1",
             "endpoint": "127.0.0.9:8123",
@@ -159,8 +159,8 @@
             "boot_ms": boot_ms,
         }
     )
-    entry = server.entry
-    assert (entry.worker, server.address, entry.zone, entry.kind) == ("s-1", ("127.0.0.9", 8123), 2, 1)
+    entry = worker.entry
+    assert (entry.worker, worker.address, entry.zone, entry.kind) == ("s-1", ("127.0.0.9", 8123), 2, 1)
     assert (entry.cell, entry.state, entry.weight) == (4, WorkerState.DRAINING, 7.5)
     assert entry.started_ms is not None
     assert time.monotonic() * 1000.0 - entry.started_ms == pytest.approx(8000.0, abs=5000.0)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine between a model of its servers and one of its clients; time is the model's."""
+"""A model-based test of the engine, with simulated workers, clients and time."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Clock:
-    """Time that goes on when the model says."""
+    """Simulated time, which advances only when a test says so."""
 
     def __init__(self) -> None:
         self.now, self.count = 1000.0, 0
@@ -54,38 +54,38 @@
 
 
 class Client:
-    """The frontend of one session; notes what it is told."""
+    """The listener of one request; records the answers."""
 
     def __init__(self, model: Model) -> None:
-        self.model, self.answers, self.left = model, list[str](), False
+        self.model, self.answers, self.disconnected = model, list[str](), False
 
-    def before_send(self, dispatch: Attempt) -> bool:
+    def before_send(self, attempt: Attempt) -> bool:
         return True
 
-    def on_attempt_ended(self, dispatch: Attempt) -> None:
-        assert dispatch.outcome is not None
+    def on_attempt_ended(self, attempt: Attempt) -> None:
+        assert attempt.outcome is not None
 
-    def on_served(self, session: Request, result: bytes) -> None:
+    def on_served(self, request: Request, result: bytes) -> None:
         self.answers.append("served")
 
-    def on_rejected(self, session: Request, retry_after_ms: float | None) -> None:
+    def on_rejected(self, request: Request, retry_after_ms: float | None) -> None:
         assert retry_after_ms is not None and 0 < retry_after_ms <= 500.0
-        ran = [d for d in session.attempts if d.stage is not AttemptStage.UNSENT]
-        assert session.arrival.job_class != ORDER or all(d.outcome and d.outcome.never_ran for d in ran)
+        written = [a for a in request.attempts if a.stage is not AttemptStage.UNSENT]
+        assert request.arrival.job_class != ORDER or all(a.outcome and a.outcome.never_ran for a in written)
         self.answers.append("denied")
 
-    def on_failed(self, session: Request) -> None:
+    def on_failed(self, request: Request) -> None:
         self.answers.append("failed")
 
-    def on_cancelled(self, session: Request) -> None:
-        assert session.cancel_requested
+    def on_cancelled(self, request: Request) -> None:
+        assert request.cancel_requested
         self.answers.append("cancelled")
 
 
 class Model(RuleBasedStateMachine):
-    """Each session gets one answer by its deadline, and none goes to a server that drains.
+    """Each request gets one answer by its deadline, and no attempt is sent to a draining worker.
 
-    An order is written to no second server once it may have run.
+    A request that is not idempotent is never sent to a second worker once it may have been executed.
     """
 
     def __init__(self) -> None:
@@ -94,112 +94,112 @@
         self.engine = Engine(SETTINGS, 7, self.clock, self.table)
         self.engine.workers = self
         self.requests: list[tuple[Request, Client]] = []
-        self.waiting: list[Attempt] = []
-        self.out: list[Attempt] = []
-        self.asked: list[Attempt] = []
+        self.unsent: list[Attempt] = []
+        self.running: list[Attempt] = []
+        self.cancel_requests: list[Attempt] = []
         self.states = {f"w{n}": api.WorkerState.READY for n in range(3)}
-        self.tell(api.ListKind.FULL)
+        self.update_table(api.ListKind.FULL)
 
-    # The engine's servers.
+    # The engine's workers.
 
-    def send_attempt(self, dispatch: Attempt) -> None:
-        assert not dispatch.request.closed
-        self.waiting.append(dispatch)
+    def send_attempt(self, attempt: Attempt) -> None:
+        assert not attempt.request.closed
+        self.unsent.append(attempt)
 
-    def abandon_attempt(self, dispatch: Attempt) -> None:
-        for kept in (self.waiting, self.out):
-            if dispatch in kept:
-                kept.remove(dispatch)
+    def abandon_attempt(self, attempt: Attempt) -> None:
+        for attempts in (self.unsent, self.running):
+            if attempt in attempts:
+                attempts.remove(attempt)
 
-    def cancel_attempt(self, dispatch: Attempt) -> None:
-        self.asked.append(dispatch)
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        self.cancel_requests.append(attempt)
 
-    def probe(self, server: str) -> None:
+    def probe(self, worker: str) -> None:
         raise AssertionError("probes are not allowed here")
 
     # Steps.
 
-    def tell(self, kind: api.ListKind) -> None:
-        lines = [WorkerEndpoint(entry(n, state=s), ("127.0.0.1", 1)) for n, s in self.states.items()]
-        self.table.update(kind, lines)
+    def update_table(self, kind: api.ListKind) -> None:
+        endpoints = [WorkerEndpoint(entry(n, state=s), ("127.0.0.1", 1)) for n, s in self.states.items()]
+        self.table.update(kind, endpoints)
 
     @rule(job_class=st.sampled_from([VIEW, BOOK, ORDER]), budget=st.integers(-5, 3000))
     def open(self, job_class: int, budget: int) -> None:
         client = Client(self)
         name = f"c{len(self.requests)}"
-        session = self.engine.open_request(
+        request = self.engine.open_request(
             client, name, Payload(b"", b""), job_class, self.clock.now + budget
         )
-        assert session is not None
+        assert request is not None
         assert (
-            session.closed
+            request.closed
             or self.engine.open_request(client, name, Payload(b"", b""), job_class, 9e9) is None
         )
-        self.requests.append((session, client))
-
-    @precondition(lambda self: self.waiting)
-    @rule(pick=st.integers(0, 99), up=st.booleans())
-    def connected(self, pick: int, up: bool) -> None:
-        dispatch = self.waiting.pop(pick % len(self.waiting))
-        if not up or not self.engine.confirm_send(dispatch):
-            self.engine.finish_attempt(dispatch, Outcome.CONNECT_FAILED)
+        self.requests.append((request, client))
+
+    @precondition(lambda self: self.unsent)
+    @rule(pick=st.integers(0, 99), established=st.booleans())
+    def connected(self, pick: int, established: bool) -> None:
+        attempt = self.unsent.pop(pick % len(self.unsent))
+        if not established or not self.engine.confirm_send(attempt):
+            self.engine.finish_attempt(attempt, Outcome.CONNECT_FAILED)
             return
-        session = dispatch.request
-        assert self.states[dispatch.worker] is api.WorkerState.READY and not session.closed
-        if session.arrival.job_class == ORDER:
-            ran = [d for d in session.attempts if d.stage is not AttemptStage.UNSENT]
-            assert all(d.outcome and d.outcome.never_ran for d in ran), "an order ran twice"
-        dispatch.stage = AttemptStage.WRITTEN
-        self.out.append(dispatch)
-
-    @precondition(lambda self: self.out)
+        request = attempt.request
+        assert self.states[attempt.worker] is api.WorkerState.READY and not request.closed
+        if request.arrival.job_class == ORDER:
+            written = [a for a in request.attempts if a.stage is not AttemptStage.UNSENT]
+            assert all(a.outcome and a.outcome.never_ran for a in written), "an order was sent twice"
+        attempt.stage = AttemptStage.WRITTEN
+        self.running.append(attempt)
+
+    @precondition(lambda self: self.running)
     @rule(
         pick=st.integers(0, 99),
         outcome=st.sampled_from([Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.RESET]),
     )
     def end(self, pick: int, outcome: Outcome) -> None:
-        dispatch = self.out.pop(pick % len(self.out))
-        self.engine.finish_attempt(dispatch, outcome, result=b"r")
-        self.engine.finish_attempt(dispatch, Outcome.OK, result=b"repeated")
+        attempt = self.running.pop(pick % len(self.running))
+        self.engine.finish_attempt(attempt, outcome, result=b"r")
+        self.engine.finish_attempt(attempt, Outcome.OK, result=b"repeated")
 
-    @precondition(lambda self: self.asked)
+    @precondition(lambda self: self.cancel_requests)
     @rule()
-    def server_cancels(self) -> None:
-        dispatch = self.asked.pop()
-        if dispatch in self.out:
-            self.out.remove(dispatch)
-        self.engine.on_attempt_cancelled(dispatch)
+    def worker_confirms_cancel(self) -> None:
+        attempt = self.cancel_requests.pop()
+        if attempt in self.running:
+            self.running.remove(attempt)
+        self.engine.on_attempt_cancelled(attempt)
 
     @precondition(lambda self: self.requests)
-    @rule(pick=st.integers(0, 99), wish=st.booleans())
-    def client_leaves_or_terminates(self, pick: int, wish: bool) -> None:
-        session, client = self.requests[pick % len(self.requests)]
-        if wish:
-            self.engine.cancel_request(session)
+    @rule(pick=st.integers(0, 99), cancels=st.booleans())
+    def client_disconnects_or_cancels(self, pick: int, cancels: bool) -> None:
+        request, client = self.requests[pick % len(self.requests)]
+        if cancels:
+            self.engine.cancel_request(request)
             return
-        client.left = client.left or not client.answers
-        self.engine.on_client_disconnected(session)
+        client.disconnected = client.disconnected or not client.answers
+        self.engine.on_client_disconnected(request)
 
     @rule(name=st.sampled_from(["w0", "w1", "w2"]), state=st.sampled_from(list(api.WorkerState)))
-    def listed(self, name: str, state: api.WorkerState) -> None:
+    def worker_state_changes(self, name: str, state: api.WorkerState) -> None:
         self.states[name] = state
-        self.tell(api.ListKind.CHANGES)
+        self.update_table(api.ListKind.CHANGES)
 
     @rule(ms=st.integers(1, 900))
-    def time_goes_on(self, ms: int) -> None:
+    def time_advances(self, ms: int) -> None:
         self.clock.advance(float(ms))
 
     @invariant()
     def one_answer_by_the_deadline(self) -> None:
         self.clock.advance(0.0)
-        for session, client in self.requests:
-            answered = len(client.answers) + client.left
+        for request, client in self.requests:
+            answered = len(client.answers) + client.disconnected
             assert answered <= 1
-            assert answered == 1 or self.clock.now < session.arrival.deadline_ms
-            assert session.closed == bool(answered)
+            assert answered == 1 or self.clock.now < request.arrival.deadline_ms
+            assert request.closed == bool(answered)
 
     def teardown(self) -> None:
-        """Nothing is kept of what is over."""
+        """Nothing remains of requests that have ended."""
         self.clock.advance(10_000.0)
         self.one_answer_by_the_deadline()
         assert not self.engine.open_by_call_id and not self.engine.requests
@@ -208,16 +208,16 @@
 TestEngine = Model.TestCase
 
 
-class SlowTurns(Clock):
-    """A loop on which what is due at once comes after a turn of 20 ms, behind the timers due by then."""
+class BusyLoopClock(Clock):
+    """Simulates an event loop whose turns take 20 ms: an immediate call runs after the timers due by then."""
 
     def call_at(self, at_ms: float, call: Callable[[], None]) -> Timer:
         return super().call_at(self.now + 20.0 if at_ms < self.now + 0.5 else at_ms, call)
 
 
-def test_a_long_turn_does_not_overtake_the_decision_module() -> None:
-    # Guards against a session that is failed, though the module would have refused it in time.
-    clock, table = SlowTurns(), WorkerTable()
+def test_the_decision_module_answers_before_the_deadline_after_a_long_loop_turn() -> None:
+    # Guards against a request that fails at its deadline although the decision module rejects it in time.
+    clock, table = BusyLoopClock(), WorkerTable()
     engine = Engine(SETTINGS, 1, clock, table)
     client = Client(Model())
     engine.open_request(client, "c", Payload(b"", b""), BOOK, clock.now + SETTINGS.tick_ms + 0.4)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,4 +1,4 @@
-"""Lists as they come: indented, in pieces, cut, and with entries of which only a part can be read."""
+"""Worker lists that are indented, split, cut off, or have entries of which only a part can be parsed."""
 
 from __future__ import annotations
 
@@ -22,64 +22,67 @@
     return {"uid": uid, "endpoint": endpoint, "az": "a", "model": "m", "state": state} | more
 
 
-def listing(*targets: Any, rev: int = 1, whole: bool = True) -> dict[str, Any]:
-    return {"rev": rev, "all": whole, "targets": list(targets)}
+def worker_list(*targets: Any, rev: int = 1, complete: bool = True) -> dict[str, Any]:
+    return {"rev": rev, "all": complete, "targets": list(targets)}
 
 
 @pytest.mark.parametrize("indent", [None, 0, 2, "\t"])
-@pytest.mark.parametrize("piece", [1, 7, 1_000_000])
-def test_a_list_of_1024_servers_comes_however_it_is_written(indent: Any, piece: int) -> None:
-    names = [f's-{n:04} "{{[}}' for n in range(1024 if piece > 1 else 40)]
-    sent = [listing(*map(entry, names)), listing(entry(names[3], "Terminating"), rev=2, whole=False)]
-    lines = [json.dumps(one, indent=indent) + "\n" for one in sent]
+@pytest.mark.parametrize("piece_size", [1, 7, 1_000_000])
+def test_a_list_of_1024_workers_is_read_whatever_its_layout(indent: Any, piece_size: int) -> None:
+    names = [f's-{n:04} "{{[}}' for n in range(1024 if piece_size > 1 else 40)]
+    sent = [
+        worker_list(*map(entry, names)),
+        worker_list(entry(names[3], "Terminating"), rev=2, complete=False),
+    ]
+    lines = [json.dumps(message, indent=indent) + "\n" for message in sent]
     text = (lines[0] + "\n" + lines[1] + "\n").encode()
-    got, beats, objects = [], 0, JsonObjectReader()
+    received, heartbeats, objects = [], 0, JsonObjectReader()
 
-    def line(data: bytes) -> None:
-        nonlocal beats
+    def on_line(data: bytes) -> None:
+        nonlocal heartbeats
         if (raw := objects.feed_line(data)) is not None:
-            got.append(raw)
+            received.append(raw)
         elif not objects.pending_lines:
-            beats += 1
+            heartbeats += 1
 
-    stream = LineStream(b"GET", line, lambda: None)
+    stream = LineStream(b"GET", on_line, lambda: None)
     chunks = [text[n : n + 5000] for n in range(0, len(text), 5000)]
     body = b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
     data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body
-    for at in range(0, len(data), piece):
-        stream.data_received(data[at : at + piece])
-    assert got == sent and beats == 2
+    for at in range(0, len(data), piece_size):
+        stream.data_received(data[at : at + piece_size])
+    assert received == sent and heartbeats == 2
     reader, table = WorkerListReader({"models": ["m"], "zones": ["a"]}), WorkerTable()
-    for raw in got:
-        _, whole, servers = reader.read_list(raw)
-        table.update(ListKind.FULL if whole else ListKind.CHANGES, servers)
+    for raw in received:
+        _, complete, workers = reader.read_list(raw)
+        table.update(ListKind.FULL if complete else ListKind.CHANGES, workers)
     assert len(table.workers) == len(names) and sum(map(table.accepts_work, names)) == len(names) - 1
 
 
-def test_an_object_that_was_cut_or_is_none_is_told_at_the_next_line() -> None:
-    good = json.dumps(listing(entry("s-1"))).encode()
+def test_an_object_that_is_cut_off_or_malformed_is_reported_by_the_next_line() -> None:
+    good = json.dumps(worker_list(entry("s-1"))).encode()
     for cut, after in ((good[:-9], b""), (good[:-9], good), (b'{"rev": 1,', good), (b"{", b"\r")):
         objects = JsonObjectReader()
         assert objects.feed_line(cut) is None
         with pytest.raises(ValueError):
             objects.feed_line(after)
-        assert objects.feed_line(good) is not None, "what follows is read again"
+        assert objects.feed_line(good) is not None, "the following objects are read again"
     for bad in (b"x", b"[1]", b"7", b'{"a":1}}', b"null", b"[" * 100_000 + b"]" * 100_000):
         with pytest.raises(ValueError):
             JsonObjectReader().feed_line(bad)
     assert JsonObjectReader().feed_line(b"{}") == {}
 
 
-def test_no_drain_is_lost_by_what_stands_beside_it(caplog: pytest.LogCaptureFixture) -> None:
+def test_no_drain_is_lost_because_of_malformed_values_beside_it(caplog: pytest.LogCaptureFixture) -> None:
     reader, table = WorkerListReader({"models": ["m"], "zones": ["a"]}), WorkerTable()
 
-    def tell(*targets: Any, whole: bool = False) -> None:
-        kind = ListKind.FULL if whole else ListKind.CHANGES
-        table.update(kind, reader.read_list(listing(*targets, whole=whole))[2])
+    def update(*targets: Any, complete: bool = False) -> None:
+        kind = ListKind.FULL if complete else ListKind.CHANGES
+        table.update(kind, reader.read_list(worker_list(*targets, complete=complete))[2])
 
-    tell(*(entry(f"s-{n}") for n in range(9)), whole=True)
-    odd: list[Any] = [None, 7, {}, []]
-    odd += [entry(None), entry(""), entry([]), entry("t-1", endpoint="nowhere")]
+    update(*(entry(f"s-{n}") for n in range(9)), complete=True)
+    malformed: list[Any] = [None, 7, {}, []]
+    malformed += [entry(None), entry(""), entry([]), entry("t-1", endpoint="nowhere")]
     for n, drain in enumerate(
         [
             entry("s-0", "Terminating", "nowhere"),
@@ -91,59 +94,59 @@
             entry("s-6", ["Ready"]),
         ]
     ):
-        tell(*odd, drain, *odd)
+        update(*malformed, drain, *malformed)
         assert not table.accepts_work(f"s-{n}"), drain
-    tell(entry("s-7", "Terminating"), entry("s-7"), entry("s-8"), entry("s-8", "Gone"))
+    update(entry("s-7", "Terminating"), entry("s-7"), entry("s-8"), entry("s-8", "Gone"))
     assert not table.accepts_work("s-7") and "s-8" not in table.workers and "s-1" not in table.workers
-    assert table.workers["s-0"].address == ("127.0.0.1", 9000), "what is out there is still reached"
+    assert table.workers["s-0"].address == ("127.0.0.1", 9000), "the jobs that it runs are still reachable"
     named = [record.__dict__["kv"]["field"] for record in caplog.records]
     assert len(named) == len(set(named))
     assert {"state", "endpoint", "entry", "uid", "capacity_hint"} <= set(named)
-    tell(entry("s-3"))
+    update(entry("s-3"))
     assert table.accepts_work("s-3")
 
 
-def test_zones_that_the_settings_do_not_name_are_told_apart() -> None:
+def test_zones_that_the_settings_do_not_name_get_different_numbers() -> None:
     reader, other = WorkerListReader({"zones": ["a", "b"]}), WorkerListReader({"zones": ["a", "b"]})
     zones = [reader.read_worker(entry("s", az=az)).entry.zone for az in ("a", "b", "c", "d", "c", None, "")]
     assert zones[:2] == [0, 1] and zones[2] == zones[4] and zones[5] == zones[6] == -1
-    assert len(set(zones)) == 5  # a job that is bound to its zone may be repeated there alone
+    assert len(set(zones)) == 5  # a job that must stay in its zone may be retried only there
     assert other.read_worker(entry("s", az="d")).entry.zone == zones[3]
 
 
-def test_a_persons_own_list_is_taken_strictly() -> None:
+def test_a_list_written_by_an_operator_is_parsed_strictly() -> None:
     reader = WorkerListReader({})
-    for bad, words in (
+    for malformed, message in (
         (entry("a", "Asleep"), "state must be one of Ready, Terminating, Gone, not 'Asleep'"),
         (entry("a", "Terminating", "nowhere"), "'nowhere' is no HOST:PORT"),
     ):
-        with pytest.raises(ValueError, match=words):
-            reader.read_worker(bad, strict=True)
+        with pytest.raises(ValueError, match=message):
+            reader.read_worker(malformed, strict=True)
     assert reader.read_worker(entry("a"), strict=True).entry.state is WorkerState.READY
 
 
-def test_any_bytes_leave_the_reader_able_to_read_on() -> None:
-    drawn, good = random.Random(3), json.dumps(listing(entry("s-1")), indent=1).encode().split(b"\n")
+def test_the_reader_recovers_from_arbitrary_bytes() -> None:
+    randomness, good = random.Random(3), json.dumps(worker_list(entry("s-1")), indent=1).encode().split(b"\n")
     for _ in range(300):
         objects, reader = JsonObjectReader(), WorkerListReader({})
         for _ in range(30):
-            line = bytearray(drawn.choice(good))
-            if line and drawn.random() < 0.5:
-                line[drawn.randrange(len(line))] = drawn.randrange(256)
+            line = bytearray(randomness.choice(good))
+            if line and randomness.random() < 0.5:
+                line[randomness.randrange(len(line))] = randomness.randrange(256)
             try:
                 if (raw := objects.feed_line(bytes(line))) is not None:
                     reader.read_list(raw)
             except ValueError:
-                objects = JsonObjectReader()  # the watch is opened anew
+                objects = JsonObjectReader()  # as for a new watch
         objects = JsonObjectReader()
-        assert [raw for raw in map(objects.feed_line, good) if raw is not None] == [listing(entry("s-1"))]
+        assert [raw for raw in map(objects.feed_line, good) if raw is not None] == [worker_list(entry("s-1"))]
 
 
-def test_a_word_for_discovery_that_is_not_known_counts_as_pushed(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_unknown_discovery_mode_counts_as_pushed(caplog: pytest.LogCaptureFixture) -> None:
     services = [{"name": "a", "aimMs": 1, "hardLimitMs": 2, "effect": "free"}]
     caplog.set_level(logging.INFO)
-    for word, asked in (("pushed", False), ("on_request", True), (None, False), ("push", False), (3, False)):
-        options = {"services": services, "discovery": word}
-        assert parse_settings(options).polls_endpoint_list is asked
+    for mode, polls in (("pushed", False), ("on_request", True), (None, False), ("push", False), (3, False)):
+        options = {"services": services, "discovery": mode}
+        assert parse_settings(options).polls_endpoint_list is polls
         warn_unknown_discovery(options)
     assert [record.__dict__["kv"]["value"] for record in caplog.records] == [None, "push", 3]
