--- a/grebestack/routing/engine.py
+++ b/grebestack/routing/engine.py
@@ -297,8 +297,8 @@
     def _cancel_attempt(self, request: Request, action: api.Cancel) -> None:
         attempt = request.attempts[action.attempt]
         if not action.at_once and attempt.stage is not AttemptStage.UNSENT:
-            # Only a job that the worker has confirmed: the cancellation could overtake another one, which
-            # would then run.
+            # Only once the worker has confirmed the job: otherwise the cancellation could arrive before the
+            # job, which would then run.
             if attempt.outcome is None and attempt.stage is AttemptStage.ACCEPTED:
                 self.on_audited_action("cancel", request, attempt.worker)
                 self.workers.cancel_attempt(attempt)
--- a/grebestack/routing/requests.py
+++ b/grebestack/routing/requests.py
@@ -1,4 +1,7 @@
-"""Records of the engine: a client's request, and its attempts, each sent to one worker."""
+"""Records of the engine: a client's request, and its attempts, each sent to one worker.
+
+The classes `Request` and `Attempt` of the decision module are others, which hold what decisions depend on.
+"""
 
 from __future__ import annotations
 
--- a/tests/dispatcher_group.py
+++ b/tests/dispatcher_group.py
@@ -74,12 +74,12 @@
         self.settings: dict[str, Any] = OPTIONS | {"discovery": "pushed", "siblings": 200}
         self.tasks: set[asyncio.Task[None]] = set()
         self.sends: list[Sent] = []
+        # By dispatcher and worker: when the dispatcher's agent had reported the worker as draining.
         self.reported_at: dict[tuple[str, str], float] = {}
         self.stamps: list[tuple[str, str, str]] = []  # job, worker, and the stamp in the request's header
         self.changes: list[tuple[str, str]] = []  # of the registry: worker and new state
-        ports = [
-            reserved_port() for _ in range(workers // workers_per_port)
-        ]  # one listener may serve several
+        # One listener may serve several workers.
+        ports = [reserved_port() for _ in range(workers // workers_per_port)]
         self.workers = {f"s-{n}": ports[n % len(ports)] for n in range(workers)}
         self.addresses = {name: ("127.0.0.1", reserved_port()) for name in self.names}
         self.agents: dict[str, Agent] = {}
@@ -125,9 +125,9 @@
         if previous is not None:
             agent.version = previous.version
         self.ports[name] = reserved_port()
-        self.run_coroutine(asyncio.start_server(self._watch(agent), "127.0.0.1", self.ports[name]))
+        self.run_coroutine(asyncio.start_server(self._serve_watches(agent), "127.0.0.1", self.ports[name]))
 
-    def _watch(self, agent: Agent) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Any]:
+    def _serve_watches(self, agent: Agent) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Any]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 await watch(reader, writer)
@@ -160,11 +160,13 @@
                 continue
             if version < 0:
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            text = json.dumps(self.listing(agent.version), indent=1 if agent.version % 2 else None) + "\n"
+            text = (
+                json.dumps(self.endpoint_list(agent.version), indent=1 if agent.version % 2 else None) + "\n"
+            )
             agent.writers[writer] = agent.version + 1
             writer.write(b"%x\r\n%s\r\n" % (len(text), text.encode()))
 
-    def listing(self, version: int) -> dict[str, Any]:
+    def endpoint_list(self, version: int) -> dict[str, Any]:
         """Return the complete list after this many changes."""
         states = {uid: "Ready" for uid in self.workers} | dict(self.changes[:version])
         targets = [
@@ -300,7 +302,7 @@
                     "settings": self.settings,
                     "seed": "1f",
                     "limits": {"sockets": 256},
-                    "known": self.listing(self.agents[name].version),
+                    "known": self.endpoint_list(self.agents[name].version),
                     "discovery": f"127.0.0.1:{self.ports[name]}",
                 }
             )
--- a/tests/loop_dispatcher.py
+++ b/tests/loop_dispatcher.py
@@ -142,10 +142,10 @@
         self.pools = GatedPools(loop, 64, 30.0, 60.0)
         self.pools.gate = asyncio.Event()
         self.pools.gate.set()
-        self.runners = self.engine.workers = HttpWorkers(self.engine, self.pools, LoadReportReader({}))
-        self.front = PlatformApi(self.engine, settings, self.runners.on_callback)
-        self.front.ready = True
-        self.acceptor = Acceptor(self.front, 64)
+        self.workers = self.engine.workers = HttpWorkers(self.engine, self.pools, LoadReportReader({}))
+        self.api = PlatformApi(self.engine, settings, self.workers.on_callback)
+        self.api.ready = True
+        self.acceptor = Acceptor(self.api, 64)
         self.peers = [Peer() for _ in range(worker_count)]
         self.clients: list[Client] = []
         self.set_worker_states("Ready" for _ in self.peers)
@@ -172,7 +172,7 @@
     def call_back(self, call_id: str, worker: str, state: str = "done", **fields: Any) -> None:
         """Deliver a call-back within the current turn of the loop."""
         message = {"id": call_id, "from": worker, "state": state} | fields
-        self.runners.on_callback(json.dumps(message).encode())
+        self.workers.on_callback(json.dumps(message).encode())
 
     async def wait_until(self, condition: Callable[[], object]) -> None:
         """Run the loop until a condition is met, however long that takes on a busy machine."""
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -45,7 +45,7 @@
 
         async def stop() -> None:
             now_ms = stage.engine.clock.now_ms()
-            stage.front.answer_before_kill(now_ms + LONG_DEADLINE_MS / 2, now_ms + 300.0)
+            stage.api.answer_before_kill(now_ms + LONG_DEADLINE_MS / 2, now_ms + 300.0)
 
         async def order() -> None:
             caller.send_job("a", job_class)
@@ -69,7 +69,7 @@
         caller.send_job("a", "order")
         await stage.wait_until(lambda: peer.complete_requests())
         now_ms = stage.engine.clock.now_ms()
-        stage.front.answer_before_kill(now_ms + 2 * LONG_DEADLINE_MS, now_ms + 1.0)
+        stage.api.answer_before_kill(now_ms + 2 * LONG_DEADLINE_MS, now_ms + 1.0)
         await stage.run_loop()
         assert caller.status == 0
         stage.call_back("a", "s0", result="r")
