--- a/grebestack/core/actions.py
+++ b/grebestack/core/actions.py
@@ -13,13 +13,13 @@
 class Send:
     """Start the next attempt of a request; without a timeout it runs until the deadline at the latest.
 
-    The first byte must be sent by `by_ms` or not at all: the connection may be established late.
+    The first byte must be sent by `send_by_ms` or not at all: the connection may be established late.
     """
 
     request: int
     worker: str
     timeout_ms: float | None = None
-    by_ms: float = math.inf
+    send_by_ms: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebestack/core/checkpoint.py
+++ b/grebestack/core/checkpoint.py
@@ -28,7 +28,7 @@
     "breaks": "consecutive_connection_errors",
     "seen_free": "max_free_slots",
     "seen_memory": "max_free_memory",
-    "told_ms": "load_known_ms",
+    "told_ms": "load_updated_ms",
     "others": "others_slots",
     "others_memory": "others_memory",
     "ours": "own_slots",
@@ -99,7 +99,7 @@
         setattr(worker, attribute, value)
     for table, index, value in [*classes, *kinds]:
         table[index] = value
-    policy.selector.orders.clear()
+    policy.selector.rankings.clear()
 
 
 def apply_own_slow_start(policy: Policy) -> None:
--- a/grebestack/core/estimates.py
+++ b/grebestack/core/estimates.py
@@ -18,7 +18,7 @@
     """The load of other dispatchers at one worker, as last reported."""
 
     @property
-    def load_known_ms(self) -> float:
+    def load_updated_ms(self) -> float:
         """When the load was last reported; 0 if never."""
 
     @property
@@ -46,7 +46,7 @@
         self.kind_slots: dict[int, float] = {}  # most slots seen in use on one worker of a kind
         self.kind_weight: dict[int, float] = {}  # highest weight in the endpoint list of a kind
         self.others_load = (0.0, 0.0)  # slots and memory of the other dispatchers at an average worker
-        self.least_start_delay_ms: dict[bool, float] = {}  # in the own zone (True) or another
+        self.min_start_delay_ms: dict[bool, float] = {}  # in the own zone (True) or another
 
     def add_classes(self, classes: Sequence[JobClass]) -> None:
         """Add the classes that are new; a redefined class starts with the estimates of its former one."""
@@ -88,7 +88,7 @@
 
     def update_others_load(self, workers: Sequence[LoadObservation], now_ms: float) -> None:
         """Learn the mean load of other dispatchers from the workers whose load was reported lately."""
-        recent = [worker for worker in workers if worker.load_known_ms > now_ms - LOAD_MAX_AGE_MS]
+        recent = [worker for worker in workers if worker.load_updated_ms > now_ms - LOAD_MAX_AGE_MS]
         if recent:
             slots = sum(worker.others_slots for worker in recent) / len(recent)
             memory = sum(worker.others_memory for worker in recent) / len(recent)
@@ -100,13 +100,13 @@
         The estimate follows the minimum, as delay-based congestion control follows the shortest round trip.
         A mean would grow with the workers' queues until every start looked prompt.
         """
-        known_ms = self.least_start_delay_ms.get(own_zone, delay_ms)
+        known_ms = self.min_start_delay_ms.get(own_zone, delay_ms)
         step = 1 + LEARNING_RATE / 4 if delay_ms > known_ms else 1 - START_DELAY_DECREASE
-        self.least_start_delay_ms[own_zone] = max(self.tick_ms, known_ms * step)
+        self.min_start_delay_ms[own_zone] = max(self.tick_ms, known_ms * step)
 
     def start_delay_ms(self, own_zone: bool) -> float:
         """Return the start delay at an idle worker; one tick if unknown."""
-        return self.least_start_delay_ms.get(own_zone, self.tick_ms)
+        return self.min_start_delay_ms.get(own_zone, self.tick_ms)
 
     def on_slots_seen(self, kind: int, slots: float) -> None:
         """Learn that one worker of a kind has at least so many slots."""
--- a/grebestack/core/events.py
+++ b/grebestack/core/events.py
@@ -60,7 +60,7 @@
     state: WorkerState = WorkerState.READY
     weight: float = 1.0
     started_ms: float | None = None  # None: long ago
-    put_back: bool = False  # the operators have just put it back into use; the name is a key on the wire
+    reinstated: bool = False  # the operators have just put it back into use; the name is a key on the wire
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
     slots: float = 1.0
     memory: float = 0.0
     tenant: int = 0
-    key: int | None = None  # cache key: data that a worker may still have; not the idempotency key
+    cache_key: int | None = None  # data that a worker may still have; not the idempotency key
     cost_ms: float | None = None
     retry: bool = False
     aged: bool = False  # waited so long that it goes before all others
--- a/grebestack/core/hashing.py
+++ b/grebestack/core/hashing.py
@@ -15,13 +15,13 @@
     return int.from_bytes(blake2b(text.encode(), digest_size=6).digest(), "big")
 
 
-def coprime_walk(items: Sequence[Item], start: int, least_step: int) -> Iterator[Item]:
+def coprime_walk(items: Sequence[Item], start: int, min_step: int) -> Iterator[Item]:
     """Yield every item once from index `start`, by a step that is co-prime to their number.
 
-    The step is the smallest such number of at least `least_step`.
+    The step is the smallest such number of at least `min_step`.
     """
     n = len(items)
-    step = next((k for k in range(max(1, least_step), least_step + n + 1) if gcd(k, n) == 1), 1)
+    step = next((k for k in range(max(1, min_step), min_step + n + 1) if gcd(k, n) == 1), 1)
     return (items[(start + i * step) % n] for i in range(n))
 
 
--- a/grebestack/core/policy.py
+++ b/grebestack/core/policy.py
@@ -158,7 +158,7 @@
         ready = [worker for worker in context.workers.values() if worker.is_ready]
         warm = [worker for worker in ready if worker.warm_at_ms <= context.now_ms]
         context.estimates.update_others_load(warm, context.now_ms)
-        self.outliers.update_typical(ready, len(self.selector.paths))
+        self.outliers.update_typical(ready, len(self.selector.block_indices))
         self.priority.sort_queues()
         gone = [n for n, worker in context.workers.items() if not (worker.is_ready or worker.attempt_count)]
         for name in gone:
@@ -225,8 +225,8 @@
             self.slow_start.draw_turn(worker, arrival.slots, run_ms, context.now_ms)
         request.attempts.append(attempt)
         worker.count_attempt(arrival, 1)
-        if arrival.key is not None:
-            worker.cache_key(arrival.key, CACHED_KEYS)
+        if arrival.cache_key is not None:
+            worker.add_cached_key(arrival.cache_key, CACHED_KEYS)
         worker.recent_attempts.append(attempt)
         if context.settings.reports_attempt_start:
             worker.unstarted_count += 1
--- a/grebestack/core/queueing.py
+++ b/grebestack/core/queueing.py
@@ -86,7 +86,7 @@
 
     def _gain(self, request: Request, freed: TrackedWorker | None) -> float:
         """Return the value per slot-millisecond; the data of a key that is not cached is fetched first."""
-        key, estimates, settings = request.arrival.key, self.context.estimates, self.context.settings
+        key, estimates, settings = request.arrival.cache_key, self.context.estimates, self.context.settings
         class_index = request.queue_key.class_index
         value = self._weight(request.queue_key) * request.value_units(settings)
         time_ms = estimates.expected_run_ms(class_index, request.arrival.cost_ms)
--- a/grebestack/core/requests.py
+++ b/grebestack/core/requests.py
@@ -35,7 +35,7 @@
     @property
     def has_cache_key(self) -> bool:
         """Whether it names a cache key; 0 is a key like any other."""
-        return self.arrival.key is not None
+        return self.arrival.cache_key is not None
 
     def value_units(self, settings: Settings) -> float:
         """Return what the priority weight is multiplied by: hinted milliseconds of work, or 1."""
--- a/grebestack/core/script.py
+++ b/grebestack/core/script.py
@@ -29,7 +29,7 @@
         after = default.blocks if default is not None else ()
         paths = [tag.blocks + (after if tag.followup == "default" else ()) for tag in tags]
         self.blocks = list(dict.fromkeys(block for path in paths for block in path))
-        self.paths = [[self.blocks.index(block) for block in path] for path in paths]
+        self.block_indices = [[self.blocks.index(block) for block in path] for path in paths]
         self.rejects_at_end = [tag.followup == "fail" and tag is not default for tag in tags]
 
 
@@ -44,5 +44,5 @@
         if kind in (-1, worker.entry.kind)
         and zone in (None, worker.entry.zone)
         and cell in (None, worker.entry.cell)
-        and block.holds(worker.entry.worker, worker.own_zone)
+        and block.contains(worker.entry.worker, worker.own_zone)
     ]
--- a/grebestack/core/selection.py
+++ b/grebestack/core/selection.py
@@ -21,10 +21,10 @@
 QUEUE_AHEAD_SHARE = 0.5  # of the latency objective that jobs may queue at a worker, so that it never idles
 
 
-class OrderKey(NamedTuple):
+class RankingKey(NamedTuple):
     """Identifies a ranking of workers: a block narrowed to a kind, a zone and a cell."""
 
-    block_number: int
+    block_index: int
     kind: int
     zone: int | None
     cell: int | None
@@ -43,9 +43,9 @@
         """Start with the script of the settings."""
         self.context, self.outliers = context, outliers
         self.slow_start, self.reservation = slow_start, reservation
-        self.orders: dict[OrderKey, list[TrackedWorker]] = {}
+        self.rankings: dict[RankingKey, list[TrackedWorker]] = {}
         # Until when a ranking has no valid worker, for requests of at least so many slots.
-        self.exhausted_until: dict[OrderKey, tuple[float, float]] = {}
+        self.exhausted_until: dict[RankingKey, tuple[float, float]] = {}
         self.zone_count = 1
         self.rules: dict[str, Callable[[TrackedWorker, Request, float | None], bool]] = {
             "max_concurrent_invocations": self._concurrency_reached,
@@ -58,7 +58,11 @@
         """Resolve the script of the new settings and forget the rankings."""
         settings = self.context.settings
         script = ResolvedScript(settings.script or built_in_script(settings), settings.classes)
-        self.blocks, self.paths, self.rejects_at_end = script.blocks, script.paths, script.rejects_at_end
+        self.blocks, self.block_indices, self.rejects_at_end = (
+            script.blocks,
+            script.block_indices,
+            script.rejects_at_end,
+        )
         self.ring_position = settings.dispatcher * RING_STEP % 1.0
         # Neither starts nor free slots are reported, so queues at workers are invisible.
         self.is_load_unknown = (
@@ -70,12 +74,12 @@
 
     def on_workers_changed(self) -> None:
         """Forget the rankings, and that blocks had no valid worker."""
-        self.orders.clear()
+        self.rankings.clear()
         self.exhausted_until.clear()
 
     def on_ranking_timer(self) -> None:
         """Forget the rankings: some worker may have warmed up or become slow."""
-        self.orders.clear()
+        self.rankings.clear()
         self.zone_count = len({worker.entry.zone for worker in self.context.workers.values()})
 
     def on_slots_freed(self) -> None:
@@ -88,10 +92,10 @@
         """Return the worker to send to, or None; with `only`, that worker or None."""
         zone, cell = retry_scope(request)
         now_ms, slots = self.context.now_ms, request.arrival.slots
-        for number in self.paths[request.queue_key.class_index]:
+        for number in self.block_indices[request.queue_key.class_index]:
             if self.blocks[number].place == "other" and not self.may_use_remote_zone(request):
                 continue
-            key = OrderKey(number, request.job_class.kind, zone, cell)
+            key = RankingKey(number, request.job_class.kind, zone, cell)
             until_ms, least_slots = self.exhausted_until.get(key, (0.0, 0.0))
             if not only and now_ms < until_ms and slots >= least_slots:
                 continue
@@ -119,16 +123,16 @@
         if not (1.0 < request.arrival.slots <= worker.max_free_slots and may_use):
             return False
         kind = request.job_class.kind
-        paths = self.paths[request.queue_key.class_index]
-        return any(worker in self._order(OrderKey(number, kind, *scope)) for number in paths)
+        paths = self.block_indices[request.queue_key.class_index]
+        return any(worker in self._order(RankingKey(number, kind, *scope)) for number in paths)
 
-    def _pick(self, key: OrderKey, request: Request, only: TrackedWorker | None) -> TrackedWorker | None:
+    def _pick(self, key: RankingKey, request: Request, only: TrackedWorker | None) -> TrackedWorker | None:
         """Return the first valid worker of one block, or a random one, as its strategy says.
 
         A request that is not idempotent prefers a worker that succeeded lately: an error would be final,
         while retriable requests find out at less cost whether a worker has failed.
         """
-        block = self.blocks[key.block_number]
+        block = self.blocks[key.block_index]
         rule, threshold = self.rules[block.invalidate], block.threshold
         is_unavailable, now_ms = self._is_unavailable, self.context.now_ms
         valid = (
@@ -146,7 +150,7 @@
         return first
 
     def _walk(
-        self, block: Block, key: OrderKey, request: Request, only: TrackedWorker | None
+        self, block: Block, key: RankingKey, request: Request, only: TrackedWorker | None
     ) -> Iterable[TrackedWorker]:
         """Return the workers of a block in the order in which a request tries them."""
         order, settings = self._order(key), self.context.settings
@@ -155,33 +159,33 @@
             return [only] if allowed else []
         if block.strategy == "platform":
             # With the dispatcher in the hash, not all dispatchers start at the same worker.
-            what = request.job_class.name if request.arrival.key is None else request.arrival.key
+            what = request.job_class.name if request.arrival.cache_key is None else request.arrival.cache_key
             start = stable_hash(f"{settings.dispatcher} {what}")
             return coprime_walk(order, start, int(len(order) * RING_STEP))
-        if block.open and self.is_load_unknown:
+        if block.is_ranked and self.is_load_unknown:
             now_ms = self.context.now_ms
             return sorted(order, key=lambda w: (w.warm_at_ms > now_ms, w.used_slots))
-        if block.open and request.has_cache_key and settings.reports_attempt_start:
-            hash_key = request.arrival.key or 0
+        if block.is_ranked and request.has_cache_key and settings.reports_attempt_start:
+            hash_key = request.arrival.cache_key or 0
             return sorted(
                 order, key=lambda w: (not w.is_reinstated, rendezvous_distance(hash_key, w.name_hash))
             )
         return order
 
-    def _order(self, key: OrderKey) -> list[TrackedWorker]:
+    def _order(self, key: RankingKey) -> list[TrackedWorker]:
         """Return the ready workers of a block, best first.
 
         The ranking starts at this dispatcher's place on a ring, so that dispatchers do not all fill the
         same workers.
         """
-        order = self.orders.get(key)
+        order = self.rankings.get(key)
         if order is None:
-            context, block = self.context, self.blocks[key.block_number]
+            context, block = self.context, self.blocks[key.block_index]
             members = block_members(context.workers, block, key.kind, key.zone, key.cell)
             order = [worker for worker in members if worker.is_ready]
             if block.workers == ("*",):
                 order.sort(key=lambda w: (w.name_hash, w.entry.worker))
-            if block.open:
+            if block.is_ranked:
                 for place, worker in enumerate(order):
                     distance = abs(place / len(order) - self.ring_position)
                     worker.set_ring_distance(distance, context.settings.dispatcher_count, self.zone_count)
@@ -194,7 +198,7 @@
                         w.ring_distance,
                     )
                 )
-            self.orders[key] = order
+            self.rankings[key] = order
         return order
 
     # Validity: one predicate for each invalidate rule; an unavailable worker is always invalid.
@@ -221,7 +225,7 @@
 
     def _capacity_used(self, worker: TrackedWorker, request: Request, share: float | None) -> bool:
         """Rule capacity_used: a share of the reported slots (None: all, and some jobs queued ahead)."""
-        if not worker.load_known_ms:
+        if not worker.load_updated_ms:
             return self._concurrency_reached(worker, request, None)
         context, job_slots, slowness = self.context, request.arrival.slots, 1.0
         estimates = context.estimates
@@ -232,14 +236,16 @@
             run_ms = estimates.run_ms[request.queue_key.class_index]
             ahead = QUEUE_AHEAD_SHARE * request.job_class.latency_objective_ms / run_ms
         slots = worker.max_free_slots * ((share or 1.0) / slowness + ahead)
-        return worker.used_slots + job_slots > worker.slot_share(slots, job_slots, context.now_ms, estimates)
+        return worker.used_slots + job_slots > worker.usable_slots(
+            slots, job_slots, context.now_ms, estimates
+        )
 
     def _overloaded(self, worker: TrackedWorker, request: Request, slots: float | None) -> bool:
         """Rule overload: unstarted attempts or backoff; without reports of starts, memory and slots."""
         context = self.context
         if context.settings.reports_attempt_start:
             return worker.unstarted_count > 0 or context.now_ms < worker.backoff_until_ms
-        if not worker.load_known_ms:
+        if not worker.load_updated_ms:
             return self._concurrency_reached(worker, request, slots)
         others_memory = worker.others_load(context.now_ms, context.estimates)[1]
         memory = worker.used_memory + others_memory + request.arrival.memory
--- a/grebestack/core/settings.py
+++ b/grebestack/core/settings.py
@@ -82,11 +82,11 @@
             raise ValueError(f"a block's {self.invalidate} has the threshold {self.threshold!r} out of range")
 
     @property
-    def open(self) -> bool:
+    def is_ranked(self) -> bool:
         """Whether the policy itself ranks the workers: best first over all workers of a place."""
         return self.strategy == "best_first" and self.workers == ("*",)
 
-    def holds(self, worker: str, own_zone: bool) -> bool:
+    def contains(self, worker: str, own_zone: bool) -> bool:
         """Whether a worker, in the dispatcher's own zone or another, belongs to the block."""
         named = self.workers == ("*",) or worker in self.workers
         return named and (self.place == "any" or own_zone == (self.place == "own"))
--- a/grebestack/core/workers.py
+++ b/grebestack/core/workers.py
@@ -49,7 +49,7 @@
     warming_turn_end_ms: float = 0.0
     # The last known load.
     load_report: Mapping[str, float] = field(default_factory=dict)
-    load_known_ms: float = 0.0  # 0: never
+    load_updated_ms: float = 0.0  # 0: never
     recent_attempts: list[Attempt] = field(default_factory=list)  # also those that ended a short while ago
     own_slots: float = 0.0  # slots of this dispatcher's attempts at the time of the report
     rounding: float = 1.0  # random share by which parts of a slot are rounded up, renewed by each report
@@ -72,7 +72,7 @@
         self.concurrency_limit, self.backoff_until_ms = 1.0, 0.0
         self.consecutive_overloads, self.consecutive_connection_errors = 0, 0
         self.slowness, self.error_rates, self.consecutive_trials = 1.0, {}, 0
-        self.load_report, self.load_known_ms, self.last_success_ms, self.cached_keys = {}, 0.0, 0.0, {}
+        self.load_report, self.load_updated_ms, self.last_success_ms, self.cached_keys = {}, 0.0, 0.0, {}
         self.process_started_ms = None if started_ms is None else min(started_ms, now_ms)
         self.on_slow_start_changed(now_ms, slow_start_ms)
 
@@ -89,7 +89,7 @@
         self.used_slots += sign * arrival.slots
         self.used_memory += sign * arrival.memory
 
-    def cache_key(self, key: int, capacity: int) -> None:
+    def add_cached_key(self, key: int, capacity: int) -> None:
         """Note that a job with a key goes here; the least recently used keys make room."""
         self.cached_keys.pop(key, None)
         self.cached_keys[key] = None
@@ -100,7 +100,7 @@
         """Take over its entry of the endpoint list; return whether readiness or start time changed."""
         was = (self.is_ready, self.entry.started_ms)
         self.entry, self.is_ready = entry, entry.state is WorkerState.READY
-        self.is_reinstated = self.is_reinstated or entry.put_back
+        self.is_reinstated = self.is_reinstated or entry.reinstated
         if self.is_ready and not was[0]:
             # With little traffic nothing would ever correct what was known from before.
             self.consecutive_overloads, self.backoff_until_ms = 0, 0.0
@@ -164,15 +164,15 @@
         self.own_slots = sum(a.slots for a in shown)
         # A single report is late and noisy, the more so the sooner it follows the one before.
         freshness = self._load_freshness(now_ms)
-        share = max(LOAD_LEARNING_RATE, 1.0 - freshness) if self.load_known_ms else 1.0
+        share = max(LOAD_LEARNING_RATE, 1.0 - freshness) if self.load_updated_ms else 1.0
         self.others_slots, self.others_memory = self.others_load(now_ms, estimates)
         self.others_slots += share * (slots - self.own_slots - self.others_slots)
         if memory is not None:
             self.others_memory += share * (memory - sum(a.memory for a in shown) - self.others_memory)
-        self.rounding, self.load_known_ms = estimates.random.random(), now_ms
+        self.rounding, self.load_updated_ms = estimates.random.random(), now_ms
 
     def _load_freshness(self, now_ms: float) -> float:
-        return max(0.0, 1.0 - (now_ms - self.load_known_ms) / LOAD_MAX_AGE_MS)
+        return max(0.0, 1.0 - (now_ms - self.load_updated_ms) / LOAD_MAX_AGE_MS)
 
     def others_load(self, now_ms: float, estimates: Estimates) -> tuple[float, float]:
         """Return the slots and memory that other dispatchers are estimated to use here.
@@ -194,7 +194,7 @@
         all_zones = own_zone + 2.0 * self.ring_distance * (dispatcher_count - 1 - own_zone)
         self.closer_dispatchers = 2.0 * self.ring_distance * own_zone if self.own_zone else all_zones
 
-    def slot_share(self, slots: float, job_slots: float, now_ms: float, estimates: Estimates) -> float:
+    def usable_slots(self, slots: float, job_slots: float, now_ms: float, estimates: Estimates) -> float:
         """Return how many of its slots this dispatcher may use.
 
         All dispatchers see the same free slots, late. So each takes its own slots of that time and a part
--- a/grebestack/routing/engine.py
+++ b/grebestack/routing/engine.py
@@ -283,7 +283,7 @@
         if session.closed or session.cancel_requested:
             return
         now = self.clock.now_ms()
-        dispatch = Attempt(session, len(session.attempts), action.worker, now, action.by_ms)
+        dispatch = Attempt(session, len(session.attempts), action.worker, now, action.send_by_ms)
         session.attempts.append(dispatch)
         if action.timeout_ms is not None:
             dispatch.timer = self.clock.call_at(now + action.timeout_ms, partial(self._timed_out, dispatch))
--- a/grebestack/routing/worker_table.py
+++ b/grebestack/routing/worker_table.py
@@ -98,7 +98,7 @@
         if (name in self.cordoned) != on:
             (self.cordoned.add if on else self.cordoned.discard)(name)
             if (server := self.reported.get(name)) is not None:
-                entry = replace(server.entry, put_back=not on)
+                entry = replace(server.entry, reinstated=not on)
                 self._tell(ListKind.CHANGES, (replace(server, entry=entry),))
 
     def callback_id(self, name: str) -> str:
--- a/grebestack/simhost.py
+++ b/grebestack/simhost.py
@@ -95,7 +95,7 @@
         slots=optional_number(raw, "slots", 1.0),
         memory=optional_number(raw, "mem"),
         tenant=int(optional_number(raw, "clientGroup")),
-        key=raw.get("entity"),
+        cache_key=raw.get("entity"),
         cost_ms=raw.get("costMs"),
         retry=bool(raw.get("repeat")),
     )
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -46,7 +46,7 @@
     view.backoff_until_ms, view.raise_limit_after_ms = 4.5, 5.5
     view.warm_at_ms, view.last_success_ms = 6.5, 7.5
     view.first_connection_error_ms, view.consecutive_connection_errors = 8.5, 9
-    view.max_free_slots, view.max_free_memory, view.load_known_ms = 10.5, 11.5, 12.5
+    view.max_free_slots, view.max_free_memory, view.load_updated_ms = 10.5, 11.5, 12.5
     view.others_slots, view.others_memory, view.own_slots, view.rounding = 13.5, 14.5, 15.5, 16.5
     policy.estimates.run_ms[:] = [101.0, 102.0, 103.0]
     policy.estimates.slots[:] = [1.25, 2.25, 3.25]
--- a/tests/overloaded_cluster.py
+++ b/tests/overloaded_cluster.py
@@ -125,7 +125,7 @@
         number = self.count
         self.jobs[job.dispatcher][number] = job
         deadline = self.now + CLASSES[job.index].deadline_ms
-        event = api.RequestArrived(number, job.index, deadline, key=job.key, retry=job.tries > 1)
+        event = api.RequestArrived(number, job.index, deadline, cache_key=job.key, retry=job.tries > 1)
         self.feed(job.dispatcher, event)
 
     def feed(self, n: int, event: api.Event) -> None:
--- a/tests/test_queue_order.py
+++ b/tests/test_queue_order.py
@@ -14,7 +14,7 @@
     """A dispatcher whose one worker takes one job at a time and runs one; and that job."""
     script = {"default": api.Tag((api.Block(threshold=1),), "fail")}
     d = Dispatcher(settings(script=script, **changes), workers=1)
-    request, actions = d.ask(ORDER, key=7, cost_ms=100.0)
+    request, actions = d.ask(ORDER, cache_key=7, cost_ms=100.0)
     assert sends(actions) == ["w0"]
     d.start(request, "w0")
     return d, request
@@ -28,15 +28,15 @@
 
 def test_a_freed_slot_goes_to_a_held_job_whose_key_the_worker_keeps() -> None:
     d, running = full()
-    d.ask(ORDER, key=8, cost_ms=100.0)
-    kept, _ = d.ask(ORDER, key=7, cost_ms=100.0)
+    d.ask(ORDER, cache_key=8, cost_ms=100.0)
+    kept, _ = d.ask(ORDER, cache_key=7, cost_ms=100.0)
     assert first_of(d.end(running, "w0")) == kept
 
 
 def test_a_freed_slot_goes_to_the_heavier_job_where_worth_is_by_work() -> None:
     d, running = full(weight_by_work=True)
-    d.ask(ORDER, key=8, cost_ms=50.0)
-    heavy, _ = d.ask(ORDER, key=8, cost_ms=150.0)
+    d.ask(ORDER, cache_key=8, cost_ms=50.0)
+    heavy, _ = d.ask(ORDER, cache_key=8, cost_ms=150.0)
     assert first_of(d.end(running, "w0")) == heavy
 
 
@@ -112,22 +112,22 @@
     d.listed(entry("w0"))
     view = d.policy.workers["w0"]
     for key in (1, 2, 3, 1, 4):
-        view.cache_key(key, 3)
+        view.add_cached_key(key, 3)
     assert list(view.cached_keys) == [3, 1, 4]
 
 
 def test_a_cheaper_class_goes_first_where_the_worker_keeps_what_it_needs() -> None:
     # An order is worth three times a view, but its key would be fetched, and drive out the one that is kept.
     d, running = full()
-    d.ask(ORDER, key=11, cost_ms=100.0)
-    kept, _ = d.ask(VIEW, key=7, cost_ms=100.0)
+    d.ask(ORDER, cache_key=11, cost_ms=100.0)
+    kept, _ = d.ask(VIEW, cache_key=7, cost_ms=100.0)
     assert first_of(d.end(running, "w0")) == kept
 
 
 def test_an_aged_job_goes_before_those_that_earn_more() -> None:
     d, running = full()
-    d.ask(ORDER, key=7, cost_ms=100.0)
-    aged, _ = d.ask(VIEW, key=8, cost_ms=100.0, aged=True)
+    d.ask(ORDER, cache_key=7, cost_ms=100.0)
+    aged, _ = d.ask(VIEW, cache_key=8, cost_ms=100.0, aged=True)
     assert first_of(d.end(running, "w0")) == aged
 
 
@@ -135,7 +135,7 @@
     # Guards the CPU of a dispatcher in a large fleet with many held jobs.
     d, looked = Dispatcher(settings(hedging_enabled=False), workers=40), list[object]()
     for view in d.policy.workers.values():
-        view.cache_key(7, 4)
+        view.add_cached_key(7, 4)
     look = d.policy._serve_queue
     d.policy._serve_queue = lambda freed=None: looked.append(freed) or look(freed)  # type: ignore[method-assign, func-returns-value]
     d.policy._scan_queue()
@@ -147,8 +147,8 @@
     script = {"default": api.Tag((api.Block(strategy="platform", threshold=1),), "fail")}
     for key in (7, 0):
         d = Dispatcher(settings(script=script), workers=1)
-        running, _ = d.ask(ORDER, key=key)
-        held, _ = d.ask(ORDER, key=key)
+        running, _ = d.ask(ORDER, cache_key=key)
+        held, _ = d.ask(ORDER, cache_key=key)
         d.start(running, "w0")
         assert d.policy.requests[held].is_queued
         d.policy.workers["w0"].used_slots = 0.0
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -93,10 +93,10 @@
             queue.remove((port, dispatch))
             self.free[name] -= 1.0
             asked = dispatch.request.arrival
-            found = asked.key in kept
+            found = asked.cache_key in kept
             self.found[found] += 1
-            kept[asked.key] = None
-            kept.move_to_end(asked.key)
+            kept[asked.cache_key] = None
+            kept.move_to_end(asked.cache_key)
             if len(kept) > KEPT:
                 kept.popitem(last=False)
             took = ((asked.cost_ms or 0.0) + (0.0 if found else FETCH_MS)) / speed
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -57,11 +57,11 @@
 
 def test_platform_steps_past_invalid_workers_and_starts_at_the_key() -> None:
     d = scripted(api.Block(strategy="platform", invalidate="max_concurrent_invocations", threshold=1))
-    assert {run(d, key=7) for _ in range(3)} == {"w0", "w1", "w2"}
+    assert {run(d, cache_key=7) for _ in range(3)} == {"w0", "w1", "w2"}
     firsts = set()
     for key in range(20):
         fresh = scripted(api.Block(strategy="platform", threshold=1))
-        firsts.add(run(fresh, key=key))
+        firsts.add(run(fresh, cache_key=key))
     assert firsts == {"w0", "w1", "w2"}
 
 
@@ -90,7 +90,7 @@
 
 def test_where_free_slots_are_reported_the_blocks_read_them() -> None:
     d = Dispatcher(settings(report_fields=frozenset({"free_slots"})))
-    blocks = [d.policy.selector.blocks[n] for n in d.policy.selector.paths[VIEW]]
+    blocks = [d.policy.selector.blocks[n] for n in d.policy.selector.block_indices[VIEW]]
     assert [b.invalidate for b in blocks[:2]] == ["capacity_used", "capacity_used"]
     assert {b.strategy for b in blocks[:2]} == {"best_first"}
 
@@ -169,7 +169,7 @@
     homes = set()
     for number in range(5):
         d = Dispatcher(settings(dispatcher=number, dispatcher_count=5, hedging_enabled=False), workers=40)
-        request, actions = d.ask(VIEW, key=77)
+        request, actions = d.ask(VIEW, cache_key=77)
         (first,) = sends(actions)
         d.wait(200)
         (second,) = sends(d.end(request, first, api.Outcome.CANCELLED))
@@ -197,7 +197,7 @@
     d = Dispatcher(settings(script=script, reports_attempt_start=told), workers=6)
     sent = []
     for key in range(8):
-        request, actions = d.ask(VIEW, key=key)
+        request, actions = d.ask(VIEW, cache_key=key)
         sent += sends(actions)
         if told:
             d.start(request, sent[-1])
@@ -300,7 +300,7 @@
 def test_queues_everywhere_do_not_stretch_the_patience_past_a_part_of_the_aim() -> None:
     d = Dispatcher(workers=1)
     view = d.policy.workers["w0"]
-    d.policy.estimates.least_start_delay_ms[True] = 10_000.0
+    d.policy.estimates.min_start_delay_ms[True] = 10_000.0
     request, _ = d.ask(VIEW)
     d.wait(BASE.classes[VIEW].latency_objective_ms / 2)
     assert view.consecutive_overloads == 1 and view.concurrency_limit == 0.0
@@ -310,7 +310,7 @@
     d = Dispatcher(workers=1)
     for n in range(3000):
         d.policy.estimates.on_start_delay(True, 5.0 if n % 3 == 0 else 400.0)
-    assert d.policy.estimates.least_start_delay_ms[True] < 10.0
+    assert d.policy.estimates.min_start_delay_ms[True] < 10.0
 
 
 def reporting(workers: int = 2) -> Dispatcher:
@@ -480,7 +480,7 @@
     for name in ("w0", "w1", "w2"):  # wherever it stands on the ring
         d.listed(entry(name, state=api.WorkerState.DRAINING), kind=api.ListKind.CHANGES)
         d.wait(2100)
-        back = entry(name, started_ms=d.now - 500, put_back=True)
+        back = entry(name, started_ms=d.now - 500, reinstated=True)
         d.listed(back, kind=api.ListKind.CHANGES)
         d.listed(entry(name, started_ms=d.now - 500), kind=api.ListKind.CHANGES)  # the list says it again
         used = []
