--- a/grebestack/core/actions.py
+++ b/grebestack/core/actions.py
@@ -13,7 +13,8 @@
 class Send:
     """Start the next attempt of a request; without a timeout it runs until the deadline at the latest.
 
-    The first byte must be sent by `send_by_ms` or not at all: the connection may be established late.
+    If its first byte cannot be sent by `send_by_ms`, because the connection was established late, it must
+    not be sent at all.
     """
 
     request: int
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
-    """Subscribe to changes of the endpoint list. Only the simulator acts on it: the engine always does."""
+    """Subscribe to changes of the endpoint list. Only the simulator uses it: the engine always subscribes."""
 
     on: bool = True
 
--- a/grebestack/core/admission.py
+++ b/grebestack/core/admission.py
@@ -5,18 +5,18 @@
 from grebestack.core.context import DecisionContext
 from grebestack.core.settings import JobClass
 
-ADMISSION_INCREASE_FACTOR = 1.15  # by each prompt start
-ADMISSION_DECREASE_FACTOR = 0.5  # by each overdue start of a job that cannot be moved
+ADMISSION_INCREASE_FACTOR = 1.15  # applied at each prompt start
+ADMISSION_DECREASE_FACTOR = 0.5  # applied at each overdue start of a job that cannot be moved
 MIN_ADMISSION_PROBABILITY = 0.05
 ADMISSION_PROBE_INTERVAL_MS = 1000.0  # one request is admitted if none was sent for this long
-QUOTA_BURST_S = 2.0  # seconds of the rate that may come at once
+QUOTA_BURST_S = 2.0  # seconds of the quota that may arrive at once
 
 
 class TokenBucket:
-    """Token bucket with a burst of two seconds, or of one token at low rates."""
+    """Token bucket whose burst is QUOTA_BURST_S seconds of its rate, and at least one token."""
 
     def __init__(self) -> None:
-        """Start at clock 0 with one token: the first take on a later clock finds a full bucket."""
+        """Start at time 0 with one token, so that the bucket is full by the first take at a later time."""
         self.tokens, self.updated_ms = 1.0, 0.0
 
     def take(self, now_ms: float, rate_per_s: float) -> bool:
@@ -31,7 +31,7 @@
 
 
 class AdmissionControl:
-    """Sheds requests, at random, of classes whose late answers are worth nothing, while starts are late."""
+    """Sheds requests at random while jobs start late, if late answers of their class have no value."""
 
     def __init__(self, context: DecisionContext) -> None:
         """Start with every request admitted."""
@@ -41,13 +41,13 @@
         self.quotas: list[TokenBucket] = []
 
     def on_settings_changed(self) -> None:
-        """Start new buckets for the tenants: each has a full burst again after a reload."""
+        """Create new buckets for the tenants: each has a full burst again after a reload."""
         self.quotas = [TokenBucket() for _ in self.context.settings.tenants]
 
     def is_within_quota(self, tenant: int) -> bool:
         """Whether a request is within its tenant's quota; an unknown tenant has none.
 
-        Each dispatcher grants its part of the quota, which is a rate over all dispatchers.
+        The quota is a rate over all dispatchers, of which each one grants an equal part.
         """
         if not self.quotas:
             return True
@@ -58,7 +58,7 @@
         return self.quotas[tenant].take(self.context.now_ms, rate_per_s)
 
     def is_shed(self, job_class: JobClass) -> bool:
-        """Whether a new request is shed: at random, unless its late answer is worth something."""
+        """Whether a new request is shed: at random, unless even a late answer of its class has a value."""
         return not (
             job_class.late_priority_weight > 0
             or self.context.random.random() <= self.admission_probability
@@ -66,20 +66,20 @@
         )
 
     def on_sent(self) -> None:
-        """Postpone the request that is admitted when nothing is sent."""
+        """Postpone the request that is admitted if nothing was sent for a while."""
         self.next_probe_ms = self.context.now_ms + ADMISSION_PROBE_INTERVAL_MS
 
     def on_prompt_start(self) -> None:
-        """Admit more requests after a start in time."""
+        """Admit more requests after a job started in time."""
         self.admission_probability = min(1.0, ADMISSION_INCREASE_FACTOR * self.admission_probability)
 
     def on_overdue_start(self, *, may_move: bool) -> None:
-        """Admit fewer requests after an overdue start, if the job could not move or had moved already."""
+        """Admit fewer requests after an overdue start, unless the job may be moved and was not before."""
         factor = 1.0 if may_move else ADMISSION_DECREASE_FACTOR
         self.admission_probability = max(MIN_ADMISSION_PROBABILITY, self.admission_probability * factor)
 
     def retry_after_ms(self, class_index: int, queued_count: int) -> float | None:
-        """Return after how many ms a rejected client should retry: about when those queued before are served.
+        """Return after how many ms a rejected client should retry: about when all queued requests are served.
 
         None if the settings have no Retry-After.
         """
--- a/grebestack/core/checkpoint.py
+++ b/grebestack/core/checkpoint.py
@@ -15,7 +15,7 @@
 from grebestack.core.workers import Attempt
 
 DEFAULT_RUN_MS = 1000.0  # of an inherited attempt whose class is unknown
-# Stored key and attribute.
+# Stored key -> attribute.
 WORKER_FIELDS = {
     "ceiling": "concurrency_limit",
     "pace": "slowness",
@@ -39,7 +39,7 @@
 
 
 def save_checkpoint(policy: Policy) -> dict[str, Any]:
-    """Return what a policy has learned of workers, kinds and classes."""
+    """Return what a policy has learned about workers, kinds of workers and job classes."""
     estimates = policy.estimates
     return {
         "workers": {
@@ -61,14 +61,14 @@
 
 
 def _number(value: Any, like: Any) -> Any:
-    """Return a finite number as the type of another; ValueError if it is none."""
+    """Convert a finite number to the type of `like`; ValueError if it is not a finite number."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise ValueError(f"{value!r} is no finite number")
+        raise ValueError(f"{value!r} is not a finite number")
     return type(like)(value)
 
 
 def restore_checkpoint(policy: Policy, raw: Mapping[str, Any]) -> None:
-    """Take over the checkpoint of another policy; the workers must be listed already.
+    """Load the checkpoint of another policy; only workers that are listed already are restored.
 
     Raises
     ------
@@ -77,8 +77,8 @@
     """
     estimates = policy.estimates
     workers = [
-        (worker, attribute, _number(known[key], getattr(worker, attribute)))
-        for name, known in raw["workers"].items()
+        (worker, attribute, _number(stored[key], getattr(worker, attribute)))
+        for name, stored in raw["workers"].items()
         if (worker := policy.workers.get(name)) is not None
         for key, attribute in WORKER_FIELDS.items()
     ]
@@ -103,10 +103,10 @@
 
 
 def apply_own_slow_start(policy: Policy) -> None:
-    """Compute the slow starts that a checkpoint has brought anew, by the settings of this policy.
+    """Recompute the slow starts that a checkpoint has restored, by the settings of this policy.
 
-    The other policy may have had a longer slow start. A worker counts as started when that one thought so,
-    or when the endpoint list says so if that is later, and never in the future.
+    The other policy may have had a longer slow start. The start time of a worker is the one that policy
+    assumed or the one in the endpoint list, whichever is later, but never in the future.
     """
     now_ms, slow_start_ms = policy.context.now_ms, policy.settings.slow_start_ms
     for worker in policy.workers.values():
@@ -120,7 +120,7 @@
 class InheritedAttempts:
     """Attempts of the predecessor, counted as this dispatcher's own at their workers.
 
-    Otherwise they would pass for the load of other dispatchers, and this one would find its own share of
+    Otherwise they would be taken for the load of other dispatchers, and this one would find its own share of
     the workers in use until all lists and reports have been renewed.
     """
 
@@ -132,7 +132,7 @@
     def add(
         self, key: str, worker_name: str, slots: float, memory: float, sent_ms: float, class_name: str
     ) -> None:
-        """Count an attempt; a known one, or one at a worker that is not listed, is ignored."""
+        """Count an attempt; it is ignored if it is known already or its worker is not listed."""
         worker, estimates = self.policy.workers.get(worker_name), self.policy.estimates
         if worker is None or key in self.attempts:
             return
@@ -146,7 +146,7 @@
         self.attempts[key] = attempt
 
     def end(self, key: str, now_ms: float) -> None:
-        """Remove an attempt that has ended or is given up; an unknown one is ignored."""
+        """Remove an attempt that has ended or was abandoned; an unknown one is ignored."""
         attempt = self.attempts.pop(key, None)
         if attempt is None:
             return
--- a/grebestack/core/context.py
+++ b/grebestack/core/context.py
@@ -27,11 +27,11 @@
         self.workers: dict[str, TrackedWorker] = {}
 
     def jittered_ms(self, mean_ms: float, doublings: int = 0) -> float:
-        """Return a random delay in ms: 0.5 to 1.5 times the mean, which is doubled so often."""
+        """Return a random delay in ms: 0.5 to 1.5 times the mean, doubled `doublings` times."""
         return mean_ms * 2.0 ** min(doublings, MAX_BACKOFF_DOUBLINGS) * self.random.uniform(0.5, 1.5)
 
     def update_worker(self, entry: WorkerEntry) -> bool:
-        """Take over an entry of the endpoint list; return whether it changes which workers are ready."""
+        """Apply an entry of the endpoint list; return whether it changes which workers are ready."""
         settings = self.settings
         known = self.workers.get(entry.worker)
         worker = known or TrackedWorker(entry, entry.zone == settings.zone)
--- a/grebestack/core/estimates.py
+++ b/grebestack/core/estimates.py
@@ -9,9 +9,9 @@
 from grebestack.core.settings import JobClass
 
 LEARNING_RATE = 0.02  # share of each sample in a moving average
-START_DELAY_DECREASE = 0.2  # at each sample that is not above it; others raise it by LEARNING_RATE / 4
-LOAD_MAX_AGE_MS = 2000.0  # known load of other dispatchers is forgotten within this
-MAX_HINT_RATIO = 8.0  # a running time counts at most this many times its hint
+START_DELAY_DECREASE = 0.2  # at each sample not above the estimate; others raise it by LEARNING_RATE / 4
+LOAD_MAX_AGE_MS = 2000.0  # older knowledge of the load of other dispatchers is not used
+MAX_HINT_RATIO = 8.0  # a running time counts as at most this multiple of its hint
 
 
 class LoadObservation(Protocol):
@@ -23,30 +23,29 @@
 
     @property
     def others_slots(self) -> float:
-        """Slots that other dispatchers use there."""
+        """Slots that other dispatchers use at the worker."""
 
     @property
     def others_memory(self) -> float:
-        """Memory that other dispatchers use there."""
+        """Memory that other dispatchers use at the worker."""
 
 
 class Estimates:
     """Moving averages and extremes of observed values, in milliseconds, slots and units of memory."""
 
     def __init__(self, tick_ms: float, random: Random) -> None:
-        """Start without classes; no start delay is estimated below a tick."""
+        """Start without classes; `tick_ms` is the lowest start delay that is estimated."""
         self.tick_ms, self.random = tick_ms, random
         self.class_names: list[str] = []
         self.run_ms: list[float] = []  # by class
         self.run_ms_per_hinted_ms: list[float] = []  # by class
         self.slots: list[float] = []  # by class
-        self.request_value = (
-            1.0  # mean of a request: its priority weight, times hinted ms with weight_by_work
-        )
-        self.kind_slots: dict[int, float] = {}  # most slots seen in use on one worker of a kind
-        self.kind_weight: dict[int, float] = {}  # highest weight in the endpoint list of a kind
+        # Mean value of a request: its priority weight, multiplied by its hinted ms under weight_by_work.
+        self.request_value = 1.0
+        self.kind_slots: dict[int, float] = {}  # by kind: most slots seen on one worker
+        self.kind_weight: dict[int, float] = {}  # by kind: highest weight in the endpoint list
         self.others_load = (0.0, 0.0)  # slots and memory of the other dispatchers at an average worker
-        self.min_start_delay_ms: dict[bool, float] = {}  # in the own zone (True) or another
+        self.min_start_delay_ms: dict[bool, float] = {}  # at workers of the own zone (True) or others
 
     def add_classes(self, classes: Sequence[JobClass]) -> None:
         """Add the classes that are new; a redefined class starts with the estimates of its former one."""
@@ -76,18 +75,20 @@
         return self.run_ms[class_index] * self.slots[class_index]
 
     def expected_run_ms(self, class_index: int, cost_ms: float | None) -> float:
-        """Return the expected running time of a job, by its hint if it has one, else by its class."""
+        """Return the expected running time of a job: from its hint if it has one, else from its class."""
         return self.run_ms_per_hinted_ms[class_index] * cost_ms if cost_ms else self.run_ms[class_index]
 
     def on_success(self, class_index: int, run_ms: float, cost_ms: float | None) -> None:
         """Learn the running time of a job that succeeded."""
         self.run_ms[class_index] += LEARNING_RATE * (run_ms - self.run_ms[class_index])
         if cost_ms:
-            known = self.run_ms_per_hinted_ms
-            known[class_index] += LEARNING_RATE * (min(MAX_HINT_RATIO, run_ms / cost_ms) - known[class_index])
+            ratios = self.run_ms_per_hinted_ms
+            ratios[class_index] += LEARNING_RATE * (
+                min(MAX_HINT_RATIO, run_ms / cost_ms) - ratios[class_index]
+            )
 
     def update_others_load(self, workers: Sequence[LoadObservation], now_ms: float) -> None:
-        """Learn the mean load of other dispatchers from the workers whose load was reported lately."""
+        """Learn the mean load of other dispatchers from the workers whose load was reported recently."""
         recent = [worker for worker in workers if worker.load_updated_ms > now_ms - LOAD_MAX_AGE_MS]
         if recent:
             slots = sum(worker.others_slots for worker in recent) / len(recent)
@@ -95,7 +96,7 @@
             self.others_load = max(0.0, slots), max(0.0, memory)
 
     def on_start_delay(self, own_zone: bool, delay_ms: float) -> None:
-        """Learn how long a job took to start, or has waited for its start.
+        """Learn how long a job took to start, or has waited so far.
 
         The estimate follows the minimum, as delay-based congestion control follows the shortest round trip.
         A mean would grow with the workers' queues until every start looked prompt.
@@ -109,7 +110,7 @@
         return self.min_start_delay_ms.get(own_zone, self.tick_ms)
 
     def on_slots_seen(self, kind: int, slots: float) -> None:
-        """Learn that one worker of a kind has at least so many slots."""
+        """Learn that one worker of a kind has at least this many slots."""
         self.kind_slots[kind] = max(self.kind_slots.get(kind, 1.0), slots)
 
 
--- a/grebestack/core/events.py
+++ b/grebestack/core/events.py
@@ -1,8 +1,8 @@
 """The events that a policy handles, each with its contract.
 
-Times are milliseconds on one monotonic clock that the embedding dispatcher owns. A request is what a client
-asked for; an attempt is one sending of it to a worker, numbered 0, 1, 2 ... in the order of the `Send`
-actions of that request.
+Times are milliseconds on one monotonic clock that the embedding dispatcher owns, which also numbers the
+requests. An attempt is one sending of a request to a worker. The attempts of a request are numbered 0, 1,
+2 ... in the order of its `Send` actions.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     CACHED = "cached"  # the whole list from disk, possibly stale
     FULL = "full"  # the whole list
     CHANGES = "changes"  # changed entries only
-    FAILED = "failed"  # a call or the subscription failed; the known list stays in force
+    FAILED = "failed"  # a call or the subscription failed; the known list still applies
 
 
 class Outcome(Enum):
@@ -37,7 +37,7 @@
     OK = "ok"
     ERROR = "error"  # the worker answered with an error; it may have run
     REJECTED = "rejected"  # not executed
-    TIMEOUT = "timeout"  # cut off at the deadline; it may have run, or may still run
+    TIMEOUT = "timeout"  # ended at the deadline; it may have run, or may still be running
     CONNECT_FAILED = "connect_failed"  # never reached the worker
     RESET = "reset"  # the connection broke; it may have run
     CANCELLED = "cancelled"  # it may have run
@@ -45,7 +45,7 @@
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that the attempt was never executed."""
+        """Whether the outcome proves that the attempt was never executed."""
         return self is Outcome.REJECTED or self is Outcome.CONNECT_FAILED or self is Outcome.NOT_SENT
 
 
@@ -60,7 +60,7 @@
     state: WorkerState = WorkerState.READY
     weight: float = 1.0
     started_ms: float | None = None  # None: long ago
-    reinstated: bool = False  # the operators have just put it back into use; the name is a key on the wire
+    reinstated: bool = False  # the operators have just put it back into use
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
     cache_key: int | None = None  # data that a worker may still have; not the idempotency key
     cost_ms: float | None = None
     retry: bool = False
-    aged: bool = False  # waited so long that it goes before all others
+    aged: bool = False  # has waited so long that it is served before all others
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The response of a streamed class began; from here the attempt belongs to the client."""
+    """The response to a request of a streamed class began; the client receives it from now on."""
 
     request: int
     attempt: int
@@ -147,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeadlineShortened:
-    """A request must be answered earlier than was said at its arrival: this dispatcher is stopping."""
+    """A request has an earlier deadline than at its arrival, because this dispatcher is stopping."""
 
     request: int
     deadline_ms: float
--- a/grebestack/core/hashing.py
+++ b/grebestack/core/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes and walks that are the same in every dispatcher process."""
+"""Hashes and orders of iteration that are the same in every dispatcher process."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def coprime_walk(items: Sequence[Item], start: int, min_step: int) -> Iterator[Item]:
-    """Yield every item once from index `start`, by a step that is co-prime to their number.
+    """Yield every item once, starting at index `start`, by a step that is co-prime to their number.
 
-    The step is the smallest such number of at least `min_step`.
+    The step is the smallest such number that is at least `min_step`.
     """
     n = len(items)
     step = next((k for k in range(max(1, min_step), min_step + n + 1) if gcd(k, n) == 1), 1)
@@ -28,8 +28,8 @@
 def rendezvous_distance(key: int, worker_hash: int) -> float:
     """Return the distance of a key from a worker: 0 is the nearest possible, 1 the mean.
 
-    All dispatchers compute the same value. By rendezvous hashing, a key's nearest worker stays the same
-    when other workers come or go.
+    All dispatchers compute the same value. As usual in rendezvous hashing, a key's nearest worker stays the
+    same when other workers are added or removed.
     """
     mixed = (key ^ worker_hash) * 0x9E3779B97F4A7C15 & (1 << 64) - 1
     mixed = (mixed ^ mixed >> 29) * 0xBF58476D1CE4E5B9 & (1 << 64) - 1
--- a/grebestack/core/outliers.py
+++ b/grebestack/core/outliers.py
@@ -10,25 +10,25 @@
 from grebestack.core.retries import may_hedge
 from grebestack.core.workers import Attempt, TrackedWorker
 
-START_DELAY_FACTOR = 3.0  # a start is overdue after so many usual delays and two ticks
-MAX_START_DELAY_SHARE = 0.25  # and at the latest after this share of the latency objective
+START_DELAY_FACTOR = 3.0  # a start is overdue after this many usual delays plus two ticks
+MAX_START_DELAY_SHARE = 0.25  # or, if that is earlier, after this share of the latency objective
 RAISE_PAUSE_MS = 2000.0  # the concurrency limit is not raised for this long after overload
-CRASH_CONNECTION_ERRORS = 2  # so many in a row mean that the worker crashed
+CRASH_CONNECTION_ERRORS = 2  # this many in a row mean that the worker crashed
 SLOWNESS_LEARNING_RATE = 0.2
-MAX_SLOWNESS = 4.0  # a job counts as no slower: it may be an unusually large one
-SLUGGISH_FACTOR = 1.5  # slower than typical by this: a worker is ranked later and given fewer jobs
-OUTLIER_FACTOR = 2.5  # slower than typical by this: an outlier, ejected between trial requests
-TRIAL_INTERVAL_RUNS = 4.0  # running times until the first trial request; it doubles each time
+MAX_SLOWNESS = 4.0  # upper bound for one job, which may just be unusually large
+SLUGGISH_FACTOR = 1.5  # a worker that is this much slower than typical is ranked lower and gets fewer jobs
+OUTLIER_FACTOR = 2.5  # a worker that is this much slower is an outlier: ejected between trial requests
+TRIAL_INTERVAL_RUNS = 4.0  # running times until the first trial request; doubled each time
 ERROR_LEARNING_RATE = 0.3
-MIN_OUTLIER_ERROR_RATE = 0.1  # a lower error rate never ejects
-OUTLIER_ERROR_FACTOR = 1.5  # times the typical error rate of the class
+MIN_OUTLIER_ERROR_RATE = 0.1  # a worker with a lower error rate is never ejected for it
+OUTLIER_ERROR_FACTOR = 1.5  # this multiple of the class's typical error rate is tolerated in addition
 
 
 class OutlierDetection:
     """Compares workers with each other, and limits what an overloaded or failing one is sent."""
 
     def __init__(self, context: DecisionContext) -> None:
-        """Start with neither slow workers nor errors."""
+        """Start without slow workers and errors."""
         self.context = context
         self.typical_slowness = 1.0
         self.typical_error_rates: dict[int, float] = {}  # by class
@@ -43,7 +43,7 @@
             self.typical_error_rates[index] = lower_median(rates)
 
     def update_slowness(self, worker: TrackedWorker) -> None:
-        """Count attempts that are still running: on a worker that hangs, none would ever end."""
+        """Raise the slowness by attempts that are still running: none ever ends on a worker that hangs."""
         now_ms = self.context.now_ms
         running = (a for a in worker.recent_attempts if a.outcome is None)
         ratios = sorted((now_ms - a.sent_ms) / a.expected_run_ms for a in running)
@@ -78,15 +78,13 @@
 
     def on_answer(self, worker: TrackedWorker, class_index: int, *, is_error: bool) -> None:
         """Learn the error rate of a class; each success halves it."""
-        known = worker.error_rates.get(class_index, 0.0)
-        worker.error_rates[class_index] = (
-            known + ERROR_LEARNING_RATE * (1.0 - known) if is_error else known / 2
-        )
+        rate = worker.error_rates.get(class_index, 0.0)
+        worker.error_rates[class_index] = rate + ERROR_LEARNING_RATE * (1.0 - rate) if is_error else rate / 2
 
     def on_run_time(self, worker: TrackedWorker, class_index: int, ratio: float) -> None:
         """Learn a running time, given as a multiple of the expected one.
 
-        After one that is not slow, the next trial request may follow at once.
+        If it was not slow, the next trial request may follow at once.
         """
         worker.slowness += SLOWNESS_LEARNING_RATE * (min(MAX_SLOWNESS, ratio) - worker.slowness)
         if ratio <= SLUGGISH_FACTOR * self.typical_slowness:
@@ -95,19 +93,20 @@
     # Overload, backoff and the concurrency limit.
 
     def start_timeout_ms(self, worker: TrackedWorker, request: Request) -> float:
-        """Return after how long without a start an attempt counts as overdue.
+        """Return how long after the sending of an attempt its start is overdue.
 
-        The limit by the objective holds when all workers have queues, and usual delays are long.
+        The share of the latency objective is the limit when all workers have queues and the usual delays are
+        long.
         """
         estimates, tick_ms = self.context.estimates, self.context.settings.tick_ms
-        usual = START_DELAY_FACTOR * estimates.start_delay_ms(worker.own_zone) + 2 * tick_ms
-        return min(usual, request.job_class.latency_objective_ms * MAX_START_DELAY_SHARE)
+        usual_ms = START_DELAY_FACTOR * estimates.start_delay_ms(worker.own_zone) + 2 * tick_ms
+        return min(usual_ms, request.job_class.latency_objective_ms * MAX_START_DELAY_SHARE)
 
     def is_backing_off(self, worker: TrackedWorker, request: Request) -> bool:
         """Whether an overloaded worker is at its concurrency limit and takes no trial job.
 
-        An idle one is tried with one job after the backoff, and later with a job that could not be moved
-        away, because the worker may hang.
+        An idle worker is tried with one job after the backoff. A job that could not be moved elsewhere waits
+        for another running time, because the worker may hang.
         """
         if worker.consecutive_overloads == 0 or worker.used_slots < worker.concurrency_limit:
             return False
@@ -132,7 +131,7 @@
         worker.consecutive_overloads += 1
 
     def on_prompt_start(self, worker: TrackedWorker) -> None:
-        """End the backoff; a worker without a queue has at least the slots that are in use."""
+        """End the backoff; a worker without a queue has at least as many slots as are in use."""
         worker.consecutive_overloads = 0
         if worker.unstarted_count == 0:
             worker.concurrency_limit = max(worker.concurrency_limit, worker.used_slots)
@@ -145,9 +144,9 @@
             worker.first_connection_error_ms = self.context.now_ms
 
     def has_crashed(self, worker: TrackedWorker, attempt: Attempt) -> bool:
-        """Whether a successful attempt shows that the worker crashed and is back.
+        """Whether a successful attempt shows that the worker crashed and has restarted.
 
-        The endpoint list may show it later, and a restarted worker must not be sent its full load.
+        The endpoint list may report it only later, and a restarted worker must not be sent its full load.
         """
         return (
             worker.consecutive_connection_errors >= CRASH_CONNECTION_ERRORS
@@ -160,7 +159,7 @@
         worker.last_success_ms = self.context.now_ms
 
     def raise_limit(self, worker: TrackedWorker, run_ms: float) -> None:
-        """Raise the concurrency limit by one slot if no attempt is unstarted, once per running time."""
+        """Raise the concurrency limit by one slot if all attempts have started, once per running time."""
         now_ms = self.context.now_ms
         if worker.unstarted_count == 0 and now_ms >= worker.raise_limit_after_ms:
             worker.concurrency_limit += 1.0
--- a/grebestack/core/policy.py
+++ b/grebestack/core/policy.py
@@ -1,8 +1,8 @@
 """All decisions of one dispatcher, by Allocation Priority Policies (APP; De Palma et al.).
 
-`Policy` maps each event to a handler. The rules stand in the modules beside this one: admission, selection,
-retries, queueing, outliers and slow_start. What goes in and out is in `api.py`. Nothing here does input or
-output or reads a clock.
+`Policy` maps each event to a handler. The rules are in the neighbouring modules: admission, selection,
+retries, queueing, outliers and slow_start. The events and actions are listed in `api.py`. Nothing here does
+input or output or reads a clock.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 from grebestack.core.timers import TimerQueue
 from grebestack.core.workers import Attempt, TrackedWorker
 
-QUEUE_SCAN_INTERVAL_MS = 20.0  # queued requests try all workers again after this
-MAX_SCANNED_WORKERS = 6  # workers that look for their own best request in one scan
-RANKING_INTERVAL_MS = 1000.0  # rankings of workers and queues are renewed after this
+QUEUE_SCAN_INTERVAL_MS = 20.0  # mean time until queued requests try all workers again
+MAX_SCANNED_WORKERS = 6  # workers for which one scan looks for the most valuable request
+RANKING_INTERVAL_MS = 1000.0  # between two renewals of the rankings of workers and queues
 MAX_LIST_BACKOFF_DOUBLINGS = 2
-LIST_RETRIES_PER_DEADLINE = 16  # retries of a failed endpoint list are this frequent at first
-CACHED_KEYS = 4  # keys of this dispatcher whose data a worker is expected to cache
+LIST_RETRIES_PER_DEADLINE = 16  # initial rate of retries after a failed endpoint list
+MAX_CACHED_KEYS = 4  # keys of this dispatcher whose data a worker is expected to cache
 
 
 class Policy:
-    """The decisions of one dispatcher: give it events, carry out the actions that it returns."""
+    """The decisions of one dispatcher: it takes events, and its caller carries out the actions it returns."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         """Start without workers; the seed determines all random numbers."""
@@ -65,7 +65,7 @@
 
     @property
     def settings(self) -> api.Settings:
-        """The settings in force."""
+        """The current settings."""
         return self.context.settings
 
     @property
@@ -75,7 +75,7 @@
 
     @property
     def estimates(self) -> Estimates:
-        """What was learned of classes and kinds of workers."""
+        """What was learned about job classes and kinds of workers."""
         return self.context.estimates
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
@@ -94,7 +94,7 @@
     def take_actions(self) -> list[api.Action]:
         """Return the actions decided since they were last returned, with the timer that is due next.
 
-        `handle` does so itself. After it has raised, this returns what was decided before the fault.
+        `handle` calls it. After `handle` has raised, it returns what was decided before the exception.
         """
         if (at_ms := self.timers.next_timer_ms()) is not None:
             self.actions.append(api.SetTimer(at_ms, self.timers.token))
@@ -118,7 +118,7 @@
         self.timers.run_due(self.context.now_ms, event.token)
 
     def _on_attempt_progress(self, event: api.AttemptProgress) -> None:
-        """Progress decides nothing."""
+        """Ignore the report: no decision depends on progress."""
 
     def _on_workers_listed(self, event: api.WorkersListed) -> None:
         if event.kind is ListKind.FAILED:
@@ -138,7 +138,7 @@
     def _on_list_failed(self) -> None:
         """Retry well before the poll deadline, at a random time: all dispatchers share the list service.
 
-        Only the simulator reports failed lists; a real dispatcher's watch is in endpoint_watch/.
+        Only the simulator reports failed lists; a real dispatcher watches the list in endpoint_watch/.
         """
         context = self.context
         pause_ms = context.jittered_ms(
@@ -149,7 +149,7 @@
         self.list_failure_count += 1
 
     def _on_ranking_timer(self) -> None:
-        """Renew the rankings of workers and queues, and forget workers that are gone."""
+        """Renew the rankings of workers and queues, and forget unready workers without attempts."""
         context = self.context
         self.timers.add(context.now_ms + RANKING_INTERVAL_MS, self._on_ranking_timer)
         self.selector.on_ranking_timer()
@@ -192,11 +192,11 @@
         self._give_up_at_deadline(request)
 
     def _give_up_at_deadline(self, request: Request) -> None:
-        """Answer a request a tick before its deadline, by which the answer must be out."""
+        """Schedule the answer to a request for one tick before its deadline, by which it must be sent."""
         self.timers.add(request.arrival.deadline_ms - self.settings.tick_ms, self._give_up, request)
 
     def _place(self, request: Request) -> None:
-        """Send a request to a valid worker, queue it, or answer it if it cannot be sent any more."""
+        """Send a request to a valid worker, queue it, or answer it if it cannot be sent again."""
         if not may_send(request, self.context.now_ms, self.settings):
             if not request.awaited_attempts():
                 self._give_up(request)
@@ -212,7 +212,7 @@
             self._enqueue(request)
 
     def _send(self, request: Request, worker: TrackedWorker) -> None:
-        """Send the next attempt, in place of any that is in flight."""
+        """Send the next attempt, which replaces any that is in flight."""
         context, arrival, class_index = self.context, request.arrival, request.queue_key.class_index
         self._cancel_attempts(request)
         request.is_queued = False
@@ -220,13 +220,13 @@
         run_ms = context.estimates.expected_run_ms(class_index, arrival.cost_ms)
         attempt = Attempt(worker, context.now_ms, arrival.slots, arrival.memory, run_ms)
         self.outliers.on_sent(worker, class_index, run_ms)
-        by_ms = send_by_ms(request)  # before this attempt counts
+        by_ms = send_by_ms(request)  # must be computed before this attempt is added
         if worker.warm_at_ms > context.now_ms:
             self.slow_start.draw_turn(worker, arrival.slots, run_ms, context.now_ms)
         request.attempts.append(attempt)
         worker.count_attempt(arrival, 1)
         if arrival.cache_key is not None:
-            worker.add_cached_key(arrival.cache_key, CACHED_KEYS)
+            worker.add_cached_key(arrival.cache_key, MAX_CACHED_KEYS)
         worker.recent_attempts.append(attempt)
         if context.settings.reports_attempt_start:
             worker.unstarted_count += 1
@@ -243,7 +243,7 @@
                 self.actions.append(api.Cancel(request.arrival.request, request.attempts.index(attempt)))
 
     def _give_up(self, request: Request) -> None:
-        """Answer a request that is not sent any more: reject it if a retry is harmless, else fail it."""
+        """Answer a request that is not sent again: reject it if a retry is harmless, else fail it."""
         number = request.arrival.request
         if may_reject(request):
             retry_after_ms = self.admission.retry_after_ms(request.queue_key.class_index, self.queue.count())
@@ -262,7 +262,7 @@
     # Queued requests.
 
     def _enqueue(self, request: Request) -> None:
-        """Queue a request here rather than at an arbitrary worker, and have the queue scanned."""
+        """Queue a request here rather than at an arbitrary worker, and schedule a scan of the queue."""
         if not request.is_queued:
             self.queue.add(request)
             key = request.queue_key
@@ -274,7 +274,7 @@
             self._schedule_scan()
 
     def _on_queue_timeout(self, request: Request) -> None:
-        """Reject a request queued past its objective, or keep it if a late answer is worth something."""
+        """Reject a request queued past its objective, or keep it as late if a late answer has a value."""
         if not request.is_queued or request.awaited_attempts():
             return
         if request.job_class.late_priority_weight > 0 or not may_reject(request):
@@ -290,7 +290,7 @@
         self.timers.add(scan_ms, self._scan_queue)
 
     def _scan_queue(self) -> None:
-        """Serve the queue at a few random workers with cached keys, then at all."""
+        """Serve the queue at a few random workers with cached keys, then at all workers."""
         now_ms = self.context.now_ms
         free = [
             worker
@@ -307,7 +307,7 @@
                 self._schedule_scan()
 
     def _serve_queue(self, freed: TrackedWorker | None = None) -> None:
-        """Try the first or most valuable queued requests, at one worker or at all (None)."""
+        """Try the first or most valuable queued requests, at the freed worker or at all workers (None)."""
         for request in self.priority.candidates(freed):
             if not may_send(request, self.context.now_ms, self.settings):
                 continue
@@ -333,7 +333,7 @@
         self.estimates.on_start_delay(worker.own_zone, delay_ms)
 
     def _on_start_overdue(self, request: Request, attempt: Attempt) -> None:
-        """Treat the worker as full, and move the job to another one where that is allowed."""
+        """Treat the worker as full, and move the job to another worker if that is allowed."""
         worker, movable = attempt.worker, may_cancel_and_retry(request, self.settings)
         self.admission.on_overdue_start(may_move=movable and len(request.attempts) <= 1)
         self.estimates.on_start_delay(worker.own_zone, self.context.now_ms - attempt.sent_ms)
--- a/grebestack/core/queueing.py
+++ b/grebestack/core/queueing.py
@@ -11,14 +11,14 @@
 from grebestack.core.workers import TrackedWorker
 
 QUEUE_HEADS = 3  # requests of each queue that are tried at once
-QUEUE_LOOKAHEAD = 64  # requests of each queue among which the most valuable ones are sought
-FETCH_RUNS = 16.0  # running times that it takes to fetch the data of a key from the mean distance
+QUEUE_LOOKAHEAD = 64  # requests of each queue among which the most valuable ones are searched
+FETCH_RUNS = 16.0  # running times to fetch the data of a cache key at the mean rendezvous distance
 
 
 class RequestQueue:
-    """Queued requests by key, first come, first served.
+    """Queued requests by queue key, first come, first served.
 
-    A request that was sent, has ended or changed its key stays in its deque and is skipped.
+    A request that has been sent, has ended or has another queue key by now stays in its deque and is skipped.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         self.keys: list[QueueKey] = []  # in the order in which they are served
 
     def add(self, request: Request) -> None:
-        """Append a request to the queue of its key."""
+        """Append a request to the queue of its queue key."""
         request.is_queued, key = True, request.queue_key
         if key not in self.queues:
             self.queues[key] = deque()
@@ -42,7 +42,7 @@
         return [r for r in islice(queue, limit) if r.is_queued and r.queue_key == key]
 
     def count(self) -> int:
-        """Return about how many are queued; it includes some that have ended since."""
+        """Return about how many requests are queued; some of them may have ended already."""
         return sum(len(queue) for queue in self.queues.values())
 
     def is_empty(self) -> bool:
@@ -51,30 +51,30 @@
 
 
 class Priority:
-    """The order of queues and of queued requests: by the value that a slot earns per millisecond."""
+    """The order of queues and of queued requests: by value per slot-millisecond."""
 
     def __init__(self, context: DecisionContext, queue: RequestQueue) -> None:
-        """Order the given queue."""
+        """Order the requests of `queue`."""
         self.context, self.queue = context, queue
 
     def sort_queues(self) -> None:
         """Order the queues: aged requests first, then by value per slot-millisecond."""
-        self.queue.keys.sort(key=lambda key: (not key.is_aged, -self._density(key), key))
+        self.queue.keys.sort(key=lambda key: (not key.is_aged, -self._queue_value_per_slot_ms(key), key))
 
     def candidates(self, freed: TrackedWorker | None) -> list[Request]:
-        """Return the queued requests to try, best first, at one worker or at all (None).
+        """Return the queued requests to try, best first, at the freed worker or at all workers (None).
 
-        The queues' own order holds unless some requests have a key or a hint of their running time.
+        The order of the queues applies unless some requests have a cache key or a hint of their running time.
         """
         queue = self.queue
         heads = [r for key in queue.keys for r in queue.heads(key, QUEUE_HEADS)]
         if any(r.arrival.cost_ms or r.has_cache_key for r in heads):
             heads = [r for key in queue.keys for r in queue.heads(key, QUEUE_LOOKAHEAD)]
-            heads.sort(key=lambda r: (not r.queue_key.is_aged, -self._gain(r, freed)))
+            heads.sort(key=lambda r: (not r.queue_key.is_aged, -self._request_value_per_slot_ms(r, freed)))
             return heads[: 2 * QUEUE_HEADS]
         return heads
 
-    def _density(self, key: QueueKey) -> float:
+    def _queue_value_per_slot_ms(self, key: QueueKey) -> float:
         settings, estimates = self.context.settings, self.context.estimates
         return self._weight(key) / (1.0 if settings.weight_by_work else estimates.slot_ms(key.class_index))
 
@@ -84,8 +84,8 @@
         weight = job_class.priority_weight * (settings.over_quota_weight_factor if key.is_over_quota else 1.0)
         return weight * (job_class.late_priority_weight if key.is_late else 1.0)
 
-    def _gain(self, request: Request, freed: TrackedWorker | None) -> float:
-        """Return the value per slot-millisecond; the data of a key that is not cached is fetched first."""
+    def _request_value_per_slot_ms(self, request: Request, freed: TrackedWorker | None) -> float:
+        """Return the value per slot-millisecond; uncached data of a cache key must be fetched first."""
         key, estimates, settings = request.arrival.cache_key, self.context.estimates, self.context.settings
         class_index = request.queue_key.class_index
         value = self._weight(request.queue_key) * request.value_units(settings)
@@ -99,7 +99,7 @@
 
 
 class Reservation:
-    """At most one worker that takes no other jobs until an aged wide request fits on it.
+    """At most one worker that takes no other jobs until an aged request of several slots fits on it.
 
     A stream of small jobs would otherwise take each slot as it becomes free.
     """
@@ -110,7 +110,7 @@
         self.request: Request | None = None
 
     def is_held(self) -> bool:
-        """Whether the request of the reservation is still queued."""
+        """Whether there is a reservation whose request is still queued."""
         return self.request is not None and self.request.is_queued
 
     def reserve_worker(self, request: Request, worker: TrackedWorker) -> None:
@@ -119,14 +119,14 @@
             self.worker, self.request = worker, request
 
     def excludes(self, worker: TrackedWorker, request: Request) -> bool:
-        """Whether a worker is reserved, and the request is not an aged one."""
+        """Whether a worker is reserved and the request is not aged."""
         return self.worker is worker and self.is_held() and not request.queue_key.is_aged
 
 
 def queue_time_limit_ms(request: Request, run_ms: float) -> float:
     """Return how long a request may be queued and still meet its latency objective.
 
-    `run_ms` is the estimated running time of its class, used where the request has no hint.
+    `run_ms` is the estimated running time of its class, used if the request has no hint.
     """
     size_ms = request.arrival.cost_ms or run_ms / 2
     stretch = max(0.0, request.job_class.objective_stretch - 1.0)
--- a/grebestack/core/requests.py
+++ b/grebestack/core/requests.py
@@ -11,7 +11,7 @@
 
 
 class QueueKey(NamedTuple):
-    """Identifies one queue; the queued requests of one key are served first come, first served."""
+    """Identifies one queue, whose requests are served first come, first served."""
 
     class_index: int
     is_over_quota: bool
@@ -34,11 +34,11 @@
 
     @property
     def has_cache_key(self) -> bool:
-        """Whether it names a cache key; 0 is a key like any other."""
+        """Whether it names a cache key; 0 is a valid key."""
         return self.arrival.cache_key is not None
 
     def value_units(self, settings: Settings) -> float:
-        """Return what the priority weight is multiplied by: hinted milliseconds of work, or 1."""
+        """Return what multiplies the priority weight: the hinted ms of work with weight_by_work, else 1."""
         return (settings.weight_by_work and self.arrival.cost_ms) or 1.0
 
     def awaited_attempts(self) -> list[Attempt]:
@@ -50,15 +50,15 @@
         return any(a.worker is worker and a.outcome is None for a in self.attempts)
 
     def possibly_executed(self) -> list[Attempt]:
-        """Return the attempts that are not proven never to have run."""
+        """Return all attempts except those that certainly never ran."""
         return [a for a in self.attempts if a.outcome is None or not a.outcome.never_ran]
 
 
 class RequestTable(dict[int, Request]):
-    """By number, the requests that are unanswered or have attempts without an outcome."""
+    """The requests, by number, that are unanswered or have attempts without an outcome."""
 
     def find(self, number: int, index: int) -> tuple[Request, Attempt] | tuple[None, None]:
-        """Return a request and its attempt if that attempt has no outcome yet."""
+        """Return a request and one of its attempts, if that attempt has no outcome yet."""
         request = self.get(number)
         if request is None or not 0 <= index < len(request.attempts):
             return None, None
--- a/grebestack/core/retries.py
+++ b/grebestack/core/retries.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent again, hedged, moved or rejected without harm.
+"""Whether a request may be sent again, hedged, moved to another worker or rejected without harm.
 
 Pure functions of one request. Times are in milliseconds.
 """
@@ -12,10 +12,10 @@
 
 
 def may_reject(request: Request) -> bool:
-    """Whether a rejection, which tells the client that a retry is harmless, would be true.
+    """Whether a request may be rejected, which tells the client that a retry is harmless.
 
-    It is true for an idempotent request, for one with an idempotency key that all workers recognise, and for
-    one that was certainly not executed.
+    A retry is harmless for an idempotent request, for one with an idempotency key that all workers recognise,
+    and for one that was certainly not executed.
     """
     effect, everywhere = request.job_class.effect, request.job_class.group is Group.ALL
     return (
@@ -26,29 +26,29 @@
 
 
 def may_send(request: Request, now_ms: float, settings: Settings) -> bool:
-    """Whether a further attempt is allowed, whatever the worker.
+    """Whether another attempt is allowed, regardless of the worker.
 
-    It must not execute a request twice that is not idempotent, nor exceed the attempt limit, the deadline
-    or the retry window; and a second copy needs hedging. One tick is kept as a margin.
+    It must not execute a request twice that is not idempotent, nor exceed the attempt limit, the deadline or
+    the retry window. A second copy is allowed only with hedging. One tick is kept as a margin.
     """
     now_ms += settings.tick_ms
     limit = min(request.max_attempts, settings.max_attempts)
     has_copy = not settings.hedging_enabled and any(a.outcome is None for a in request.attempts)
-    is_over = (
+    is_excluded = (
         request.is_closed
         or has_copy
         or len(request.attempts) >= limit
         or now_ms >= request.arrival.deadline_ms
     )
     is_harmless = request.job_class.effect is not Effect.NOT_IDEMPOTENT or not request.possibly_executed()
-    return is_harmless and not is_over and now_ms <= send_by_ms(request)
+    return is_harmless and not is_excluded and now_ms <= send_by_ms(request)
 
 
 def send_by_ms(request: Request) -> float:
     """Return by when the first byte of the next attempt must be sent.
 
-    A worker recognises an idempotency key for the retry window, counted from the first attempt that may
-    have been executed. The limit covers the wait for a connection. Infinite where no window applies.
+    A worker recognises an idempotency key for the retry window, which begins with the first attempt that may
+    have been executed. The limit includes the time to establish a connection. Infinite if no window applies.
     """
     with_key = request.job_class.effect is Effect.IDEMPOTENT_WITH_KEY
     executed = with_key and request.possibly_executed()
@@ -56,9 +56,10 @@
 
 
 def retry_scope(request: Request) -> tuple[int | None, int | None]:
-    """Return the zone and cell in which a retry must stay; None: any.
+    """Return the zone and the cell to which a retry is limited; None: any.
 
-    Once a request with an idempotency key may have been executed, only the workers of its group recognise it.
+    Once a request with an idempotency key may have been executed, only the workers of its group recognise the
+    key.
     """
     group, executed = request.job_class.group, request.possibly_executed()
     if not executed or request.job_class.effect is not Effect.IDEMPOTENT_WITH_KEY or group is Group.ALL:
--- a/grebestack/core/script.py
+++ b/grebestack/core/script.py
@@ -1,4 +1,4 @@
-"""APP scripts: the built-in one, and a script resolved for the classes of the settings."""
+"""APP scripts: the built-in script, and a script resolved for the job classes of the settings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 def built_in_script(settings: Settings) -> dict[str, Tag]:
     """Return the script for settings without one.
 
-    Each class tries its own zone best first, then the other zones, then the default tag (platform).
+    Each class tries the dispatcher's own zone best first, then the other zones, then the default tag, whose
+    strategy is platform.
     """
     rule = "capacity_used" if "free_slots" in settings.report_fields else "max_concurrent_invocations"
     blocks = tuple(Block(invalidate=rule, place=p) for p in ("own", "other"))
@@ -20,23 +21,23 @@
 
 
 class ResolvedScript:
-    """A script by class index: the numbers of the blocks to try, those of the followup included."""
+    """A script by class index: the indices of the blocks to try, including those of the followup."""
 
     def __init__(self, script: Mapping[str, Tag], classes: Sequence[JobClass]) -> None:
         """Resolve a script that covers the classes."""
         default = script.get("default")
         tags = [script.get(job_class.name) or script["default"] for job_class in classes]
-        after = default.blocks if default is not None else ()
-        paths = [tag.blocks + (after if tag.followup == "default" else ()) for tag in tags]
-        self.blocks = list(dict.fromkeys(block for path in paths for block in path))
-        self.block_indices = [[self.blocks.index(block) for block in path] for path in paths]
+        default_blocks = default.blocks if default is not None else ()
+        block_lists = [tag.blocks + (default_blocks if tag.followup == "default" else ()) for tag in tags]
+        self.blocks = list(dict.fromkeys(block for blocks in block_lists for block in blocks))
+        self.block_indices = [[self.blocks.index(block) for block in blocks] for blocks in block_lists]
         self.rejects_at_end = [tag.followup == "fail" and tag is not default for tag in tags]
 
 
 def block_members(
     workers: Mapping[str, TrackedWorker], block: Block, kind: int, zone: int | None, cell: int | None
 ) -> list[TrackedWorker]:
-    """Return the workers of a block in its order, narrowed to a kind (-1: any), a zone and a cell."""
+    """Return the workers of a block in its order, limited to a kind (-1: any), a zone and a cell."""
     named = list(workers) if block.workers == ("*",) else block.workers
     return [
         worker
--- a/grebestack/core/settings.py
+++ b/grebestack/core/settings.py
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """Whether a request may be executed twice: always, with an idempotency key inside its group, or never."""
+    """Whether a request may be executed twice: always, with an idempotency key within its group, or never."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENT_WITH_KEY = "keyed"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobClass:
-    """One class of requests (the tag of an APP script)."""
+    """One class of requests (in an APP script: a tag)."""
 
     name: str
     latency_objective_ms: float
@@ -36,7 +36,7 @@
     effect: Effect
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
-    objective_stretch: float = 0.0  # the objective grows by this times the running time
+    objective_stretch: float = 0.0  # the objective grows by this multiple of the running time
     group: Group = Group.ALL
     retry_window_ms: float = 0.0
     kind: int = -1  # the kind of worker it needs; -1: any
@@ -53,12 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Block:
-    """A worker block: which workers, how one is picked, and what makes one invalid.
+    """A worker block: which workers, how one is selected, and what makes one invalid.
 
-    `workers` names worker ids or is ("*",); `place` narrows it to the dispatcher's own zone or to the others.
-    `threshold` of max_concurrent_invocations: slots; None: the learned concurrency limit. Of capacity_used: a
-    share (0 to 1) of the worker's slots; None: all of them, and some requests queued ahead. `overload` uses
-    it, as slots, only for a worker without load reports whose starts are not reported either.
+    `workers` lists worker ids or is ("*",); `place` limits them to the dispatcher's own zone or to the rest.
+    `threshold` depends on the invalidate rule. max_concurrent_invocations: a number of slots; None: the
+    learned concurrency limit. capacity_used: a share (0 to 1) of the worker's slots; None: all of them, and
+    some requests may be queued at the worker. overload: a number of slots, used only for a worker without
+    load reports if starts are not reported either.
     """
 
     workers: tuple[str, ...] = ("*",)
@@ -77,19 +78,19 @@
             raise ValueError(f"a block has the unknown invalidate rule {self.invalidate!r}")
         if self.place not in ("any", "own", "other"):
             raise ValueError(f"a block has the unknown place {self.place!r}")
-        top = 1.0 if self.invalidate == "capacity_used" else float("inf")
-        if self.threshold is not None and not 0 < self.threshold <= top:
+        max_threshold = 1.0 if self.invalidate == "capacity_used" else float("inf")
+        if self.threshold is not None and not 0 < self.threshold <= max_threshold:
             raise ValueError(f"a block's {self.invalidate} has the threshold {self.threshold!r} out of range")
 
     @property
     def is_ranked(self) -> bool:
-        """Whether the policy itself ranks the workers: best first over all workers of a place."""
+        """Whether the policy ranks the workers itself: best first over all workers of a place."""
         return self.strategy == "best_first" and self.workers == ("*",)
 
     def contains(self, worker: str, own_zone: bool) -> bool:
-        """Whether a worker, in the dispatcher's own zone or another, belongs to the block."""
-        named = self.workers == ("*",) or worker in self.workers
-        return named and (self.place == "any" or own_zone == (self.place == "own"))
+        """Whether a worker of the dispatcher's own zone, or of another one, belongs to the block."""
+        is_listed = self.workers == ("*",) or worker in self.workers
+        return is_listed and (self.place == "any" or own_zone == (self.place == "own"))
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,14 +126,14 @@
     zone: int = 0
     tenants: tuple[Tenant, ...] = ()
     over_quota_weight_factor: float = 1.0
-    polls_endpoint_list: bool = False  # the endpoint list arrives only on request
-    poll_deadline_ms: float = 10_000.0  # within which a failed list is retried; used in the simulator only
-    drain_grace_ms: float = 0.0  # after the news of a drain, in which a request may still be sent
-    answer_grace_ms: float = 0.0  # read, but decides nothing
+    polls_endpoint_list: bool = False  # the endpoint list is sent only on request
+    poll_deadline_ms: float = 10_000.0  # a failed list is retried within this; used only in the simulator
+    drain_grace_ms: float = 0.0  # a draining worker may be sent requests for this long after the notice
+    answer_grace_ms: float = 0.0  # accepted, but no decision depends on it
     slow_start_initial_share: float = 1.0  # the share of its capacity that a worker starts with
     slow_start_ms: float = 0.0
-    overload_factor: float = 1.0  # a warming worker fails above this multiple of its share
-    overload_window_ms: float = 1000.0  # over which its load is counted
+    overload_factor: float = 1.0  # a warming worker fails under more load than this multiple of its share
+    overload_window_ms: float = 1000.0  # period over which that load is measured
     max_attempts: int = 1
     hedging_enabled: bool = False
     cancel: bool = False  # workers accept cancellation
@@ -141,13 +142,13 @@
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 250.0
     reports_attempt_start: bool = False
-    progress_ms: float = 0.0  # read, but decides nothing
+    progress_ms: float = 0.0  # accepted, but no decision depends on it
     cross_zone_cost: float = 0.0
-    late_failure_cost: float = 0.0  # read, but decides nothing
+    late_failure_cost: float = 0.0  # accepted, but no decision depends on it
     weight_by_work: bool = False
     weights_follow_load: bool = False  # a weight in the endpoint list falls with the load
     report_fields: frozenset[str] = frozenset()  # active, waiting, cpu, run_ms, free_slots ...
-    tick_ms: float = 1.0  # margin kept before deadlines, and the least start delay
+    tick_ms: float = 1.0  # margin kept before deadlines, and the lowest estimate of a start delay
     retired: frozenset[int] = frozenset()  # classes that take no new requests
     script: Mapping[str, Tag] | None = None  # by class name, and "default"; None: the built-in one
 
@@ -159,13 +160,13 @@
             raise ValueError(f"dispatcher {self.dispatcher} of {self.dispatcher_count} is out of range")
         if not 0 < self.slow_start_initial_share <= 1 or self.overload_factor <= 0:
             share, factor = self.slow_start_initial_share, self.overload_factor
-            raise ValueError(f"cold_from {share}, fall_multiple {factor}: out of range")
+            raise ValueError(f"slow_start_initial_share {share} or overload_factor {factor} is out of range")
         names = [job_class.name for job_class in self.classes]
         for name, tag in (self.script or {}).items():
             if name not in (*names, "default"):
                 raise ValueError(f"tag {name!r} names no class")
             if tag.followup == "default" and (name == "default" or "default" not in (self.script or {})):
-                raise ValueError(f"tag {name!r} ends in default, which leads nowhere")
+                raise ValueError(f"tag {name!r} has the followup 'default', but no default tag follows it")
         if self.script is not None and "default" not in self.script:
             for name in names:
                 if name not in self.script:
--- a/grebestack/core/timers.py
+++ b/grebestack/core/timers.py
@@ -1,4 +1,4 @@
-"""A queue of timed tasks over a single outstanding timer."""
+"""A queue of timed tasks that needs only one outstanding timer."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     attempt: Attempt | None
 
     def is_obsolete(self) -> bool:
-        """Whether its attempt has started, ended or been cancelled; without one, its request was answered."""
+        """Whether its attempt has started, ended or been cancelled or, without one, its request is closed."""
         attempt = self.attempt
         if attempt is not None:
             return attempt.started_ms is not None or attempt.outcome is not None or attempt.is_cancelled
@@ -28,7 +28,7 @@
 
 
 class TimerQueue:
-    """Timed tasks, earliest first, of which only the earliest needs a timer."""
+    """Timed tasks, earliest first; a timer is set only for the earliest."""
 
     def __init__(self) -> None:
         """Start without tasks."""
@@ -44,15 +44,15 @@
         request: Request | None = None,
         attempt: Attempt | None = None,
     ) -> None:
-        """Schedule a task; it is called with the request and the attempt that are given."""
+        """Schedule a task; it is called with the request and the attempt, if they are given."""
         self.task_count += 1
         heapq.heappush(self.tasks, ScheduledTask(at_ms, self.task_count, task, request, attempt))
 
     def run_due(self, now_ms: float, token: int) -> None:
         """Run the due tasks after the timer of a token has fired.
 
-        Only the newest timer is followed by another, so that timers do not multiply. An older one may fire
-        first after a long turn, and runs what is due all the same.
+        Only the newest timer is followed by another, so that timers do not multiply. An older timer may fire
+        first after a long iteration of the event loop; it runs the due tasks as well.
         """
         if token == self.token:
             self.timer_at_ms = float("inf")
--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Golden files that hold later versions to the bytes and decisions of an earlier one, and their writers."""
+"""Golden files, which fix the bytes and decisions that later versions must reproduce, and their writers."""
--- a/tests/golden/cluster.py
+++ b/tests/golden/cluster.py
@@ -12,17 +12,17 @@
 
 @dataclass(eq=False)
 class Request:
-    """One try of a client."""
+    """One request of a client; a retry is another request."""
 
     dispatcher: int
-    generation: int  # of the dispatcher's instance that has it
+    generation: int  # of the dispatcher instance that received it
     number: int
     job_class: int
     deadline_ms: float
     slots: float
     memory: float
     run_ms: float
-    tries: int
+    request_count: int  # of the client, including this one
     attempts: list[Attempt] = field(default_factory=list)
     closed: bool = False
 
@@ -56,23 +56,23 @@
     failing_class: int | None = None
     queue: list[Attempt] = field(default_factory=list)
     running: list[Attempt] = field(default_factory=list)
-    sampled_held: float = 0.0
+    sampled_jobs: float = 0.0
     report: dict[str, float] = field(default_factory=dict)
 
     def accepts(self) -> bool:
-        """Whether it takes one more job into its queue."""
+        """Whether it accepts another job into its queue."""
         return self.state == ACTIVE and len(self.queue) < self.model.queue
 
     def free_slots(self) -> float:
-        """Slots that no running job takes."""
+        """Slots that no running job uses."""
         return self.model.slots - sum(attempt.request.slots for attempt in self.running)
 
     def free_memory(self) -> float:
-        """Memory that no running job takes."""
+        """Memory that no running job uses."""
         return self.model.memory - sum(attempt.request.memory for attempt in self.running)
 
     def next_job(self) -> Attempt | None:
-        """Take the head of the queue, if it fits."""
+        """Start the first queued job, if it fits."""
         if not self.queue or self.hung:
             return None
         request = self.queue[0].request
@@ -82,23 +82,23 @@
         self.running.append(attempt)
         return attempt
 
-    def forget(self, attempt: Attempt) -> None:
-        """Drop a job."""
+    def remove(self, attempt: Attempt) -> None:
+        """Remove a job."""
         for jobs in (self.queue, self.running):
             if attempt in jobs:
                 jobs.remove(attempt)
 
-    def take_all(self) -> list[Attempt]:
-        """Drop all jobs."""
+    def remove_all(self) -> list[Attempt]:
+        """Remove all jobs and return them."""
         jobs = self.running + self.queue
         self.running, self.queue = [], []
         return jobs
 
     def sample(self) -> None:
-        """Take the figures that reports and weights show until the next sample."""
-        self.sampled_held = float(len(self.running) + len(self.queue))
+        """Sample the values that reports and weights show until the next sample."""
+        self.sampled_jobs = float(len(self.running) + len(self.queue))
         self.report = {
-            "active": self.sampled_held,
+            "active": self.sampled_jobs,
             "waiting": float(len(self.queue)),
             "cpu": round(1.0 - self.free_slots() / self.model.slots, 3),
             "avg_ms": 100.0 * self.slowness,
@@ -109,14 +109,14 @@
         }
 
     def weight(self, weights: str) -> float:
-        """Its weight in the worker list."""
+        """Its weight in the endpoint list."""
         size = MEAN_WEIGHT * self.model.slots / self.model.slowness
         if weights == "live":
-            return round(size / (1.0 + self.sampled_held / self.model.slots), 4)
+            return round(size / (1.0 + self.sampled_jobs / self.model.slots), 4)
         return round(size, 4) if weights == "nominal" else 1.0
 
     def entry(self, weights: str) -> Raw:
-        """Its line of the worker list."""
+        """Its entry of the endpoint list."""
         return {
             "worker": self.name,
             "rackZone": self.zone,
--- a/tests/golden/make.py
+++ b/tests/golden/make.py
@@ -1,6 +1,6 @@
-"""Writes the golden files anew from the code as it is: `python -m tests.golden.make`, from the root.
+"""Regenerate the golden files from the current code: `python -m tests.golden.make`, from the root.
 
-It is run by hand, and only where a change of bytes is meant; tests never write golden files. The files named
+Run it by hand, and only if a change of bytes is intended; tests never write golden files. The files named
 `*.toml` and `*.sql`, `settings.json` and `settings_least.json` are written by hand.
 """
 
@@ -19,7 +19,7 @@
 
 
 def write(name: str, value: Any) -> None:
-    """Write one golden file, its keys in order."""
+    """Write one golden file, with its keys sorted."""
     text = json.dumps(value, indent=1, sort_keys=True)
     (FOLDER / name).write_text(text + "\n", encoding="utf-8")
 
@@ -36,7 +36,7 @@
     write("settings_values.json", all_settings())
     write("settings_errors.json", all_errors())
     write("control.json", all_control())
-    write("texts.json", all_texts())  # after the files, which it reads
+    write("texts.json", all_texts())  # last, because it reads the other files
 
 
 if __name__ == "__main__":
--- a/tests/golden/make_decisions.py
+++ b/tests/golden/make_decisions.py
@@ -1,7 +1,7 @@
 """Record the decision streams: `python -m tests.golden.make_decisions [NAME ...]`; without names, all.
 
-Run by hand, and only where decisions are meant to change: the stored output is what every later version is
-held to.
+Run it by hand, and only if a change of decisions is intended: every later version must reproduce the stored
+output.
 """
 
 from __future__ import annotations
--- a/tests/golden/scenarios.py
+++ b/tests/golden/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the recorded streams: the options of an instance and what its cluster is like."""
+"""The scenarios of the recorded streams: the options of an instance, and the simulated cluster."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 Raw = dict[str, Any]
 
 
-class Trouble(Enum):
-    """What may happen to a worker."""
+class Fault(Enum):
+    """A temporary fault of a worker."""
 
     CRASH = auto()
-    SILENT_CRASH = auto()  # discovery does not tell the restart
-    DRAIN = auto()  # it leaves, and a new worker takes its place
+    SILENT_CRASH = auto()  # discovery does not report the restart
+    DRAIN = auto()  # it leaves, and a new worker replaces it
     HANG = auto()
     SLOW = auto()
     ERRORS = auto()  # most jobs of one class fail
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Job:
-    """What the jobs of one class are like."""
+    """The properties of the jobs of one class."""
 
     run_ms: float
     slots: tuple[float, ...] = (1.0,)
@@ -53,15 +53,15 @@
     workers: int = 9
     models: tuple[Model, ...] = (Model(slots=4, memory=8, queue=12),)
     load: float = 0.6  # arriving work, as a share of the capacity
-    swing: float = 0.5  # amplitude of the load's wave
+    load_amplitude: float = 0.5  # of the sine wave of the load
     keys: int = 0
     hints: bool = False
     tenants: int = 0
-    impatience: float = 0.03  # share of requests whose client leaves early
-    stops_running: bool = True  # workers stop a running job on a cancel
-    list_failures: float = 0.05
-    troubles: tuple[Trouble, ...] = tuple(Trouble)
-    trouble_every_ms: float = 700.0
+    drop_share: float = 0.03  # share of requests that their clients drop early
+    cancels_running_jobs: bool = True  # workers stop a running job when it is cancelled
+    list_failure_share: float = 0.05
+    faults: tuple[Fault, ...] = tuple(Fault)
+    fault_interval_ms: float = 700.0
     restarts_dispatcher: bool = False
     reports: tuple[str, ...] = ()
 
@@ -88,9 +88,9 @@
 INLINE: Raw = {"fields": ["avg_ms", "active", "x0", "x1"], "how": "inline"}
 
 
-def service(name: str, effect: str, latency_objective_ms: float, limit_ms: float, **more: Any) -> Raw:
+def service(name: str, effect: str, latency_objective_ms: float, deadline_ms: float, **more: Any) -> Raw:
     """The options of one class of requests."""
-    return {"name": name, "effect": effect, "aimMs": latency_objective_ms, "hardLimitMs": limit_ms, **more}
+    return {"name": name, "effect": effect, "aimMs": latency_objective_ms, "hardLimitMs": deadline_ms, **more}
 
 
 def options(services: list[Raw], zones: int, **more: Any) -> Raw:
@@ -195,8 +195,8 @@
     jobs=(Job(run_ms=120.0), Job(run_ms=200.0)),
     workers=14,
     load=0.35,
-    troubles=(Trouble.CRASH, Trouble.CRASH, Trouble.SILENT_CRASH, Trouble.DRAIN, Trouble.SLOW),
-    trouble_every_ms=400.0,
+    faults=(Fault.CRASH, Fault.CRASH, Fault.SILENT_CRASH, Fault.DRAIN, Fault.SLOW),
+    fault_interval_ms=400.0,
     reports=("avg_ms", "active", "x0", "x1"),
 )
 
@@ -218,8 +218,8 @@
     jobs=(Job(run_ms=90.0), Job(run_ms=130.0), Job(run_ms=250.0)),
     load=0.8,
     keys=40,
-    stops_running=False,
-    troubles=(Trouble.HANG, Trouble.HANG, Trouble.SLOW, Trouble.ERRORS, Trouble.CRASH, Trouble.DRAIN),
+    cancels_running_jobs=False,
+    faults=(Fault.HANG, Fault.HANG, Fault.SLOW, Fault.ERRORS, Fault.CRASH, Fault.DRAIN),
 )
 
 ASKED_BACK = Scenario(
@@ -242,8 +242,8 @@
     workers=12,
     models=(Model(slots=4, memory=8, queue=5), Model(slots=2, memory=8, queue=4, slowness=1.5)),
     load=1.1,
-    stops_running=False,
-    trouble_every_ms=400.0,
+    cancels_running_jobs=False,
+    fault_interval_ms=400.0,
 )
 
 BLIND = Scenario(
@@ -286,7 +286,7 @@
     ),
     jobs=(Job(run_ms=300.0, slots=(2.0, 3.0), share=0.4), Job(run_ms=100.0), Job(run_ms=150.0, share=0.5)),
     load=1.9,
-    list_failures=0.5,
+    list_failure_share=0.5,
     reports=("x0", "active", "rps", "err_rps"),
 )
 
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -1,4 +1,4 @@
-"""Recorded decision streams: the adapter answers each recorded input with the recorded bytes."""
+"""Recorded decision streams: the adapter answers each recorded input with the recorded output."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
 SIGNAL_KINDS = {1, 2}
 WORKER_STATES = {"active", "leaving", "left"}
 ACTIONS = {"send", "undoSend", "decline", "error", "schedule", "watch"}
-LEAST_EVENTS = 3000  # of each stream
+MIN_EVENTS = 3000  # of each stream
 OTHER_HASH_SEED = "4242"
 REPLAY_TIMEOUT_S = 120
 READY = '{"msg":"ready"}'
 
 
 def replay(name: str) -> bytes:
-    """The output of the adapter's process for a recorded input."""
+    """The output of a process of the adapter for a recorded input."""
     result = subprocess.run(
         [sys.executable, "-m", "grebestack.simhost"],
         input=streams.read(streams.input_path(name)),
@@ -74,17 +74,18 @@
     """The first line that differs, with the input of its batch."""
     batch = 0
     pairs = zip_longest(expected.splitlines(), actual.splitlines(), fillvalue="(no line)")
-    for number, (wanted, got) in enumerate(pairs, start=1):
-        if wanted != got:
+    for number, (expected_line, actual_line) in enumerate(pairs, start=1):
+        if expected_line != actual_line:
             return (
-                f"{name}: output line {number}, batch {batch}\nexpected: {wanted}\nactual:   {got}\n"
+                f"{name}: output line {number}, batch {batch}\n"
+                f"expected: {expected_line}\nactual:   {actual_line}\n"
                 f"input of the batch:\n{input_batch(name, batch)}"
             )
-        batch += wanted == READY
-    return f"{name}: the lines agree, their line ends do not"
+        batch += expected_line == READY
+    return f"{name}: the lines agree, but the line ends differ"
 
 
-def test_the_stored_streams_are_those_listed() -> None:
+def test_the_stored_streams_are_the_listed_ones() -> None:
     assert streams.stored_names() == list(NAMES)
 
 
@@ -102,20 +103,20 @@
     changed = next(number for number, line in enumerate(lines) if '"msg": "send"' in line)
     batch = lines[:changed].count(READY)
     lines[changed] = "another line"
-    told = first_difference(name, expected, "\n".join(lines) + "\n")
-    assert f"output line {changed + 1}, batch {batch}" in told
-    assert "actual:   another line" in told
-    assert input_batch(name, batch) in told
+    message = first_difference(name, expected, "\n".join(lines) + "\n")
+    assert f"output line {changed + 1}, batch {batch}" in message
+    assert "actual:   another line" in message
+    assert input_batch(name, batch) in message
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_every_stream_is_long_and_has_several_instances(name: str) -> None:
+def test_every_stream_has_many_events_and_several_instances(name: str) -> None:
     events = [json.loads(line) for line in streams.read(streams.input_path(name)).splitlines()]
-    assert sum("dispatcher" in event for event in events) >= LEAST_EVENTS
+    assert sum("dispatcher" in event for event in events) >= MIN_EVENTS
     assert len({event["dispatcher"] for event in events if event["msg"] == "begin"}) >= 2
 
 
-def test_the_streams_hold_every_kind_of_event_and_action() -> None:
+def test_the_streams_contain_every_kind_of_event_and_action() -> None:
     inputs = [json.loads(line) for n in NAMES for line in streams.read(streams.input_path(n)).splitlines()]
     outputs = [json.loads(line) for n in NAMES for line in streams.read(streams.output_path(n)).splitlines()]
     lists = [event for event in inputs if event["msg"] == "peersKnown"]
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,9 +1,9 @@
-"""Arbitrary legal event sequences, judged by the independent checker; and the checker itself."""
+"""Arbitrary legal sequences of events, checked independently of the policy; and tests of the checker."""
 
 from __future__ import annotations
 
 from hypothesis import given
-from hypothesis import settings as effort
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from grebestack.core import api
@@ -15,74 +15,85 @@
 STATES = list(api.WorkerState)
 
 
-class World:
-    """Turns numbers into legal events, as the settings allow, and has every step judged."""
+class CheckedPolicy:
+    """Derives events from numbers, legal ones under the settings, and checks what a policy does on them."""
 
     def __init__(self, configured: api.Settings, workers: int) -> None:
         self.policy, self.checker = Policy(configured, 3), RuleChecker(configured)
-        self.now, self.last = 0.0, 0
+        self.now_ms, self.last_request = 0.0, 0
         self.timers: list[tuple[float, int]] = []
-        self.open: list[tuple[int, int, str]] = []
-        self.places = {f"w{n}": (n % 2, n % 5) for n in range(workers)}
-        self.feed(api.WorkersListed(api.ListKind.CACHED, tuple(self.line(name) for name in self.places)))
+        self.open_attempts: list[tuple[int, int, str]] = []  # request, attempt and worker
+        self.places = {f"w{n}": (n % 2, n % 5) for n in range(workers)}  # zone and cell
+        self.feed(
+            api.WorkersListed(api.ListKind.CACHED, tuple(self.list_entry(name) for name in self.places))
+        )
 
-    def line(self, name: str, pick: int = 0) -> api.WorkerEntry:
+    def list_entry(self, name: str, number: int = 0) -> api.WorkerEntry:
         zone, cell = self.places[name]
-        started = self.now if pick % 7 == 6 else None
-        return entry(name, zone=zone, cell=cell, state=STATES[pick % 3], started_ms=started)
+        started_ms = self.now_ms if number % 7 == 6 else None
+        return entry(name, zone=zone, cell=cell, state=STATES[number % 3], started_ms=started_ms)
 
     def feed(self, event: api.Event) -> None:
-        self.checker.event(self.now, event)
-        for action in self.policy.handle(self.now, event):
+        self.checker.on_event(self.now_ms, event)
+        for action in self.policy.handle(self.now_ms, event):
             if isinstance(action, api.SetTimer):
                 self.timers.append((action.at_ms, action.token))
                 continue
             if isinstance(action, api.Send):
                 number = len(self.checker.sent[action.request])
-                self.open.append((action.request, number, action.worker))
-            self.checker.action(self.now, action)
+                self.open_attempts.append((action.request, number, action.worker))
+            self.checker.on_action(self.now_ms, action)
 
-    def finish(self, at: tuple[int, int, str], outcome: api.Outcome) -> None:
-        self.open.remove(at)
-        request, attempt, worker = at
+    def end(self, open_attempt: tuple[int, int, str], outcome: api.Outcome) -> None:
+        self.open_attempts.remove(open_attempt)
+        request, attempt, worker = open_attempt
         closed = outcome is api.Outcome.OK or request in self.checker.answered
         self.feed(api.AttemptEnded(request, attempt, worker, outcome, 1.0, closed))
 
-    def step(self, what: int, a: int, b: int) -> None:
+    def step(self, kind: int, a: int, b: int) -> None:
         names = sorted(self.places)
-        if what <= 3:
+        if kind <= 3:
             for _ in range(1 + (a % 40 if b % 50 == 0 else 0)):
-                self.last += 1
-                deadline = self.now + (a % 6000) - 50
-                self.feed(api.RequestArrived(self.last, a % 3, deadline, slots=1 + b % 4, memory=b % 3))
-        elif what <= 6 and self.open:
-            at = self.open[a % len(self.open)]
-            if what == 4 and at[0] not in self.checker.answered:
-                self.feed(api.AttemptStarted(*at))
+                self.last_request += 1
+                deadline_ms = self.now_ms + (a % 6000) - 50
+                self.feed(
+                    api.RequestArrived(self.last_request, a % 3, deadline_ms, slots=1 + b % 4, memory=b % 3)
+                )
+        elif kind <= 6 and self.open_attempts:
+            open_attempt = self.open_attempts[a % len(self.open_attempts)]
+            if kind == 4 and open_attempt[0] not in self.checker.answered:
+                self.feed(api.AttemptStarted(*open_attempt))
             else:
-                self.finish(at, OUTCOMES[b % len(OUTCOMES)])
-        elif what == 7 and self.last:
-            request = 1 + a % self.last
+                self.end(open_attempt, OUTCOMES[b % len(OUTCOMES)])
+        elif kind == 7 and self.last_request:
+            request = 1 + a % self.last_request
             if request not in self.checker.answered:
                 self.feed(api.RequestDropped(request))
-        elif what == 8 and names:
-            kind = [api.ListKind.FULL, api.ListKind.CHANGES, api.ListKind.CHANGES, api.ListKind.FAILED][a % 4]
-            some = names if kind is api.ListKind.FULL and b % 3 else [names[b % len(names)]] * (1 + b % 2)
-            lines = () if kind is api.ListKind.FAILED else tuple(self.line(n, b) for n in some)
-            self.feed(api.WorkersListed(kind, lines))
+        elif kind == 8 and names:
+            list_kind = [
+                api.ListKind.FULL,
+                api.ListKind.CHANGES,
+                api.ListKind.CHANGES,
+                api.ListKind.FAILED,
+            ][a % 4]
+            listed = (
+                names if list_kind is api.ListKind.FULL and b % 3 else [names[b % len(names)]] * (1 + b % 2)
+            )
+            entries = () if list_kind is api.ListKind.FAILED else tuple(self.list_entry(n, b) for n in listed)
+            self.feed(api.WorkersListed(list_kind, entries))
         else:
-            self.wait(a % (3000 if what == 11 else 60))
+            self.advance(a % (3000 if kind == 11 else 60))
 
-    def wait(self, ms: float) -> None:
-        until = self.now + ms
-        while due := sorted(t for t in self.timers if t[0] <= until):
-            self.now = max(self.now, due[0][0])
+    def advance(self, ms: float) -> None:
+        until_ms = self.now_ms + ms
+        while due := sorted(t for t in self.timers if t[0] <= until_ms):
+            self.now_ms = max(self.now_ms, due[0][0])
             self.timers.remove(due[0])
             self.feed(api.TimerFired(due[0][1]))
-        self.now = until
+        self.now_ms = until_ms
 
 
-@effort(derandomize=True, deadline=None, max_examples=250)
+@hypothesis_settings(derandomize=True, deadline=None, max_examples=250)
 @given(
     STEPS,
     st.sampled_from([0, 1, 2, 7]),
@@ -96,9 +107,9 @@
     steps: list[tuple[int, int, int]],
     workers: int,
     dispatcher_count: int,
-    copies: bool,
+    hedging_enabled: bool,
     cancel: bool,
-    notes: bool,
+    reports_attempt_start: bool,
     group: api.Group,
 ) -> None:
     classes = (
@@ -106,12 +117,12 @@
         api.JobClass("book", 300, 5000, api.Effect.IDEMPOTENT_WITH_KEY, group=group, retry_window_ms=900),
         BASE.classes[2],
     )
-    world = World(
+    checked = CheckedPolicy(
         settings(
             classes=classes,
-            hedging_enabled=copies,
+            hedging_enabled=hedging_enabled,
             cancel=cancel,
-            reports_attempt_start=notes,
+            reports_attempt_start=reports_attempt_start,
             dispatcher_count=dispatcher_count,
             slow_start_initial_share=0.3,
             slow_start_ms=4000.0,
@@ -119,55 +130,59 @@
         workers,
     )
     for step in steps:
-        world.step(*step)
-    world.wait(7000)
-    for at in list(world.open):
-        world.finish(at, api.Outcome.TIMEOUT)
-    world.checker.finish(world.now)
-    assert world.checker.violations == []
-    assert world.policy.requests == {}, "ledgers are let go"
+        checked.step(*step)
+    checked.advance(7000)
+    for open_attempt in list(checked.open_attempts):
+        checked.end(open_attempt, api.Outcome.TIMEOUT)
+    checked.checker.check_answers(checked.now_ms)
+    assert checked.checker.violations == []
+    assert checked.policy.requests == {}, "ended requests are removed"
 
 
-def judged(*steps: tuple[float, object]) -> list[str]:
+def violations(*steps: tuple[float, object]) -> list[str]:
     checker = RuleChecker(BASE)
-    for now, step in steps:
+    for now_ms, step in steps:
         if isinstance(step, api.Send | api.Reject | api.Fail):
-            checker.action(now, step)
+            checker.on_action(now_ms, step)
         else:
-            checker.event(now, step)  # type: ignore[arg-type]
-    checker.finish(10**6)
+            checker.on_event(now_ms, step)  # type: ignore[arg-type]
+    checker.check_answers(10**6)
     return checker.violations
 
 
 LIST = api.WorkersListed(api.ListKind.FULL, (entry("a"), entry("b", zone=1)))
 
 
-def asked(job_class: int) -> api.RequestArrived:
+def arrival(job_class: int) -> api.RequestArrived:
     return api.RequestArrived(1, job_class, 5000.0)
 
 
-def test_the_checker_catches_broken_sequences() -> None:
+def test_the_checker_reports_each_violation() -> None:
     ok = api.AttemptEnded(1, 0, "a", api.Outcome.OK, 1.0, True)
-    lost = api.AttemptEnded(1, 0, "a", api.Outcome.RESET, 1.0, False)
-    gone = api.WorkersListed(api.ListKind.CHANGES, (entry("a", state=api.WorkerState.DRAINING),))
+    reset = api.AttemptEnded(1, 0, "a", api.Outcome.RESET, 1.0, False)
+    draining = api.WorkersListed(api.ListKind.CHANGES, (entry("a", state=api.WorkerState.DRAINING),))
     send_a, send_b = api.Send(1, "a"), api.Send(1, "b")
-    assert judged((0, LIST), (0, asked(VIEW)), (1, send_a), (2, ok)) == []
-    assert judged((0, LIST), (0, asked(VIEW))) == ["lost 1"]
-    assert judged((0, LIST), (0, asked(VIEW)), (1, api.Fail(1)), (2, api.Fail(1))) == ["two answers to 1"]
-    assert judged((0, LIST), (0, asked(VIEW)), (9000, api.Fail(1))) == ["late answer to 1"]
-    assert judged((0, LIST), (0, asked(VIEW)), (1, api.Fail(1)), (2, send_a)) == ["sent 1 after its end"]
-    assert judged((0, LIST), (0, asked(ORDER)), (1, send_a), (2, lost), (3, api.Reject(1))) == [
-        "refused 1, which may have run"
+    assert violations((0, LIST), (0, arrival(VIEW)), (1, send_a), (2, ok)) == []
+    assert violations((0, LIST), (0, arrival(VIEW))) == ["no answer to 1"]
+    assert violations((0, LIST), (0, arrival(VIEW)), (1, api.Fail(1)), (2, api.Fail(1))) == [
+        "two answers to 1"
     ]
-    assert judged((0, LIST), (0, asked(ORDER)), (1, send_a), (2, lost), (3, send_a), (4, api.Fail(1))) == [
-        "sent unsafe 1 twice"
+    assert violations((0, LIST), (0, arrival(VIEW)), (9000, api.Fail(1))) == ["late answer to 1"]
+    assert violations((0, LIST), (0, arrival(VIEW)), (1, api.Fail(1)), (2, send_a)) == [
+        "sent 1 after its answer"
     ]
-    assert judged((0, LIST), (0, asked(BOOK)), (1, send_a), (2, lost), (3, send_b), (4, api.Fail(1))) == [
-        "sent keyed 1 outside its group"
+    assert violations((0, LIST), (0, arrival(ORDER)), (1, send_a), (2, reset), (3, api.Reject(1))) == [
+        "rejected 1, which may have run"
     ]
-    assert judged(
-        (0, LIST), (0, asked(BOOK)), (1, send_a), (2, lost), (4000, send_a), (4001, api.Fail(1))
-    ) == ["sent keyed 1 after its window"]
-    assert judged((0, LIST), (0, asked(VIEW)), (0, gone), (251, send_a), (252, api.Fail(1))) == [
+    assert violations(
+        (0, LIST), (0, arrival(ORDER)), (1, send_a), (2, reset), (3, send_a), (4, api.Fail(1))
+    ) == ["sent non-idempotent 1 twice"]
+    assert violations(
+        (0, LIST), (0, arrival(BOOK)), (1, send_a), (2, reset), (3, send_b), (4, api.Fail(1))
+    ) == ["sent 1 outside the group of its key"]
+    assert violations(
+        (0, LIST), (0, arrival(BOOK)), (1, send_a), (2, reset), (4000, send_a), (4001, api.Fail(1))
+    ) == ["sent 1 after its retry window"]
+    assert violations((0, LIST), (0, arrival(VIEW)), (0, draining), (251, send_a), (252, api.Fail(1))) == [
         "sent 1 to drained a"
     ]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change under way: broken files change nothing, jobs keep the class they came with."""
+"""Settings that change at run time: broken files change nothing, and jobs keep the class they came with."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, says",
+    "change, message",
     [
         (at("settings", None), "lacks 'settings'"),
         (at("discovery", None), "lacks 'discovery'"),
@@ -71,7 +71,9 @@
         (at("settings.rules.drainGraceMs", float("nan")), "drainGraceMs"),
     ],
 )
-def test_a_broken_file_is_refused_and_named(change: Callable[[Any], None], says: str, tmp_path: Any) -> None:
+def test_a_broken_file_is_rejected_with_a_message_that_names_the_fault(
+    change: Callable[[Any], None], message: str, tmp_path: Any
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     former = from_platform({"RELAY_CONFIG": str(path)})
@@ -79,11 +81,11 @@
     raw = deepcopy(GOOD)
     change(raw)
     path.write_text(json.dumps(raw))
-    with pytest.raises(ConfigError, match=says):
+    with pytest.raises(ConfigError, match=message):
         check_reload(from_platform({"RELAY_CONFIG": str(path)}), former)
 
 
-def test_a_class_keeps_its_place_and_a_place_its_meaning() -> None:
+def test_a_class_keeps_its_index_and_an_index_its_meaning() -> None:
     first = parse_settings(OPTIONS)
     changed = deepcopy(OPTIONS)
     changed["services"][1]["effect"] = "single_shot"
@@ -92,13 +94,13 @@
     second = merge_settings(first, parse_settings(changed))
     assert second.classes[:2] == first.classes and second.retired == {0, 1}
     assert [c.name for c in second.classes[2:]] == ["new", "reading"]
-    back = merge_settings(second, first)
-    assert back.classes == second.classes and back.retired == {2, 3}
+    third = merge_settings(second, first)
+    assert third.classes == second.classes and third.retired == {2, 3}
 
 
-def test_a_job_under_way_keeps_its_class_and_attempts_never_grow() -> None:
+def test_a_running_job_keeps_its_class_and_its_attempt_limit_never_grows() -> None:
     d = Dispatcher(workers=12)
-    number, actions = d.ask(1)
+    number, actions = d.submit(1)
     assert d.policy.settings.classes[1] is IDEMPOTENT_WITH_KEY
     strict = api.JobClass("book", 1000, 15000, api.Effect.NOT_IDEMPOTENT)
     d.feed(
@@ -110,23 +112,25 @@
             )
         )
     )
-    again = d.end(number, sends(actions)[0], api.Outcome.RESET)  # it may have run
-    assert len(sends(again)) == 1
-    assert not sends(d.end(number, sends(again)[0], api.Outcome.REJECTED, attempt=1)), "a third attempt"
-    actions = d.feed(api.RequestArrived(99, 3, d.now + 5000))
+    retry_actions = d.end(number, sends(actions)[0], api.Outcome.RESET)  # it may have run
+    assert len(sends(retry_actions)) == 1
+    assert not sends(d.end(number, sends(retry_actions)[0], api.Outcome.REJECTED, attempt=1)), (
+        "a third attempt"
+    )
+    actions = d.feed(api.RequestArrived(99, 3, d.now_ms + 5000))
     assert not sends(d.end(99, sends(actions)[0], api.Outcome.RESET))
     d.feed(api.SettingsChanged(settings()))
-    third, actions = d.ask(0)
+    third, actions = d.submit(0)
     for attempt in range(3):
         actions = d.end(third, sends(actions)[0], api.Outcome.REJECTED, attempt=attempt)
         assert len(sends(actions)) == 1
 
 
-def test_what_is_learned_of_a_class_passes_on_and_of_workers_stays() -> None:
+def test_estimates_of_a_redefined_class_and_of_workers_are_kept() -> None:
     policy = Policy(settings(), 1)
     policy.estimates.run_ms[1] = 77.0
     policy.handle(1.0, api.WorkersListed(api.ListKind.FULL, (api.WorkerEntry("w"),)))
-    view = policy.workers["w"]
+    worker = policy.workers["w"]
     strict = api.JobClass("book", 1000, 15000, api.Effect.NOT_IDEMPOTENT)
     added = api.JobClass("added", 50, 100, api.Effect.IDEMPOTENT)
     policy.handle(
@@ -135,35 +139,35 @@
             settings(classes=(IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT, strict, added))
         ),
     )
-    assert policy.estimates.run_ms[3:] == [77.0, 50.0] and policy.workers["w"] is view
-    policy.handle(2000.0, api.TimerFired(policy.timers.token))  # the queue's order is renewed
+    assert policy.estimates.run_ms[3:] == [77.0, 50.0] and policy.workers["w"] is worker
+    policy.handle(2000.0, api.TimerFired(policy.timers.token))  # renews the order of the queues
     policy.handle(2001.0, api.RequestArrived(1, 4, 2100.0))
 
 
-def test_classes_come_and_go_under_load_and_a_broken_file_moves_nothing(world: World) -> None:
-    runners = [world.runner("s-1", seconds=1.5), world.runner("s-2", seconds=1.5)]
-    front = world.start()
+def test_classes_are_added_and_removed_under_load_and_a_broken_file_changes_nothing(world: World) -> None:
+    workers = [world.runner("s-1", seconds=1.5), world.runner("s-2", seconds=1.5)]
+    dispatcher = world.start()
     path = world.folder / "config.json"
     config = json.loads(path.read_text())
 
-    def ask(call_id: str, job_class: str) -> int:
+    def post(call_id: str, job_class: str) -> int:
         headers = {"X-Call-Id": call_id, "X-Call-Class": job_class, "Idempotency-Key": call_id}
-        return call(front, "POST", "/api", b"", headers)[0]
+        return call(dispatcher, "POST", "/api", b"", headers)[0]
 
-    pending = [world.in_background(partial(ask, f"old-{c}", c)) for c in ("order", "reading")]
-    wait_until(lambda: all(runner.jobs for runner in runners))
-    for runner in runners:
-        runner.seconds = 0.0
+    pending = [world.in_background(partial(post, f"old-{c}", c)) for c in ("order", "reading")]
+    wait_until(lambda: all(worker.jobs for worker in workers))
+    for worker in workers:
+        worker.seconds = 0.0
     config["settings"]["services"][1]["effect"] = "single_shot"
     config["settings"]["services"][0]["name"] = "fresh"
     path.write_text(json.dumps(config))
     world.process.send_signal(signal.SIGHUP)
-    wait_until(lambda: ask("new", "fresh") == 200)
-    assert ask("gone", "order") == 400 and ask("strict", "reading") == 200
-    whole = path.read_text()
-    for broken in ("", whole[: len(whole) // 2], whole.replace("hardLimitMs", "x")):
+    wait_until(lambda: post("new", "fresh") == 200)
+    assert post("gone", "order") == 400 and post("strict", "reading") == 200
+    valid = path.read_text()
+    for broken in ("", valid[: len(valid) // 2], valid.replace("hardLimitMs", "x")):
         path.write_text(broken)
         world.process.send_signal(signal.SIGHUP)
-        assert call(front, "GET", "/health/ready", b"", {})[0] == 200
-        assert ask(f"after-{len(broken)}", "fresh") == 200
+        assert call(dispatcher, "GET", "/health/ready", b"", {})[0] == 200
+        assert post(f"after-{len(broken)}", "fresh") == 200
     assert [result() for result in pending] == [200, 200]
