--- a/grebestack/core/slow_start.py
+++ b/grebestack/core/slow_start.py
@@ -52,7 +52,7 @@
         capacity_share = min(1.0, 1.0 - (worker.warm_at_ms - since_ms) * share_per_ms)
         budget = self.context.estimates.kind_slots.get(worker.entry.kind, 1.0) * s.overload_factor
         # The budget is lowered to a mean of m jobs in the window, such that m + BUDGET_DEVIATIONS * sqrt(m)
-        # jobs, which may arrive by chance, are no more than the allowed number.
+        # jobs, which may arrive by chance, are no more than max_jobs.
         max_jobs = max(MIN_JOBS_IN_WINDOW, capacity_share * budget * s.overload_window_ms / (slots * run_ms))
         budget *= (math.sqrt(BUDGET_DEVIATIONS**2 + 4.0 * max_jobs) - BUDGET_DEVIATIONS) ** 2 / (
             4.0 * max_jobs
