--- a/grebestack/routing/engine.py
+++ b/grebestack/routing/engine.py
@@ -285,7 +285,7 @@
         if request.closed or request.cancel_requested:
             return
         now = self.clock.now_ms()
-        attempt = Attempt(request, len(request.attempts), action.worker, now, action.by_ms)
+        attempt = Attempt(request, len(request.attempts), action.worker, now, action.send_by_ms)
         request.attempts.append(attempt)
         if action.timeout_ms is not None:
             attempt.timer = self.clock.call_at(now + action.timeout_ms, partial(self._on_timeout, attempt))
