--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -704,10 +704,10 @@
         )
         at = time.monotonic()
         with store.transaction():
-            rows = [store.sending(name, "s-00000007", 1.8e9) for name in names]
+            rows = [store.record_attempt(name, "s-00000007", 1.8e9) for name in names]
         starts += time.monotonic() - at
         with store.transaction():
-            store.ended([("ok", False, row) for row in rows])
+            store.record_attempt_ends([("ok", False, row) for row in rows])
             for name in names:
                 store.finish(name, JobState.DONE, 1.8e9 + 1, result=b"done")
     wall, spent = time.monotonic() - began, time.thread_time() - cpu
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -23,9 +23,9 @@
 from grebestack.core import api
 from grebestack.core.api import ListKind, Outcome
 from grebestack.drmaa.template import Templates
-from grebestack.job_queue import interface as room_api
-from grebestack.job_queue.interface import Spec
-from grebestack.job_queue.job_queue import Room
+from grebestack.job_queue import interface as queue_api
+from grebestack.job_queue.interface import JobSpec
+from grebestack.job_queue.job_queue import JobQueue
 from grebestack.jobs.records import Batch, Job, JobError, JobLimits
 from grebestack.jobs.service import JobService
 from grebestack.jobs.store import JobStore
@@ -115,10 +115,10 @@
         self.wanted: dict[str, float] = {}
         self.ends: dict[str, str] = {}
         self.longest_ms = 0.0
-        feed = service.feed
+        feed = service.handle_event
 
-        def told(event: room_api.Event) -> None:
-            if isinstance(event, room_api.Sent) and event.job in self.wanted:
+        def told(event: queue_api.Event) -> None:
+            if isinstance(event, queue_api.JobSent) and event.job in self.wanted:
                 began = self.ready.setdefault(event.job, clock.now)
                 self.stretches.append((clock.now - began) / self.wanted[event.job])
             start = time.perf_counter()
@@ -137,9 +137,9 @@
             if job.id in self.ready and job.id in self.wanted:
                 self.end_stretches.append((clock.now - self.ready[job.id]) / self.wanted[job.id])
 
-        service.feed = told  # type: ignore[method-assign]
+        service.handle_event = told  # type: ignore[method-assign]
         service._note_age = noted  # type: ignore[method-assign]
-        service.ended = ended
+        service.on_job_ended = ended
 
 
 def flood(
@@ -159,7 +159,7 @@
     machines = Machines(clock, seed, SERVERS, SLOTS, run_ms)
     servers = engine.workers = SimServers(engine, machines)
     templates = Templates(SETTINGS)
-    limits = JobLimits(wanted=(10.0, 10.0))
+    limits = JobLimits(latency_objectives_s=(10.0, 10.0))
     service = JobService(
         engine, servers, SETTINGS, JobStore(store), templates, limits, lambda: 1.8e9 + clock.now / 1000.0
     )
@@ -198,7 +198,7 @@
         if newest and others.random() < 0.5:
             special["after"] = [{"job": others.choice(newest[-50:]), "on": "ended"}]
         if others.random() < 0.33:
-            template["startTime"] = service.wall() + others.uniform(0.0, 20.0)
+            template["startTime"] = service.wall_clock() + others.uniform(0.0, 20.0)
         if others.random() < 0.1:
             template["minSlots"] = 2
         job, _ = service.submit(f"w{counts[1]}", templates.new_job(template))
@@ -213,7 +213,7 @@
     clock.go_on(end_ms + 120_000.0)
     assert max(machines.runs.values()) == 1, "an order ran twice"
     if waiting:
-        assert len(watched.ends) == counts[1] and not len(service.room), "a job was forgotten"
+        assert len(watched.ends) == counts[1] and not len(service.job_queue), "a job was forgotten"
     service.store.close()
     return {
         "worth": frontend.worth,
@@ -230,27 +230,29 @@
 
 def room_cost_us(count: int, cycles: int) -> float:
     """CPU for one job to be let in, sent and ended, with so many others that wait."""
-    room = Room(room_api.RoomSettings(lanes=2, most_jobs=count + cycles + 1))
+    room = JobQueue(queue_api.JobQueueSettings(class_count=2, max_jobs=count + cycles + 1))
     now = 1000.0
     source = random.Random(1)
     out: list[str] = []
 
-    def feed(event: room_api.Event) -> None:
-        out.extend(action.job for action in room.handle(now, event) if isinstance(action, room_api.Release))
+    def feed(event: queue_api.Event) -> None:
+        out.extend(
+            action.job for action in room.handle(now, event) if isinstance(action, queue_api.ReleaseJob)
+        )
 
     for part in range(0, count, 1000):
         specs = []
         for n in range(part, part + 1000):
             hour = now + 1e9 if n % 2 else None
-            specs.append(Spec(f"j{n}", n % 4 // 2, source.uniform(1e6, 2e6), start_unix_ms=hour))
-        feed(room_api.Submitted(tuple(specs)))
+            specs.append(JobSpec(f"j{n}", n % 4 // 2, source.uniform(1e6, 2e6), start_unix_ms=hour))
+        feed(queue_api.JobsSubmitted(tuple(specs)))
     gc.collect()
     began = time.process_time()
     for _ in range(cycles):
         now += 1.0
         job = out.pop(0)
-        feed(room_api.Sent(job))
-        feed(room_api.JobEnded(job, True))
+        feed(queue_api.JobSent(job))
+        feed(queue_api.JobEnded(job, True))
     return (time.process_time() - began) / cycles * 1e6
 
 
@@ -291,7 +293,10 @@
     """A store with so many waiting jobs: its restoration, and how late those are let in that fall due."""
     loop = asyncio.get_running_loop()
     clock = LoopClock(loop)
-    templates, limits = Templates(SETTINGS), JobLimits(wanted=(10.0, 10.0), most_waiting=count + due)
+    templates, limits = (
+        Templates(SETTINGS),
+        JobLimits(latency_objectives_s=(10.0, 10.0), max_queued=count + due),
+    )
 
     def service_on() -> JobService:
         engine = engine_on(clock, SETTINGS, 1)
@@ -302,7 +307,7 @@
     done: asyncio.Future[Batch | JobError] = loop.create_future()
     new = templates.new_job({"jobCategory": "order", "startTime": time.time() + 86_400.0})
     began = time.perf_counter()
-    service.submit_many("far", "far", lambda n: new, range(count), True, None, done.set_result)
+    service.submit_batch("far", "far", lambda n: new, range(count), True, None, done.set_result)
     taken = await done
     assert isinstance(taken, Batch), taken
     submit_s = time.perf_counter() - began
@@ -360,7 +365,7 @@
         SETTINGS,
         JobStore(path),
         templates,
-        JobLimits(wanted=(10.0, 10.0)),
+        JobLimits(latency_objectives_s=(10.0, 10.0)),
         lambda: 1.8e9 + clock.now / 1000.0,
     )
     watched = Watched(service, clock)
--- a/grebestack/drmaa/console.py
+++ b/grebestack/drmaa/console.py
@@ -5,7 +5,7 @@
 import time
 from typing import Any, Protocol
 
-from grebestack.job_queue.interface import Stage
+from grebestack.job_queue.interface import JobStage
 from grebestack.jobs.service import JobService
 from grebestack.routing.engine import Engine
 
@@ -72,18 +72,18 @@
             "ready_servers": sum(engine.table.accepts_work(name) for name in engine.table.workers),
             "list_is_live": engine.table.has_live_list,
             "open_sessions": len(engine.open_by_call_id),
-            "jobs": self.store.counts(),
+            "jobs": self.store.counts_by_state(),
             "waiting_room": {
                 stage.name.lower(): count
-                for stage, count in zip(Stage, self.jobs.room.stages, strict=True)
-                if stage is not Stage.ENDED
+                for stage, count in zip(JobStage, self.jobs.job_queue.stage_counts, strict=True)
+                if stage is not JobStage.ENDED
             }
             | dict(self.jobs.counts),
             "counts": dict(engine.counts),
         }
 
     def _servers(self) -> list[dict[str, Any]]:
-        table, drained = self.engine.table, self.store.drains()
+        table, drained = self.engine.table, self.store.drained_workers()
         believed = (
             {s["server"]: s for s in self.roster.describe()["servers"]} if self.roster is not None else {}
         )
@@ -111,5 +111,5 @@
         if self.roster is None:
             raise KeyError("no membership")
         self.roster.set_drained(server, on)
-        self.store.drain(server, on)
+        self.store.set_drained(server, on)
         return {"server": server, "drained_here": on}
--- a/grebestack/drmaa/errors.py
+++ b/grebestack/drmaa/errors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from grebestack.jobs.records import JobError, Kind
+from grebestack.jobs.records import JobError, JobErrorKind
 
 STATUS = {
     "INVALID_ARGUMENT": 400,
@@ -15,12 +15,12 @@
     "INTERNAL": 500,
 }
 KINDS = {
-    Kind.INVALID: ("INVALID_ARGUMENT", 400),
-    Kind.UNKNOWN: ("INVALID_ARGUMENT", 404),
-    Kind.CONFLICT: ("INVALID_ARGUMENT", 409),
-    Kind.STATE: ("INVALID_STATE", 409),
-    Kind.LATER: ("TRY_LATER", 503),
-    Kind.RESOURCE: ("OUT_OF_RESOURCE", 503),
+    JobErrorKind.INVALID: ("INVALID_ARGUMENT", 400),
+    JobErrorKind.UNKNOWN: ("INVALID_ARGUMENT", 404),
+    JobErrorKind.CONFLICT: ("INVALID_ARGUMENT", 409),
+    JobErrorKind.STATE: ("INVALID_STATE", 409),
+    JobErrorKind.LATER: ("TRY_LATER", 503),
+    JobErrorKind.RESOURCE: ("OUT_OF_RESOURCE", 503),
 }
 
 
--- a/grebestack/drmaa/front.py
+++ b/grebestack/drmaa/front.py
@@ -59,13 +59,13 @@
         self.machine, self.console = machine, console
         self.waiters: dict[str, list[Waiter]] = {}
         self.waiting = 0
-        service.ended = self._job_ended
+        service.on_job_ended = self._job_ended
 
     # What clients are told.
 
     def info(self, job: Job) -> dict[str, Any]:
         """The specification's JobInfo, as far as it is known here."""
-        sent = self.service.store.sent(job.id)
+        sent = self.service.store.attempts(job.id)
         template = json.loads(job.template)
         special: dict[str, Any] = {
             "deadlineTime": None if job.deadline == NO_DEADLINE else job.deadline,
@@ -76,11 +76,11 @@
             "jobName": template.get("jobName"),
             "jobCategory": job.category,
             "jobState": job.state,
-            "jobSubState": self.service.why(job.id) or None,
+            "jobSubState": self.service.wait_reason(job.id) or None,
             "submissionMachine": self.machine,
-            "allocatedMachines": [sent[-1].server] if sent else [],
+            "allocatedMachines": [sent[-1].worker] if sent else [],
             "submissionTime": job.submitted,
-            "dispatchTime": sent[0].sent if sent else None,
+            "dispatchTime": sent[0].sent_s if sent else None,
             "finishTime": job.finished,
             "annotation": job.annotation,
             "implementationSpecific": special,
@@ -97,12 +97,12 @@
         return info
 
     def _batch(self, batch: Batch) -> dict[str, Any]:
-        states = self.service.store.batch_states(batch.id)
+        states = self.service.store.batch_state_counts(batch.id)
         members = self.service.store.batch_members(batch.id, MOST_LISTED)
         told: dict[str, Any] = {"size": sum(states.values()), "states": states}
-        if batch.array:
+        if batch.is_array:
             ids = [name for name, _, _ in members]
-            return {"jobArrayId": batch.id, "maxParallel": batch.most, **told, "jobs": ids}
+            return {"jobArrayId": batch.id, "maxParallel": batch.max_parallel, **told, "jobs": ids}
         return {"submissionId": batch.id, **told, "jobs": {label: name for name, _, label in members}}
 
     def _listed(self, state: str | None) -> list[dict[str, Any]]:
@@ -111,9 +111,9 @@
                 "jobId": job_id,
                 "jobCategory": category,
                 "jobState": job_state,
-                "jobSubState": self.service.why(job_id) or None,
+                "jobSubState": self.service.wait_reason(job_id) or None,
             }
-            for job_id, category, job_state in self.service.store.latest(state, MOST_LISTED)
+            for job_id, category, job_state in self.service.store.newest(state, MOST_LISTED)
         ]
 
     # The transport's handler.
@@ -183,7 +183,7 @@
                 self._answer(connection, 200, self.info(service.find(job_id)))
             case ("GET", ["drmaa2", "jobs", job_id, "state"]):
                 told = {"jobId": job_id, "jobState": service.find(job_id).state}
-                self._answer(connection, 200, told | {"jobSubState": service.why(job_id) or None})
+                self._answer(connection, 200, told | {"jobSubState": service.wait_reason(job_id) or None})
             case ("POST", ["drmaa2", "jobs", job_id, "terminate" | "hold" | "release" as what]):
                 getattr(service, what)(service.find(job_id))
                 told = {"jobId": job_id, "jobState": service.find(job_id).state}
@@ -210,7 +210,7 @@
     # Submissions of several jobs.
 
     def _find_batch(self, batch_id: str) -> Batch:
-        batch = self.service.store.batch("id", batch_id)
+        batch = self.service.store.find_batch("id", batch_id)
         if batch is None or not batch.complete:
             raise DrmaaError("INVALID_ARGUMENT", f"there is no submission {batch_id}", 404)
         return batch
@@ -222,7 +222,7 @@
             what = f"endIndex: {bulk.end_index} is below beginIndex, {bulk.begin_index}"
             raise DrmaaError("INVALID_ARGUMENT", what)
         new = self.templates.new_job(bulk.job_template, waits=True)
-        self.service.submit_many(
+        self.service.submit_batch(
             key,
             canonical(raw),
             lambda number: new,
@@ -241,7 +241,7 @@
                 news.append(self.templates.new_job(template, name, waits=True))
             except DrmaaError as error:
                 raise DrmaaError(error.name, f"jobs.{name}: {error}", error.status) from error
-        self.service.submit_many(
+        self.service.submit_batch(
             key,
             canonical(raw),
             news,
--- a/grebestack/drmaa/template.py
+++ b/grebestack/drmaa/template.py
@@ -19,7 +19,7 @@
 from grebestack.core.api import Settings
 from grebestack.drmaa.errors import DrmaaError
 from grebestack.job_queue.interface import Condition
-from grebestack.jobs.records import Job, JobError, Kind, NewJob, Task
+from grebestack.jobs.records import Job, JobError, JobErrorKind, JobRequest, NewJob
 from grebestack.routing.requests import Payload
 
 # The other attributes of the specification's job template: known, and not to be had here.
@@ -220,20 +220,20 @@
         try:
             return read(json.loads(text))
         except DrmaaError as error:
-            raise JobError(Kind.INVALID, str(error)) from error
+            raise JobError(JobErrorKind.INVALID, str(error)) from error
 
-    def task(self, job: Job) -> Task:
+    def build_request(self, job: Job) -> JobRequest:
         """What a server is sent for a recorded job."""
         template = self.parsed(job.template)
         if template.job_category not in self.names:
-            raise JobError(Kind.INVALID, f"jobCategory must be one of {', '.join(self.names)}")
+            raise JobError(JobErrorKind.INVALID, f"jobCategory must be one of {', '.join(self.names)}")
         payload = template.implementation_specific.payload
         text = json.dumps({"args": template.args}) if payload is None else payload
         if job.number is not None and job.label == "":
             text = text.replace(PARAMETRIC_INDEX, str(job.number))
         name = job.id.encode()
         head = b"POST /api HTTP/1.1\r\nX-Call-Id: %s\r\nIdempotency-Key: %s\r\n" % (name, name)
-        return Task(
+        return JobRequest(
             self.names.index(template.job_category),
             Payload(head + b"Content-Type: application/json\r\n", text.encode("utf-8", "surrogatepass")),
             template.min_slots,
--- a/grebestack/job_queue/dependencies.py
+++ b/grebestack/job_queue/dependencies.py
@@ -7,7 +7,7 @@
 
 from sortedcontainers import SortedList
 
-from grebestack.job_queue.interface import Condition, RoomError, Spec, Stage
+from grebestack.job_queue.interface import Condition, JobSpec, JobStage, SubmissionError
 
 NEVER = float("inf")
 
@@ -33,10 +33,10 @@
         "deadline",
         "direct",
         "due",
-        "group",
+        "batch",
         "held",
         "intake",
-        "lane",
+        "job_class",
         "left",
         "need",
         "ready_ms",
@@ -48,16 +48,16 @@
         "wanted",
     )
 
-    def __init__(self, spec: Spec, seq: int, earliest: float) -> None:
+    def __init__(self, spec: JobSpec, seq: int, earliest: float) -> None:
         super().__init__(spec.job, earliest)
-        self.lane, self.seq = spec.lane, seq
-        self.wanted = spec.wanted_ms
+        self.job_class, self.seq = spec.job_class, seq
+        self.wanted = spec.latency_objective_ms
         self.start, self.deadline = spec.start_unix_ms, spec.deadline_unix_ms
         self.started = spec.start_unix_ms is None or spec.age_ms is not None  # ready once: its hour had come
         self.held, self.direct, self.any_of = spec.held, spec.direct, spec.any_of
         self.intake: str | None = None
-        self.group = spec.group
-        self.stage = Stage.BLOCKED
+        self.batch = spec.batch
+        self.stage = JobStage.BLOCKED
         self.aged = False
         self.need = 0  # conditions that must come to hold yet
         self.left = 0  # conditions that are not decided
@@ -126,37 +126,37 @@
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
-        self.groups: dict[str, Group] = {}
+        self.batches: dict[str, Group] = {}
         self.count = 0
 
     def find(self, name: str) -> Ending | None:
         """A job or group that has not ended."""
-        return self.nodes.get(name) or self.groups.get(name)
+        return self.nodes.get(name) or self.batches.get(name)
 
-    def check(self, specs: Iterable[Spec], most_edges: int) -> list[Spec]:
+    def check_and_sort(self, specs: Iterable[JobSpec], most_edges: int) -> list[JobSpec]:
         """The jobs of a submission in an order in which each comes after those it waits for.
 
         RoomError for a name used twice, an unknown job, too many conditions, a cycle, or a deadline that
         can't be met since a job that is waited for begins later.
         """
-        fresh: dict[str, Spec] = {}
+        fresh: dict[str, JobSpec] = {}
         for spec in specs:
             if spec.job in fresh or spec.job in self.nodes:
-                raise RoomError(f"job {spec.job} is there already", spec.job)
+                raise SubmissionError(f"job {spec.job} is there already", spec.job)
             fresh[spec.job] = spec
         waits = {name: 0 for name in fresh}
         followers: dict[str, list[str]] = {}
         for spec in fresh.values():
-            if len(spec.edges) > most_edges:
-                what = f"it waits for {len(spec.edges)} jobs, {most_edges} are allowed"
-                raise RoomError(f"job {spec.job}: {what}", spec.job)
-            for edge in spec.edges:
+            if len(spec.dependencies) > most_edges:
+                what = f"it waits for {len(spec.dependencies)} jobs, {most_edges} are allowed"
+                raise SubmissionError(f"job {spec.job}: {what}", spec.job)
+            for edge in spec.dependencies:
                 if edge.job in fresh:
                     waits[spec.job] += 1
                     followers.setdefault(edge.job, []).append(spec.job)
                 elif edge.done is None and self.find(edge.job) is None:
-                    raise RoomError(f"job {spec.job} waits for the unknown job {edge.job}", spec.job)
-        ordered: list[Spec] = []
+                    raise SubmissionError(f"job {spec.job} waits for the unknown job {edge.job}", spec.job)
+        ordered: list[JobSpec] = []
         free = deque(name for name, count in waits.items() if not count)
         while free:
             name = free.popleft()
@@ -167,31 +167,34 @@
                     free.append(follower)
         if len(ordered) < len(fresh):
             ring = self._ring(fresh, {name for name, count in waits.items() if count})
-            raise RoomError(f"jobs wait for each other: {' -> '.join(ring)}", ring[0])
+            raise SubmissionError(f"jobs wait for each other: {' -> '.join(ring)}", ring[0])
         self._check_times(ordered)
         return ordered
 
     @staticmethod
-    def _ring(fresh: Mapping[str, Spec], stuck: set[str]) -> list[str]:
+    def _ring(fresh: Mapping[str, JobSpec], stuck: set[str]) -> list[str]:
         """A cycle: each of the stuck waits for another that is stuck."""
         path: dict[str, int] = {}
         name = next(name for name in fresh if name in stuck)
         while name not in path:
             path[name] = len(path)
-            name = next(edge.job for edge in fresh[name].edges if edge.job in stuck)
+            name = next(edge.job for edge in fresh[name].dependencies if edge.job in stuck)
         names = list(path)[path[name] :]
         return [*names, name] if len(names) <= 8 else [*names[:4], "...", *names[-3:], name]
 
-    def _check_times(self, ordered: Iterable[Spec]) -> None:
+    def _check_times(self, ordered: Iterable[JobSpec]) -> None:
         earliest: dict[str, float] = {}
         for spec in ordered:
             begins = self._earliest(spec, earliest)
             earliest[spec.job] = begins
             if spec.deadline_unix_ms is not None and begins >= spec.deadline_unix_ms:
-                raise RoomError(f"job {spec.job} can't begin before its deadline has passed", spec.job)
+                raise SubmissionError(f"job {spec.job} can't begin before its deadline has passed", spec.job)
 
-    def _earliest(self, spec: Spec, fresh: Mapping[str, float]) -> float:
-        ends = [0.0 if edge.done is not None else self._earliest_end(edge.job, fresh) for edge in spec.edges]
+    def _earliest(self, spec: JobSpec, fresh: Mapping[str, float]) -> float:
+        ends = [
+            0.0 if edge.done is not None else self._earliest_end(edge.job, fresh)
+            for edge in spec.dependencies
+        ]
         after = (min(ends) if spec.any_of else max(ends)) if ends else 0.0
         return max(spec.start_unix_ms or 0.0, after)
 
@@ -199,23 +202,23 @@
         known = self.find(name)
         return fresh.get(name, 0.0) if known is None else known.earliest
 
-    def add(self, spec: Spec) -> tuple[Node, str | None]:
+    def add(self, spec: JobSpec) -> tuple[Node, str | None]:
         """Take a job in; also the job whose end leaves it no hope, if there is one."""
         self.count += 1
         node = Node(spec, self.count, self._earliest(spec, {}))
         self.nodes[spec.job] = node
-        if not spec.edges:
+        if not spec.dependencies:
             return node, None
         waits_for, hopeless = [], None
         held = 0
-        for edge in spec.edges:
+        for edge in spec.dependencies:
             parent = self.find(edge.job)
             if parent is not None:
                 if parent.dependants is None:
                     parent.dependants = []
                 parent.dependants.append((node, edge.condition))
                 waits_for.append(parent.id)
-            elif edge.done is not None and edge.condition.holds(edge.done):
+            elif edge.done is not None and edge.condition.is_met(edge.done):
                 held += 1
             else:
                 hopeless = hopeless or edge.job
@@ -230,13 +233,13 @@
     def forget(self, node: Node) -> None:
         """A job has ended."""
         self.nodes.pop(node.id, None)
-        node.stage = Stage.ENDED
+        node.stage = JobStage.ENDED
 
     @staticmethod
     def decide(node: Node, condition: Condition, done: bool) -> bool | None:
         """A job that a node waits for has ended: the node may go now, or never, or waits on (None)."""
         node.left -= 1
-        if condition.holds(done):
+        if condition.is_met(done):
             node.need = 0 if node.any_of else node.need - 1
             return True if node.need == 0 else None
         if node.any_of and (node.left > 0 or node.need == 0):
--- a/grebestack/jobs/batch_intake.py
+++ b/grebestack/jobs/batch_intake.py
@@ -11,9 +11,9 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from grebestack.job_queue import interface as room_api
-from grebestack.job_queue.interface import Spec
-from grebestack.jobs.records import Batch, Job, JobError, Kind, NewJob
+from grebestack.job_queue import interface as queue_api
+from grebestack.job_queue.interface import JobSpec
+from grebestack.jobs.records import Batch, Job, JobError, JobErrorKind, NewJob
 
 if TYPE_CHECKING:
     from grebestack.jobs.service import JobService
@@ -26,7 +26,7 @@
     """A submission of many jobs on its way into the store, a slice at a time."""
 
     def __init__(
-        self, batch: Batch, specs: Iterator[tuple[Job, Spec]], done: Callable[[Batch | JobError], None]
+        self, batch: Batch, specs: Iterator[tuple[Job, JobSpec]], done: Callable[[Batch | JobError], None]
     ) -> None:
         self.batch, self.specs, self.done = batch, specs, done
 
@@ -53,23 +53,28 @@
 
         They come as a sequence or, for an array, one for each number. It may take several turns of the loop.
         """
-        earlier = self.service.store.batch("submission", submission)
+        earlier = self.service.store.find_batch("submission", submission)
         if earlier is not None and not earlier.complete:
-            done(JobError(Kind.LATER, "this submission is being recorded", 1000.0))
+            done(JobError(JobErrorKind.LATER, "this submission is being recorded", 1000.0))
             return
         if earlier is not None and earlier.template == template:
             done(earlier)
             return
-        if earlier is not None or self.service.store.of_submission(submission) is not None:
-            done(JobError(Kind.CONFLICT, "this key has made another submission"))
+        if earlier is not None or self.service.store.find_by_submission(submission) is not None:
+            done(JobError(JobErrorKind.CONFLICT, "this key has made another submission"))
             return
         if self.service.stopping or crowded:
-            done(JobError(Kind.LATER, "no more jobs are taken now", 1000.0))
+            done(JobError(JobErrorKind.LATER, "no more jobs are taken now", 1000.0))
             return
-        if len(numbers) > self.service.limits.most_array:
-            done(JobError(Kind.INVALID, f"{len(numbers)} jobs, {self.service.limits.most_array} are allowed"))
+        if len(numbers) > self.service.limits.max_batch_size:
+            done(
+                JobError(
+                    JobErrorKind.INVALID,
+                    f"{len(numbers)} jobs, {self.service.limits.max_batch_size} are allowed",
+                )
+            )
             return
-        batch = Batch(uuid.uuid4().hex, submission, template, self.service.wall(), array, most)
+        batch = Batch(uuid.uuid4().hex, submission, template, self.service.wall_clock(), array, most)
         try:
             if callable(news):
                 self.service.make_job(
@@ -85,26 +90,28 @@
             return
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"batch": batch.id, "error": error}})
-            done(JobError(Kind.RESOURCE, "the jobs could not be recorded", 5000.0))
+            done(JobError(JobErrorKind.RESOURCE, "the jobs could not be recorded", 5000.0))
             return
-        self.service.feed(room_api.Grouped(batch.id, most))
+        self.service.handle_event(queue_api.BatchAdded(batch.id, most))
         self._take(Intake(batch, specs, done))
 
     def _room_for(self, count: int) -> None:
-        if len(self.service.room) + count > self.service.limits.most_waiting:
-            what = f"no more than {self.service.limits.most_waiting} jobs can wait"
-            raise JobError(Kind.LATER, what, self.service.drain_ms())
+        if len(self.service.job_queue) + count > self.service.limits.max_queued:
+            what = f"no more than {self.service.limits.max_queued} jobs can wait"
+            raise JobError(JobErrorKind.LATER, what, self.service.drain_ms())
 
-    def _each(self, batch: Batch, new: Callable[[int], NewJob], numbers: range) -> Iterator[tuple[Job, Spec]]:
+    def _each(
+        self, batch: Batch, new: Callable[[int], NewJob], numbers: range
+    ) -> Iterator[tuple[Job, JobSpec]]:
         for number in numbers:
             job_id = uuid.uuid4().hex
             yield self.service.make_job(new(number), job_id, f"\x01{batch.id}/{number}", {}, batch, number)
 
-    def _graph(self, batch: Batch, news: Sequence[NewJob]) -> Iterator[tuple[Job, Spec]]:
+    def _graph(self, batch: Batch, news: Sequence[NewJob]) -> Iterator[tuple[Job, JobSpec]]:
         names: dict[str, str] = {}
         for new in news:
             if new.label in names:
-                raise JobError(Kind.INVALID, f"two jobs have the name {new.label}")
+                raise JobError(JobErrorKind.INVALID, f"two jobs have the name {new.label}")
             names[new.label] = uuid.uuid4().hex
         made = {
             names[new.label]: self.service.make_job(
@@ -133,37 +140,37 @@
             with self.service.store.transaction():
                 self.service.store.add_all(
                     [job for job, _ in taken],
-                    [(job.id, e.job, e.condition, e.done) for job, spec in taken for e in spec.edges],
+                    [(job.id, e.job, e.condition, e.done) for job, spec in taken for e in spec.dependencies],
                 )
                 if len(taken) < SLICE:
-                    self.service.store.complete(batch.id)
+                    self.service.store.mark_batch_complete(batch.id)
         except (JobError, sqlite3.Error) as error:
-            self.service.feed(room_api.Dropped(batch.id))
+            self.service.handle_event(queue_api.BatchDiscarded(batch.id))
             self._drop(batch.id)
             if isinstance(error, JobError):
                 intake.done(error)
                 return
             log.error("store_failed", extra={"kv": {"batch": batch.id, "error": error}})
-            intake.done(JobError(Kind.RESOURCE, "the jobs could not be recorded", 5000.0))
+            intake.done(JobError(JobErrorKind.RESOURCE, "the jobs could not be recorded", 5000.0))
             return
-        self.service.feed(room_api.Submitted(tuple(spec for _, spec in taken), batch.id))
+        self.service.handle_event(queue_api.JobsSubmitted(tuple(spec for _, spec in taken), batch.id))
         if len(taken) < SLICE:
             intake.done(batch)
-            self.service.feed(room_api.Opened(batch.id))
+            self.service.handle_event(queue_api.BatchRecorded(batch.id))
         else:
             self.service.engine.clock.call_at(self.service.engine.clock.now_ms(), partial(self._take, intake))
 
-    def _refreshed(self, spec: Spec, own: set[str]) -> Spec:
+    def _refreshed(self, spec: JobSpec, own: set[str]) -> JobSpec:
         """A spec of which some of the jobs that it waits for may have ended since it was made."""
         edges = []
-        for edge in spec.edges:
-            if edge.done is None and edge.job not in own and not self.service.room.knows(edge.job):
+        for edge in spec.dependencies:
+            if edge.done is None and edge.job not in own and not self.service.job_queue.is_active(edge.job):
                 edge = replace(edge, done=self.service.how_ended(edge.job))
             edges.append(edge)
-        return replace(spec, edges=tuple(edges)) if edges else spec
+        return replace(spec, dependencies=tuple(edges)) if edges else spec
 
     def _drop(self, batch_id: str) -> None:
         try:
-            self.service.store.drop_batches("id = ?", batch_id)
+            self.service.store.delete_batches("id = ?", batch_id)
         except sqlite3.Error as error:  # the next start drops it: it is not complete
             log.error("store_failed", extra={"kv": {"batch": batch_id, "error": error}})
--- a/grebestack/jobs/earlier_attempts.py
+++ b/grebestack/jobs/earlier_attempts.py
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    server
+    worker
         Where it was sent last.
     first_sent_s
         The Unix time of the first one.
@@ -30,7 +30,7 @@
         How many there are.
     """
 
-    server: str
+    worker: str
     first_sent_s: float
     count: int
 
--- a/grebestack/jobs/records.py
+++ b/grebestack/jobs/records.py
@@ -61,11 +61,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class AttemptRecord:
     """A recorded dispatch."""
 
-    server: str
-    sent: float
+    worker: str
+    sent_s: float
     outcome: str | None
     never_ran: bool
 
@@ -78,14 +78,14 @@
     submission: str
     template: str
     submitted: float
-    array: bool
-    most: int | None = None
+    is_array: bool
+    max_parallel: int | None = None
     complete: bool = False
-    failed: int = 0  # of its jobs that are forgotten
+    removed_failures: int = 0  # of its jobs that are forgotten
 
 
 @dataclass(frozen=True, slots=True)
-class Task:
+class JobRequest:
     """What the engine is asked to do for a job."""
 
     job_class: int
@@ -104,25 +104,25 @@
     template: str
     category: str
     job_class: int
-    waits: bool = False  # it may wait: refused, it is put back
+    may_wait: bool = False  # it may wait: refused, it is put back
     start: float | None = None
     deadline: float | None = None
-    wanted: float | None = None
+    latency_objective_s: float | None = None
     priority: float = 0.0
     held: bool = False
-    after: tuple[tuple[str, Condition], ...] = ()
+    dependencies: tuple[tuple[str, Condition], ...] = ()
     any_of: bool = False
     label: str = ""
 
 
-class Codec(Protocol):
+class RequestBuilder(Protocol):
     """A front's way from a recorded template to what a server is sent."""
 
-    def task(self, job: Job) -> Task:
+    def build_request(self, job: Job) -> JobRequest:
         """What to do; JobError if the template can't be used any more."""
 
 
-class Kind(Enum):
+class JobErrorKind(Enum):
     """What is wrong with a call."""
 
     INVALID = "invalid"
@@ -136,7 +136,7 @@
 class JobError(Exception):
     """A call that the job service turns down; nothing has changed."""
 
-    def __init__(self, kind: Kind, message: str, retry_after_ms: float | None = None) -> None:
+    def __init__(self, kind: JobErrorKind, message: str, retry_after_ms: float | None = None) -> None:
         super().__init__(message)
         self.kind, self.retry_after_ms = kind, retry_after_ms
 
@@ -148,10 +148,10 @@
     `wanted` is by class: how long a job may wait once nothing holds it but its turn.
     """
 
-    wanted: tuple[float, ...]
-    most_open: int = 1000  # jobs that ask for no waiting
-    most_waiting: int = 100_000
-    most_conditions: int = 500
-    most_array: int = 100_000
-    ahead: int = 16
-    ripe: float = 0.5
+    latency_objectives_s: tuple[float, ...]
+    max_direct: int = 1000  # jobs that ask for no waiting
+    max_queued: int = 100_000
+    max_dependencies: int = 500
+    max_batch_size: int = 100_000
+    lookahead: int = 16
+    aged_share: float = 0.5
--- a/grebestack/jobs/recovery.py
+++ b/grebestack/jobs/recovery.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from grebestack.core.api import Outcome
-from grebestack.job_queue import interface as room_api
-from grebestack.job_queue.interface import Edge
+from grebestack.job_queue import interface as queue_api
+from grebestack.job_queue.interface import Dependency
 from grebestack.jobs.earlier_attempts import EarlierAttempts, RetryLimit, retry_limit
 from grebestack.jobs.records import NO_DEADLINE, Job, JobState
 from grebestack.jobs.released_job import ReleasedJob
@@ -44,16 +44,16 @@
 
     def _restore(self) -> None:
         service = self.service
-        service.store.drop_batches()
-        edges: dict[str, list[Edge]] = {}
-        for name, other, condition, done in service.store.open_edges():
-            edges.setdefault(name, []).append(Edge(other, condition, done))
+        service.store.delete_batches()
+        edges: dict[str, list[Dependency]] = {}
+        for name, other, condition, done in service.store.open_dependencies():
+            edges.setdefault(name, []).append(Dependency(other, condition, done))
         ran = service.store.earlier_attempts()
         for batch, most, failed in service.store.open_batches():
-            service.feed(room_api.Grouped(batch, most, failed))
-        now, specs = service.wall(), []
+            service.handle_event(queue_api.BatchAdded(batch, most, failed))
+        now, specs = service.wall_clock(), []
         with service.store.transaction():
-            for job in service.store.open():
+            for job in service.store.open_jobs():
                 earlier = ran.get(job.id)
                 if earlier is not None:
                     self._adopt(job, earlier)
@@ -67,7 +67,7 @@
         if specs:
             kv = {"jobs": len(specs), "may_have_run": len(ran), "direct": len(service.direct)}
             log.info("jobs_restored", extra={"kv": kv})
-            service.feed(room_api.Submitted(tuple(specs), restored=True))
+            service.handle_event(queue_api.JobsSubmitted(tuple(specs), restored=True))
 
     def _adopt(self, job: Job, earlier: EarlierAttempts) -> None:
         """Guards against a second run: its call-back or its deadline ends a job that may have run.
@@ -75,7 +75,7 @@
         Unless it may be sent again: then its server is told to give it up.
         """
         service = self.service
-        server = earlier.server
+        server = earlier.worker
         log.info("job_restored", extra={"kv": {"job": job.id, "may_have_run": True, "server": server}})
         service.store.set_state(job.id, JobState.UNDETERMINED)
         ticket = service.tickets[job.id] = ReleasedJob(service, job.id, job.direct)
@@ -89,7 +89,7 @@
         deadline = job.deadline
         if deadline == NO_DEADLINE:  # its class's deadline, which counts from its release, is the latest
             index = service.classes.get(job.category, 0)
-            deadline = service.wall() + service.settings.classes[index].deadline_ms / 1000.0
+            deadline = service.wall_clock() + service.settings.classes[index].deadline_ms / 1000.0
         ticket.timer = service.engine.clock.call_at(
             service.clock_ms(deadline), partial(self.on_overdue, job.id)
         )
@@ -98,7 +98,7 @@
         """Have its server give up a job that may be sent again, once that server is listed."""
         service = self.service
         ticket = service.tickets.get(job_id)
-        if ticket is None or ticket.adopted is None or service.wall() >= limit.until_s:
+        if ticket is None or ticket.adopted is None or service.wall_clock() >= limit.until_s:
             return
         if not service.servers.abandon_job(ticket.adopted, job_id, partial(self._send_again, job_id, limit)):
             again = partial(self._ask_back, job_id, limit)
@@ -108,7 +108,12 @@
         """A server has heard that a job of before the restart is given up: let it wait for its turn."""
         service = self.service
         ticket = service.tickets.get(job_id)
-        if ticket is None or ticket.adopted is None or service.stopping or service.wall() >= limit.until_s:
+        if (
+            ticket is None
+            or ticket.adopted is None
+            or service.stopping
+            or service.wall_clock() >= limit.until_s
+        ):
             return
         log.info("job_sent_again", extra={"kv": {"job": job_id, "server": ticket.adopted}})
         if ticket.timer is not None:
--- a/grebestack/jobs/released_job.py
+++ b/grebestack/jobs/released_job.py
@@ -6,7 +6,7 @@
 import sqlite3
 from typing import TYPE_CHECKING
 
-from grebestack.job_queue import interface as room_api
+from grebestack.job_queue import interface as queue_api
 from grebestack.jobs.records import JobState
 from grebestack.routing.interfaces import Timer
 from grebestack.routing.requests import Attempt, Request
@@ -38,16 +38,18 @@
     def before_send(self, dispatch: Attempt) -> bool:
         """Record the dispatch; a dispatch that can't be recorded is not sent."""
         retry = self.retry
-        if retry is not None and (self.service.wall() > retry.until_s or dispatch.number >= retry.attempts):
+        if retry is not None and (
+            self.service.wall_clock() > retry.until_s or dispatch.number >= retry.attempts
+        ):
             return False
         try:
-            self.rows[dispatch.number] = self.service.store.sending(
-                self.id, self.service.engine.table.callback_id(dispatch.worker), self.service.wall()
+            self.rows[dispatch.number] = self.service.store.record_attempt(
+                self.id, self.service.engine.table.callback_id(dispatch.worker), self.service.wall_clock()
             )
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"job": self.id, "error": error}})
             return False
-        self.service.feed(room_api.Sent(self.id))
+        self.service.handle_event(queue_api.JobSent(self.id))
         return True
 
     def on_attempt_ended(self, dispatch: Attempt) -> None:
@@ -61,7 +63,7 @@
             return
         try:
             with self.service.store.transaction():
-                self.service.store.ended([ended])
+                self.service.store.record_attempt_ends([ended])
                 self.service.store.set_state(self.id, JobState.REQUEUED)
         except sqlite3.Error as error:  # then the record says that it may have run, which is the safe side
             log.error("store_failed", extra={"kv": {"job": self.id, "error": error}})
--- a/grebestack/jobs/service.py
+++ b/grebestack/jobs/service.py
@@ -16,22 +16,22 @@
 from typing import Protocol
 
 from grebestack.core.api import Outcome, Settings
-from grebestack.job_queue import interface as room_api
-from grebestack.job_queue.interface import Condition, Edge, Spec
-from grebestack.job_queue.job_queue import Room
+from grebestack.job_queue import interface as queue_api
+from grebestack.job_queue.interface import Condition, Dependency, JobSpec
+from grebestack.job_queue.job_queue import JobQueue
 from grebestack.jobs.batch_intake import BatchIntake
 from grebestack.jobs.descriptions import annotation, in_words
 from grebestack.jobs.earlier_attempts import RetryLimit
 from grebestack.jobs.records import (
     NO_DEADLINE,
     Batch,
-    Codec,
     Job,
     JobError,
+    JobErrorKind,
     JobLimits,
     JobState,
-    Kind,
     NewJob,
+    RequestBuilder,
 )
 from grebestack.jobs.recovery import JobRecovery
 from grebestack.jobs.released_job import ReleasedJob
@@ -48,7 +48,7 @@
 PRIORITY_DOUBLES = 50.0  # so much more priority halves the wanted time
 
 
-class Servers(Protocol):
+class EarlierAttemptHandler(Protocol):
     """What is asked of the servers' side for jobs that were sent before a restart."""
 
     def set_callback_handler(
@@ -69,22 +69,22 @@
     def __init__(
         self,
         engine: Engine,
-        servers: Servers,
+        servers: EarlierAttemptHandler,
         settings: Settings,
         store: JobStore,
-        codec: Codec,
+        codec: RequestBuilder,
         limits: JobLimits,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self.engine, self.servers, self.settings, self.store = engine, servers, settings, store
-        self.codec, self.limits, self.wall = codec, limits, wall
-        self.room = Room(
-            room_api.RoomSettings(
-                lanes=len(settings.classes),
-                ahead=limits.ahead,
-                ripe=limits.ripe,
-                most_jobs=limits.most_waiting,
-                most_edges=limits.most_conditions,
+        self.codec, self.limits, self.wall_clock = codec, limits, wall_clock
+        self.job_queue = JobQueue(
+            queue_api.JobQueueSettings(
+                class_count=len(settings.classes),
+                lookahead=limits.lookahead,
+                aged_share=limits.aged_share,
+                max_jobs=limits.max_queued,
+                max_dependencies=limits.max_dependencies,
             )
         )
         self.classes = {c.name: index for index, c in enumerate(settings.classes)}
@@ -92,10 +92,10 @@
         self.direct: set[str] = set()  # jobs that asked for no waiting and are not terminated
         self.retries: dict[str, RetryLimit] = {}  # jobs that are sent again after a restart
         self.fresh: dict[str, Job] = {}  # recorded in this very call: need not be read again
-        self.ended: Callable[[Job], None] = lambda job: None  # told once of each job, after its record
+        self.on_job_ended: Callable[[Job], None] = lambda job: None  # told once of each job, after its record
         self.stopping = False
         self.counts: Counter[str] = Counter()
-        self.events: deque[room_api.Event] = deque()
+        self.events: deque[queue_api.Event] = deque()
         self.feeding = False
         self.tick: Timer | None = None
         self.ages: dict[str, float | None] = {}  # to be recorded, together
@@ -110,7 +110,7 @@
 
     def clock_ms(self, unix_s: float) -> float:
         """A Unix time on the engine's clock."""
-        return self.engine.clock.now_ms() + (unix_s - self.wall()) * 1000.0
+        return self.engine.clock.now_ms() + (unix_s - self.wall_clock()) * 1000.0
 
     def _read_wall(self) -> None:
         """Guards jobs that wait for an hour against a wall clock that is set meanwhile."""
@@ -118,18 +118,18 @@
         self.engine.clock.call_at(self.engine.clock.now_ms() + WALL_MS, self._read_wall)
 
     def _tell_wall(self) -> None:
-        offset = self.wall() * 1000.0 - self.engine.clock.now_ms()
-        if abs(offset - self.room.offset_ms) > 1.0:
-            self.feed(room_api.Wall(offset))
+        offset = self.wall_clock() * 1000.0 - self.engine.clock.now_ms()
+        if abs(offset - self.job_queue.offset_ms) > 1.0:
+            self.handle_event(queue_api.WallClockOffset(offset))
 
     def _ticked(self) -> None:
         self.tick = None
         self._tell_wall()
-        self.feed(room_api.Tick())
+        self.handle_event(queue_api.Tick())
 
     # The waiting room's events and actions.
 
-    def feed(self, event: room_api.Event) -> None:
+    def handle_event(self, event: queue_api.Event) -> None:
         """Tell the room something and carry out what follows; within that, events wait their turn."""
         self.events.append(event)
         if self.feeding:
@@ -137,8 +137,8 @@
         self.feeding = True
         try:
             while self.events:
-                actions = self.room.handle(self.engine.clock.now_ms(), self.events.popleft())
-                ends = [action for action in actions if isinstance(action, room_api.End)]
+                actions = self.job_queue.handle(self.engine.clock.now_ms(), self.events.popleft())
+                ends = [action for action in actions if isinstance(action, queue_api.EndJob)]
                 if ends:
                     self._end_all(ends)
                 for action in actions:
@@ -146,15 +146,15 @@
         finally:
             self.feeding = False
 
-    def _carry_out(self, action: room_api.Action) -> None:
+    def _carry_out(self, action: queue_api.Action) -> None:
         match action:
-            case room_api.Release(job_id, aged):
+            case queue_api.ReleaseJob(job_id, aged):
                 self._release(job_id, aged)
-            case room_api.Withdraw(job_id):
+            case queue_api.WithdrawJob(job_id):
                 self._withdraw(job_id)
-            case room_api.BecameReady(job_id):
-                self._note_age(job_id, self.wall())
-            case room_api.Wake(at_ms):
+            case queue_api.RecordReadyTime(job_id):
+                self._note_age(job_id, self.wall_clock())
+            case queue_api.ScheduleTick(at_ms):
                 if self.tick is not None:
                     self.tick.cancel()
                 self.tick = self.engine.clock.call_at(at_ms, self._ticked)
@@ -171,15 +171,15 @@
     def _record_soon(self) -> None:
         if not self.recording:
             self.recording = True
-            self.engine.clock.call_at(self.engine.clock.now_ms() + NOTES_MS, self.record_notes)
+            self.engine.clock.call_at(self.engine.clock.now_ms() + NOTES_MS, self.record_deferred)
 
-    def record_notes(self) -> None:
+    def record_deferred(self) -> None:
         """Record what can wait a little, with one flush for all of it."""
         ages, ends, self.ages, self.ends, self.recording = self.ages, self.ends, {}, [], False
         try:
             with self.store.transaction():
-                self.store.set_ready((ready, job_id) for job_id, ready in ages.items())
-                self.store.ended(ends)
+                self.store.set_ready_times((ready, job_id) for job_id, ready in ages.items())
+                self.store.record_attempt_ends(ends)
         except sqlite3.Error as error:  # a restart would count these ages from anew: nothing worse
             log.error("store_failed", extra={"kv": {"ages": len(ages), "ends": len(ends), "error": error}})
 
@@ -190,16 +190,16 @@
             job = job or self.store.get(job_id)
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"job": job_id, "error": error}})
-            self.feed(room_api.Returned(job_id, STORE_AGAIN_MS))
+            self.handle_event(queue_api.JobReturned(job_id, STORE_AGAIN_MS))
             return
         if job is None:
             log.error("job_without_record", extra={"kv": {"job": job_id}})
-            self.feed(room_api.JobEnded(job_id, False))
+            self.handle_event(queue_api.JobEnded(job_id, False))
             return
         ticket = self.tickets[job_id] = ReleasedJob(self, job_id, job.direct)
         ticket.acknowledged = job_id not in self.fresh
         try:
-            task = self.codec.task(job)
+            task = self.codec.build_request(job)
         except JobError as error:  # the operator has changed the classes meanwhile
             self.finish(job_id, JobState.FAILED, annotation=f"it has not run: {error}")
             return
@@ -229,7 +229,9 @@
         """A job comes back from the engine: it has not run, and waits on."""
         del self.tickets[ticket.id]
         self.counts["returned"] += 1
-        self.feed(room_api.Returned(ticket.id, max(LEAST_PAUSE_MS, pause_ms) if pause_ms else 0.0))
+        self.handle_event(
+            queue_api.JobReturned(ticket.id, max(LEAST_PAUSE_MS, pause_ms) if pause_ms else 0.0)
+        )
 
     # Servers.
 
@@ -247,10 +249,10 @@
         kinds = {server.entry.kind for name, server in table.workers.items() if table.accepts_work(name)}
         for index, job_class in enumerate(self.settings.classes):
             is_open = bool(kinds) if job_class.kind == -1 else job_class.kind in kinds
-            if is_open != self.room.lanes[index].open:
-                if len(self.room):
+            if is_open != self.job_queue.class_queues[index].open:
+                if len(self.job_queue):
                     log.info("lane", extra={"kv": {"job_class": job_class.name, "open": is_open}})
-                self.feed(room_api.Lane(index, is_open))
+                self.handle_event(queue_api.ClassAvailabilityChanged(index, is_open))
 
     def stop(self) -> None:
         """Take nothing more and let nothing more in: what waits goes on after the next start.
@@ -258,8 +260,8 @@
         Guards a planned stop against a waiting room that never empties.
         """
         self.stopping = True
-        for index in range(len(self.room.lanes)):
-            self.feed(room_api.Lane(index, False))
+        for index in range(len(self.job_queue.class_queues)):
+            self.handle_event(queue_api.ClassAvailabilityChanged(index, False))
         for ticket in list(self.tickets.values()):
             if not ticket.direct:
                 self._withdraw(ticket.id)
@@ -284,7 +286,12 @@
                 self.servers.set_callback_handler(job_id, ticket.adopted, None)
         try:
             self.store.finish(
-                job_id, state, self.wall(), result=result, annotation=annotation, retry_after=retry_after
+                job_id,
+                state,
+                self.wall_clock(),
+                result=result,
+                annotation=annotation,
+                retry_after=retry_after,
             )
             job = self.store.get(job_id)
         except sqlite3.Error as error:
@@ -300,15 +307,15 @@
         self.tickets.pop(job_id, None)
         self.direct.discard(job_id)
         self.retries.pop(job_id, None)
-        self.feed(room_api.JobEnded(job_id, state is JobState.DONE))
+        self.handle_event(queue_api.JobEnded(job_id, state is JobState.DONE))
         if job is not None:
-            self.ended(job)
+            self.on_job_ended(job)
 
-    def _end_all(self, ends: Sequence[room_api.End]) -> None:
+    def _end_all(self, ends: Sequence[queue_api.EndJob]) -> None:
         """Record the ends that the room has decided together, with one flush; then tell of them."""
         try:
             with self.store.transaction():
-                now = self.wall()
+                now = self.wall_clock()
                 for end in ends:
                     note = annotation(end, may_have_run=end.job in self.retries)
                     self.store.finish(end.job, JobState.FAILED, now, annotation=note)
@@ -323,20 +330,20 @@
             self.retries.pop(end.job, None)
             job = self.store.get(end.job)
             if job is not None:
-                self.ended(job)
+                self.on_job_ended(job)
 
     # Submissions.
 
-    def _edges(self, after: Iterable[tuple[str, Condition]], names: dict[str, str]) -> tuple[Edge, ...]:
+    def _edges(self, after: Iterable[tuple[str, Condition]], names: dict[str, str]) -> tuple[Dependency, ...]:
         """What a job waits for: labels of its submission, jobs, and batches, which stand for their jobs."""
-        edges: dict[tuple[str, Condition], Edge] = {}
+        edges: dict[tuple[str, Condition], Dependency] = {}
         for name, condition in after:
             if name in names:
-                found = Edge(names[name], condition)
-            elif self.room.knows(name):
-                found = Edge(name, condition)
+                found = Dependency(names[name], condition)
+            elif self.job_queue.is_active(name):
+                found = Dependency(name, condition)
             else:
-                found = Edge(name, condition, self.how_ended(name))
+                found = Dependency(name, condition, self.how_ended(name))
             edges[name, condition] = found
         return tuple(edges.values())
 
@@ -346,10 +353,10 @@
         if job is not None:
             # Not in the room and not terminated: its end is decided and could not be recorded yet.
             return job.state is JobState.DONE
-        batch = self.store.batch("id", name)
+        batch = self.store.find_batch("id", name)
         if batch is None or not batch.complete:
-            raise JobError(Kind.UNKNOWN, f"there is no job {name} to wait for")
-        return bool(self.store.batch_done(name))
+            raise JobError(JobErrorKind.UNKNOWN, f"there is no job {name} to wait for")
+        return bool(self.store.is_batch_done(name))
 
     def make_job(
         self,
@@ -359,15 +366,19 @@
         names: dict[str, str],
         batch: Batch | None = None,
         number: int | None = None,
-    ) -> tuple[Job, Spec]:
+    ) -> tuple[Job, JobSpec]:
         """A job's record and what the room is told of it."""
-        now = self.wall()
+        now = self.wall_clock()
         deadline = NO_DEADLINE if new.deadline is None else new.deadline
-        if not new.waits:
+        if not new.may_wait:
             deadline = min(deadline, now + self.settings.classes[new.job_class].deadline_ms / 1000.0)
         if deadline <= now:
-            raise JobError(Kind.INVALID, "the deadline has passed")
-        wanted = new.wanted if new.wanted is not None else self.limits.wanted[new.job_class]
+            raise JobError(JobErrorKind.INVALID, "the deadline has passed")
+        wanted = (
+            new.latency_objective_s
+            if new.latency_objective_s is not None
+            else self.limits.latency_objectives_s[new.job_class]
+        )
         wanted *= 2.0 ** (-new.priority / PRIORITY_DOUBLES)
         job = Job(
             job_id,
@@ -377,7 +388,7 @@
             JobState.QUEUED_HELD if new.held else JobState.QUEUED,
             now,
             deadline,
-            direct=not new.waits,
+            direct=not new.may_wait,
             start=new.start,
             wanted=wanted,
             any_of=new.any_of,
@@ -385,12 +396,12 @@
             number=number,
             label=new.label,
         )
-        return job, self.spec_of(job, self._edges(new.after, names))
+        return job, self.spec_of(job, self._edges(new.dependencies, names))
 
     def spec_of(
-        self, job: Job, edges: tuple[Edge, ...], age_ms: float | None = None, sent: bool = False
-    ) -> Spec:
-        return Spec(
+        self, job: Job, edges: tuple[Dependency, ...], age_ms: float | None = None, sent: bool = False
+    ) -> JobSpec:
+        return JobSpec(
             job.id,
             self.classes.get(job.category, 0),
             max(1.0, job.wanted * 1000.0),
@@ -405,44 +416,44 @@
             sent,
         )
 
-    def check_room(self, specs: Sequence[Spec]) -> list[Spec]:
+    def check_room(self, specs: Sequence[JobSpec]) -> list[JobSpec]:
         try:
-            return self.room.check(specs)
-        except room_api.RoomError as error:
-            if error.full:
-                raise JobError(Kind.LATER, str(error), self.drain_ms()) from error
-            raise JobError(Kind.INVALID, str(error)) from error
+            return self.job_queue.check_and_sort(specs)
+        except queue_api.SubmissionError as error:
+            if error.queue_full:
+                raise JobError(JobErrorKind.LATER, str(error), self.drain_ms()) from error
+            raise JobError(JobErrorKind.INVALID, str(error)) from error
 
     def drain_ms(self) -> float:
         """When there may be room again: about when a hundredth of those that wait have gone."""
-        gaps = [lane.gap_ms for lane in self.room.lanes if lane.gap_ms > 0]
-        return min(60_000.0, max(1000.0, (min(gaps) if gaps else 10.0) * len(self.room) / 100.0))
+        gaps = [lane.gap_ms for lane in self.job_queue.class_queues if lane.gap_ms > 0]
+        return min(60_000.0, max(1000.0, (min(gaps) if gaps else 10.0) * len(self.job_queue) / 100.0))
 
     def submit(self, submission: str, new: NewJob, crowded: bool = False) -> tuple[Job, bool]:
         """Take a job: the same key and template are the same job. Its record, and whether it is new.
 
         JobError: it is not taken, and nothing is left of it.
         """
-        earlier = self.store.of_submission(submission)
+        earlier = self.store.find_by_submission(submission)
         if earlier is not None:
             if earlier.template != new.template:
-                raise JobError(Kind.CONFLICT, "this key has made another job")
+                raise JobError(JobErrorKind.CONFLICT, "this key has made another job")
             return earlier, False
-        if self.store.batch("submission", submission) is not None:
-            raise JobError(Kind.CONFLICT, "this key has made a submission of several jobs")
-        if self.stopping or crowded or (not new.waits and len(self.direct) >= self.limits.most_open):
-            raise JobError(Kind.LATER, "no more jobs are taken now", 1000.0)
+        if self.store.find_batch("submission", submission) is not None:
+            raise JobError(JobErrorKind.CONFLICT, "this key has made a submission of several jobs")
+        if self.stopping or crowded or (not new.may_wait and len(self.direct) >= self.limits.max_direct):
+            raise JobError(JobErrorKind.LATER, "no more jobs are taken now", 1000.0)
         job, spec = self.make_job(new, uuid.uuid4().hex, submission, {})
         self.check_room([spec])
         try:
-            self.store.add(job, [(job.id, edge.job, edge.condition, edge.done) for edge in spec.edges])
+            self.store.add(job, [(job.id, edge.job, edge.condition, edge.done) for edge in spec.dependencies])
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"job": job.id, "error": error}})
-            raise JobError(Kind.RESOURCE, "the job could not be recorded", 5000.0) from error
+            raise JobError(JobErrorKind.RESOURCE, "the job could not be recorded", 5000.0) from error
         if job.direct:
             self.direct.add(job.id)
             self.fresh[job.id] = job
-        self.feed(room_api.Submitted((spec,)))
+        self.handle_event(queue_api.JobsSubmitted((spec,)))
         self.fresh.pop(job.id, None)
         ticket = self.tickets.get(job.id)
         if ticket is not None:
@@ -450,9 +461,9 @@
             if ticket.deny_ms is not None:
                 del self.tickets[job.id]
                 self.direct.discard(job.id)
-                self.feed(room_api.JobEnded(job.id, False))
+                self.handle_event(queue_api.JobEnded(job.id, False))
                 self.store.remove(job.id)
-                raise JobError(Kind.LATER, "refused: it has not run", ticket.deny_ms)
+                raise JobError(JobErrorKind.LATER, "refused: it has not run", ticket.deny_ms)
         return self.store.get(job.id) or job, True
 
     # What people want of jobs.
@@ -461,17 +472,17 @@
         """The job of an id."""
         job = self.store.get(job_id)
         if job is None:
-            raise JobError(Kind.UNKNOWN, f"there is no job {job_id}")
+            raise JobError(JobErrorKind.UNKNOWN, f"there is no job {job_id}")
         return job
 
     def terminate(self, job: Job) -> None:
         """Have a job cancelled. Its state tells what came of it."""
         if job.state.terminated:
-            raise JobError(Kind.STATE, f"the job is {job.state} already")
+            raise JobError(JobErrorKind.STATE, f"the job is {job.state} already")
         log.info("job_terminate", extra={"kv": {"job": job.id, "state": job.state}})
         ticket = self.tickets.get(job.id)
         if ticket is None:
-            self.feed(room_api.Terminated(job.id))
+            self.handle_event(queue_api.TerminationRequested(job.id))
         elif ticket.session is not None:
             self.engine.cancel_request(ticket.session)
         elif ticket.adopted is not None:
@@ -486,33 +497,33 @@
         queued = job.state in (JobState.QUEUED, JobState.REQUEUED)
         if not queued or out:
             what = "being sent" if queued else job.state
-            raise JobError(Kind.STATE, f"the job is {what}: only one that is queued can be held")
+            raise JobError(JobErrorKind.STATE, f"the job is {what}: only one that is queued can be held")
         requeued = job.state is JobState.REQUEUED
         self.store.set_state(job.id, JobState.REQUEUED_HELD if requeued else JobState.QUEUED_HELD)
         self._note_age(job.id, None)
-        self.feed(room_api.Held(job.id, True))
+        self.handle_event(queue_api.HoldChanged(job.id, True))
         log.info("job_hold", extra={"kv": {"job": job.id}})
 
     def release(self, job: Job) -> None:
         """Lift a hold."""
         if not job.state.held:
-            raise JobError(Kind.STATE, f"the job is {job.state}: it is not held")
+            raise JobError(JobErrorKind.STATE, f"the job is {job.state}: it is not held")
         requeued = job.state is JobState.REQUEUED_HELD
         self.store.set_state(job.id, JobState.REQUEUED if requeued else JobState.QUEUED)
-        self.feed(room_api.Held(job.id, False))
+        self.handle_event(queue_api.HoldChanged(job.id, False))
         log.info("job_release", extra={"kv": {"job": job.id}})
 
-    def why(self, job_id: str) -> str:
+    def wait_reason(self, job_id: str) -> str:
         """Why a job waits, in words; empty for one that does not."""
         try:
-            why = self.room.why(job_id)
+            why = self.job_queue.wait_status(job_id)
         except KeyError:
             return ""
-        return in_words(why, self.room.unix_ms)
+        return in_words(why, self.job_queue.unix_ms)
 
     # Submissions of several jobs, and jobs of before a restart.
 
-    def submit_many(
+    def submit_batch(
         self,
         submission: str,
         template: str,
--- a/grebestack/jobs/store.py
+++ b/grebestack/jobs/store.py
@@ -10,7 +10,7 @@
 
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.earlier_attempts import EarlierAttempts
-from grebestack.jobs.records import Batch, Job, JobState, Sent
+from grebestack.jobs.records import AttemptRecord, Batch, Job, JobState
 
 VERSION = 2
 # What each version adds to the one before; a new file gets all, an older one what it lacks.
@@ -96,7 +96,7 @@
 COLUMNS = ", ".join(FIELDS)
 INSERT = f"INSERT INTO jobs ({COLUMNS}) VALUES ({','.join('?' * len(FIELDS))})"
 BATCH_COLUMNS = "id, submission, template, submitted, is_array, most, complete, failed"
-EdgeRow = tuple[str, str, Condition, bool | None]
+DependencyRow = tuple[str, str, Condition, bool | None]
 
 
 class StoreError(Exception):
@@ -158,11 +158,11 @@
 
     # Jobs come and go.
 
-    def add(self, job: Job, edges: Iterable[EdgeRow] = ()) -> None:
+    def add(self, job: Job, edges: Iterable[DependencyRow] = ()) -> None:
         """Record a job and what it waits for."""
         self.add_all([job], edges)
 
-    def add_all(self, jobs: Iterable[Job], edges: Iterable[EdgeRow] = ()) -> None:
+    def add_all(self, jobs: Iterable[Job], edges: Iterable[DependencyRow] = ()) -> None:
         """Record jobs and what they wait for."""
         with self.transaction():
             self.db.executemany(INSERT, map(row_of, jobs))
@@ -189,7 +189,7 @@
             self._remember_ends("id = ?", job_id)
             self.db.execute("DELETE FROM jobs WHERE id = ?", (job_id,))
 
-    def forget_before(self, finished: float) -> int:
+    def remove_ended_before(self, finished: float) -> int:
         """Forget jobs that were terminated before then; returns how many."""
         where = "state IN ('DONE', 'FAILED') AND finished < ?"
         with self.transaction():
@@ -213,27 +213,27 @@
         """The job of an id."""
         return next(iter(self._jobs("id = ?", job_id)), None)
 
-    def of_submission(self, submission: str) -> Job | None:
+    def find_by_submission(self, submission: str) -> Job | None:
         """The job that a client's key has made."""
         return next(iter(self._jobs("submission = ?", submission)), None)
 
-    def open(self) -> list[Job]:
+    def open_jobs(self) -> list[Job]:
         """The jobs that are not terminated, oldest first; without their templates, which may be many."""
         columns = ", ".join("''" if name == "template" else name for name in FIELDS)
         rows = self.db.execute(f"SELECT {columns} FROM jobs WHERE {OPEN} ORDER BY submitted, rowid")
         return [_job(row) for row in rows]
 
-    def latest(self, state: str | None, most: int) -> list[tuple[str, str, str]]:
+    def newest(self, state: str | None, most: int) -> list[tuple[str, str, str]]:
         """The newest jobs, of one state or of all: id, category and state."""
         where, values = ("1", ()) if state is None else ("state = ?", (state,))
         chosen = f"SELECT id, category, state FROM jobs WHERE {where} ORDER BY submitted DESC LIMIT ?"
         return self.db.execute(chosen, (*values, most)).fetchall()
 
-    def counts(self) -> dict[str, int]:
+    def counts_by_state(self) -> dict[str, int]:
         """How many jobs are in each state."""
         return dict(self.db.execute("SELECT state, count(*) FROM jobs GROUP BY state"))
 
-    def open_edges(self) -> list[EdgeRow]:
+    def open_dependencies(self) -> list[DependencyRow]:
         """What the jobs that are not terminated wait for, and how it ended where it has."""
         rows = self.db.execute(
             "SELECT e.job, e.other, e.condition, e.done, o.state"
@@ -250,7 +250,7 @@
                 done = bool(kept)
             else:  # a batch
                 if other not in groups:
-                    groups[other] = self.batch_done(other)
+                    groups[other] = self.is_batch_done(other)
                 done = groups[other]
             edges.append((job, other, conditions[condition], done))
         return edges
@@ -261,7 +261,7 @@
         """Move a job that is not terminated to another state."""
         self.db.execute(f"UPDATE jobs SET state = ? WHERE id = ? AND {OPEN}", (state, job_id))
 
-    def set_ready(self, rows: Iterable[tuple[float | None, str]]) -> None:
+    def set_ready_times(self, rows: Iterable[tuple[float | None, str]]) -> None:
         """Record since when the ages of jobs count."""
         with self.transaction():
             self.db.executemany("UPDATE jobs SET ready = ? WHERE id = ?", rows)
@@ -286,7 +286,7 @@
 
     # Dispatches.
 
-    def sending(self, job_id: str, server: str, sent: float) -> int:
+    def record_attempt(self, job_id: str, server: str, sent: float) -> int:
         """Record a dispatch, whose first byte goes after this, and that the job runs; returns its row."""
         with self.transaction():
             row = self.db.execute(
@@ -296,12 +296,12 @@
         assert row is not None
         return row
 
-    def sent(self, job_id: str) -> list[Sent]:
+    def attempts(self, job_id: str) -> list[AttemptRecord]:
         """A job's dispatches, in order."""
         rows = self.db.execute(
             "SELECT server, sent, outcome, never_ran FROM dispatches WHERE job = ? ORDER BY rowid", (job_id,)
         )
-        return [Sent(server, sent, outcome, bool(never)) for server, sent, outcome, never in rows]
+        return [AttemptRecord(server, sent, outcome, bool(never)) for server, sent, outcome, never in rows]
 
     def earlier_attempts(self) -> dict[str, EarlierAttempts]:
         """Return the attempts that may have run of the jobs that are not terminated."""
@@ -313,7 +313,7 @@
         )
         return {job: EarlierAttempts(server, sent, count) for job, sent, count, server in rows}
 
-    def ended(self, rows: Iterable[tuple[str, bool, int]]) -> None:
+    def record_attempt_ends(self, rows: Iterable[tuple[str, bool, int]]) -> None:
         """Record how dispatches ended: outcome, whether it proves that it never ran, and the row."""
         with self.transaction():
             self.db.executemany("UPDATE dispatches SET outcome = ?, never_ran = ? WHERE rowid = ?", rows)
@@ -329,25 +329,25 @@
                 batch.submission,
                 batch.template,
                 batch.submitted,
-                batch.array,
-                batch.most,
+                batch.is_array,
+                batch.max_parallel,
                 batch.complete,
-                batch.failed,
+                batch.removed_failures,
             ),
         )
 
-    def complete(self, batch_id: str) -> None:
+    def mark_batch_complete(self, batch_id: str) -> None:
         """All jobs of a batch are recorded."""
         self.db.execute("UPDATE batches SET complete = 1 WHERE id = ?", (batch_id,))
 
-    def drop_batches(self, where: str = "complete = 0", *values: object) -> None:
+    def delete_batches(self, where: str = "complete = 0", *values: object) -> None:
         """Forget batches that were never acknowledged, with their jobs."""
         with self.transaction():
             chosen = f"SELECT id FROM batches WHERE {where}"
             self.db.execute(f"DELETE FROM jobs WHERE batch IN ({chosen})", values)
             self.db.execute(f"DELETE FROM batches WHERE {where}", values)
 
-    def batch(self, column: str, value: str) -> Batch | None:
+    def find_batch(self, column: str, value: str) -> Batch | None:
         """The batch of an `id` or of a `submission`."""
         chosen = f"SELECT {BATCH_COLUMNS} FROM batches WHERE {column} = ?"
         row = self.db.execute(chosen, (value,)).fetchone()
@@ -361,20 +361,20 @@
         chosen = "SELECT id, number, label FROM jobs WHERE batch = ? AND number > ? ORDER BY number LIMIT ?"
         return self.db.execute(chosen, (batch_id, beyond, most)).fetchall()
 
-    def batch_states(self, batch_id: str) -> dict[str, int]:
+    def batch_state_counts(self, batch_id: str) -> dict[str, int]:
         """How many jobs of a batch are in each state."""
         chosen = "SELECT state, count(*) FROM jobs WHERE batch = ? GROUP BY state"
         return dict(self.db.execute(chosen, (batch_id,)))
 
-    def batch_done(self, batch_id: str) -> bool | None:
+    def is_batch_done(self, batch_id: str) -> bool | None:
         """How a batch ended: done if all its jobs are. None: some have not ended. False: it is unknown."""
-        batch = self.batch("id", batch_id)
+        batch = self.find_batch("id", batch_id)
         if batch is None:
             return False
-        states = self.batch_states(batch_id)
+        states = self.batch_state_counts(batch_id)
         if any(not STATES[state].terminated for state in states):
             return None
-        return batch.failed == 0 and JobState.FAILED not in states
+        return batch.removed_failures == 0 and JobState.FAILED not in states
 
     def open_batches(self) -> list[tuple[str, int | None, bool]]:
         """The batches with jobs that are not terminated: id, most at a time, whether one has failed."""
@@ -386,11 +386,11 @@
 
     # The operator's drains.
 
-    def drains(self) -> set[str]:
+    def drained_workers(self) -> set[str]:
         """The servers that the operator drains."""
         return {server for (server,) in self.db.execute("SELECT server FROM drains")}
 
-    def drain(self, server: str, on: bool) -> None:
+    def set_drained(self, server: str, on: bool) -> None:
         """Record that the operator drains a server, or does no longer."""
         statement = "INSERT OR IGNORE INTO drains VALUES (?)" if on else "DELETE FROM drains WHERE server = ?"
         self.db.execute(statement, (server,))
--- a/grebestack/program/appliance.py
+++ b/grebestack/program/appliance.py
@@ -104,7 +104,7 @@
         store = JobStore(drmaa.store_path)
         _remove_old_jobs(store, drmaa.retention_days, engine.clock)
         if roster is not None:
-            for worker in store.drains():
+            for worker in store.drained_workers():
                 roster.handle_event(Drained(worker, True))
         templates = Templates(config.settings, drmaa.jobs.queued_classes)
         limits = _job_limits(drmaa, config.settings)
@@ -121,19 +121,21 @@
     jobs = drmaa.jobs
     objectives = jobs.latency_objective_s_by_class
     return JobLimits(
-        wanted=tuple(objectives.get(c.name, jobs.latency_objective_s) for c in settings.classes),
-        most_open=drmaa.max_open_jobs,
-        most_waiting=jobs.max_queued,
-        most_conditions=jobs.max_conditions,
-        ahead=jobs.lookahead,
-        ripe=jobs.ripe,
+        latency_objectives_s=tuple(
+            objectives.get(c.name, jobs.latency_objective_s) for c in settings.classes
+        ),
+        max_direct=drmaa.max_open_jobs,
+        max_queued=jobs.max_queued,
+        max_dependencies=jobs.max_conditions,
+        lookahead=jobs.lookahead,
+        aged_share=jobs.ripe,
     )
 
 
 def _remove_old_jobs(store: JobStore, retention_days: float, clock: Clock) -> None:
     """Remove ended jobs, now and every hour, so that the disk of a long-lived dispatcher is bounded."""
     try:
-        removed = store.forget_before(time.time() - retention_days * _SECONDS_PER_DAY)
+        removed = store.remove_ended_before(time.time() - retention_days * _SECONDS_PER_DAY)
         log.info("jobs_forgotten", extra={"kv": {"jobs": removed}})
     except sqlite3.Error as error:
         log.error("store_failed", extra={"kv": {"error": error}})
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -281,7 +281,7 @@
             if part is not None:
                 part.stop()
         if self.jobs is not None:
-            self.jobs.record_notes()
+            self.jobs.record_deferred()
             self.jobs.store.close()
 
 
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -21,7 +21,7 @@
 from grebestack.hot_restart.ban_file import encode_ban_file
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
-from grebestack.jobs.store import EdgeRow, JobStore
+from grebestack.jobs.store import DependencyRow, JobStore
 from grebestack.program.audit_segments import RecordBatch, SegmentWriter
 from grebestack.program.cluster_member import form
 from grebestack.program.config.operator_file import from_text
@@ -154,16 +154,16 @@
 def fill(store: JobStore) -> None:
     """Put rows into each table."""
     store.add_batch(BATCH)
-    edges: list[EdgeRow] = [
+    edges: list[DependencyRow] = [
         ("job-2", "job-1", Condition.FAILED, None),
         ("job-2", "job-0", Condition.DONE, True),
     ]
     store.add_all(JOBS, edges)
-    row = store.sending("job-1", "runner-1", 110.5)
-    store.ended([("reset", False, row)])
-    row = store.sending("job-1", "runner-2", 111.5)
-    store.ended([("rejected", True, row)])
-    store.drain("runner-3", True)
+    row = store.record_attempt("job-1", "runner-1", 110.5)
+    store.record_attempt_ends([("reset", False, row)])
+    row = store.record_attempt("job-1", "runner-2", 111.5)
+    store.record_attempt_ends([("rejected", True, row)])
+    store.set_drained("runner-3", True)
 
 
 def _plain(sql: str | None) -> str | None:
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -19,7 +19,7 @@
 from grebestack.core.api import Effect, Group, ListKind, Outcome, WorkerState
 from grebestack.drmaa.template import schema
 from grebestack.job_queue.interface import Condition
-from grebestack.jobs.records import JobState, Kind
+from grebestack.jobs.records import JobErrorKind, JobState
 from grebestack.program.dispatcher import Dispatcher
 from grebestack.program.lifecycle import Stage
 from tests.golden_samples import DIGEST, FEED, VERSION, load
@@ -105,7 +105,7 @@
         "group of servers": Group,
         "state of a job": JobState,
         "condition of a job": Condition,
-        "fault of a call": Kind,
+        "fault of a call": JobErrorKind,
         "stage of a dispatcher": Stage,
     }
     return {name: [str(one.value) for one in kind] for name, kind in kinds.items()}
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -123,6 +123,6 @@
     store.close()
     store = JobStore(path)
     assert store.get("job-2") == JOBS[1]
-    assert store.batch("id", "batch-1") == BATCH
-    assert store.drains() == {"runner-3"}
+    assert store.find_batch("id", "batch-1") == BATCH
+    assert store.drained_workers() == {"runner-3"}
     store.close()
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -13,8 +13,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from grebestack.job_queue import interface as api
-from grebestack.job_queue.interface import Cause, Condition, Edge, Spec, Stage
-from grebestack.job_queue.job_queue import Room
+from grebestack.job_queue.interface import Condition, Dependency, EndCause, JobSpec, JobStage
+from grebestack.job_queue.job_queue import JobQueue
 
 WANTED = 1000.0
 
@@ -23,11 +23,11 @@
     """Feeds a room and notes what it decides; released jobs stay out until the test says more."""
 
     def __init__(self, **changes: Any) -> None:
-        self.room = Room(api.RoomSettings(**({"lanes": 2, "ahead": 3} | changes)))
+        self.room = JobQueue(api.JobQueueSettings(**({"class_count": 2, "lookahead": 3} | changes)))
         self.now = 1000.0
         self.released: list[tuple[str, bool]] = []
         self.out: dict[str, bool] = {}  # released and not back: aged or not
-        self.ended: dict[str, api.End] = {}
+        self.ended: dict[str, api.EndJob] = {}
         self.withdrawn: list[str] = []
         self.wakes: list[float] = []
         self.ready: list[str] = []
@@ -39,29 +39,29 @@
         self.longest_s = max(self.longest_s, time.perf_counter() - began)
         for action in actions:
             match action:
-                case api.Release(job, aged):
+                case api.ReleaseJob(job, aged):
                     assert job not in self.out, "released twice"
                     self.released.append((job, aged))
                     self.out[job] = aged
-                case api.End(job):
+                case api.EndJob(job):
                     assert job not in self.ended, "ended twice"
                     assert job not in self.out, "the engine ends what it has"
                     self.ended[job] = action
-                case api.Withdraw(job):
+                case api.WithdrawJob(job):
                     self.withdrawn.append(job)
-                case api.BecameReady(job):
+                case api.RecordReadyTime(job):
                     self.ready.append(job)
-                case api.Wake(at):
+                case api.ScheduleTick(at):
                     self.wakes.append(at)
         while self.withdrawn:
             self.back(self.withdrawn.pop())
 
-    def submit(self, *specs: Spec, **more: Any) -> None:
-        self.feed(api.Submitted(specs, **more))
+    def submit(self, *specs: JobSpec, **more: Any) -> None:
+        self.feed(api.JobsSubmitted(specs, **more))
 
     def back(self, job: str, pause: float = 0.0) -> None:
         if self.out.pop(job, None) is not None:
-            self.feed(api.Returned(job, pause))
+            self.feed(api.JobReturned(job, pause))
 
     def end(self, job: str, done: bool = True) -> None:
         self.out.pop(job, None)
@@ -82,10 +82,10 @@
         self.now = until
 
 
-def job(name: str, *after: str, on: Condition = Condition.DONE, **more: Any) -> Spec:
-    edges = tuple(Edge(other, on) for other in after)
-    fields: dict[str, Any] = {"lane": 0, "wanted_ms": WANTED, "edges": edges} | more
-    return Spec(name, **fields)
+def job(name: str, *after: str, on: Condition = Condition.DONE, **more: Any) -> JobSpec:
+    edges = tuple(Dependency(other, on) for other in after)
+    fields: dict[str, Any] = {"job_class": 0, "latency_objective_ms": WANTED, "dependencies": edges} | more
+    return JobSpec(name, **fields)
 
 
 def names(released: Iterable[tuple[str, bool]]) -> list[str]:
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize("shape", ["chain", "fan"])
 @pytest.mark.parametrize("done", [True, False])
 def test_ten_thousand_dependants_each_get_one_end_in_short_steps(shape: str, done: bool) -> None:
-    d, count = Driver(ahead=20_000), 10_000
+    d, count = Driver(lookahead=20_000), 10_000
     before = [f"j{n - 1}" if shape == "chain" else "j0" for n in range(count)]
     for n in range(0, count, 100):  # a submission is short too
         part = range(n, n + 100)
@@ -107,9 +107,9 @@
     d.go_on(1.0)
     if not done:
         assert len(d.ended) == count - 1 and not d.room.graph.nodes
-        assert {end.cause for end in d.ended.values()} == {Cause.DEPENDENCY}
-        assert d.ended["j9999"].root == "j0"
-        assert d.ended["j9999"].of == ("j9998" if shape == "chain" else "j0")
+        assert {end.cause for end in d.ended.values()} == {EndCause.DEPENDENCY}
+        assert d.ended["j9999"].root_job == "j0"
+        assert d.ended["j9999"].dependency == ("j9998" if shape == "chain" else "j0")
     elif shape == "fan":
         assert len(d.out) == count - 1
     else:
@@ -129,14 +129,14 @@
         found += 1
         d = Driver()
         d.now = start - offset - 1.0
-        d.feed(api.Wall(offset))
+        d.feed(api.WallClockOffset(offset))
         d.submit(job("a", start_unix_ms=start))
         d.go_on(2.0)
         assert names(d.released) == ["a"]
 
 
 def test_a_submission_is_taken_whole_or_not_at_all() -> None:
-    d = Driver(most_jobs=4, most_edges=2)
+    d = Driver(max_jobs=4, max_dependencies=2)
     d.submit(job("old"))
     for specs, word in (
         (
@@ -150,7 +150,7 @@
         ([job(f"n{n}") for n in range(4)], "no more than 4 jobs"),
         ([job("a", start_unix_ms=9e6), job("b", "a", deadline_unix_ms=8e6)], "can't begin before its"),
     ):
-        with pytest.raises(api.RoomError, match=word):
+        with pytest.raises(api.SubmissionError, match=word):
             d.submit(*specs)
         assert list(d.room.graph.nodes) == ["old"]
 
@@ -171,10 +171,10 @@
 def test_conditions(any_of: bool, on: Condition, ends: list[bool], goes: bool, before: bool) -> None:
     d = Driver()
     if before:  # they have ended before the job comes
-        edges = tuple(Edge(f"p{n}", on, done) for n, done in enumerate(ends))
-        d.submit(Spec("x", 0, WANTED, edges, any_of))
+        edges = tuple(Dependency(f"p{n}", on, done) for n, done in enumerate(ends))
+        d.submit(JobSpec("x", 0, WANTED, edges, any_of))
     else:
-        d.submit(job("p0", lane=1), job("p1", lane=1))
+        d.submit(job("p0", job_class=1), job("p1", job_class=1))
         d.submit(job("x", "p0", "p1", on=on, any_of=any_of))
         assert "x" not in d.out
         for n, done in enumerate(ends):
@@ -185,55 +185,55 @@
 
 def test_an_hour_comes_once_however_the_wall_clock_is_set() -> None:
     d, hour = Driver(), 3_600_000.0
-    d.feed(api.Wall(50 * hour))
+    d.feed(api.WallClockOffset(50 * hour))
     d.submit(job("soon", start_unix_ms=50 * hour + 5000), job("later", start_unix_ms=52 * hour))
     d.go_on(1000.0)
-    d.feed(api.Wall(48 * hour))  # set back by two hours
+    d.feed(api.WallClockOffset(48 * hour))  # set back by two hours
     d.go_on(hour)
     assert not d.released
-    d.feed(api.Wall(50 * hour))  # and forth again
+    d.feed(api.WallClockOffset(50 * hour))  # and forth again
     assert names(d.released) == ["soon"]
-    d.feed(api.Wall(48 * hour))
+    d.feed(api.WallClockOffset(48 * hour))
     d.back("soon")
     d.go_on(1.0)
     assert names(d.released) == ["soon", "soon"]  # its hour has come, whatever the clock says now
-    d.feed(api.Wall(53 * hour))
+    d.feed(api.WallClockOffset(53 * hour))
     assert "later" in d.out
 
 
 def test_what_falls_due_during_a_drain_keeps_its_place_and_comes_paced() -> None:
     d = Driver()
-    d.feed(api.Lane(0, False))
+    d.feed(api.ClassAvailabilityChanged(0, False))
     d.submit(*(job(f"t{n}", start_unix_ms=2000.0 + n) for n in range(20)))
     d.go_on(5000.0)
     d.submit(*(job(f"young{n}") for n in range(5)))
     assert not d.released
-    d.feed(api.Lane(0, True))
+    d.feed(api.ClassAvailabilityChanged(0, True))
     assert names(d.released) == ["t0", "t1", "t2", "young0", "young1", "young2"]  # as many of each kind
     assert [aged for _, aged in d.released] == [True] * 3 + [False] * 3
-    d.feed(api.Sent("t0"))
+    d.feed(api.JobSent("t0"))
     assert d.released[-1] == ("t3", True)
 
 
 def test_a_hold_takes_a_job_back_and_its_age_begins_anew() -> None:
     d = Driver()
     d.submit(job("x"), job("y", "x"), job("z", held=True))
-    d.feed(api.Held("x", True))
-    assert "x" not in d.out and d.room.why("x").held
+    d.feed(api.HoldChanged("x", True))
+    assert "x" not in d.out and d.room.wait_status("x").held
     d.go_on(10 * WANTED)
-    d.feed(api.Held("x", False))
+    d.feed(api.HoldChanged("x", False))
     assert d.released[-1] == ("x", False)
-    d.feed(api.Sent("x"))
-    d.feed(api.Held("x", True))  # too late: it may run
-    assert not d.room.held("x")
-    d.feed(api.Terminated("z"))
-    assert d.ended["z"].cause is Cause.TERMINATED
+    d.feed(api.JobSent("x"))
+    d.feed(api.HoldChanged("x", True))  # too late: it may run
+    assert not d.room.is_held("x")
+    d.feed(api.TerminationRequested("z"))
+    assert d.ended["z"].cause is EndCause.TERMINATED
     d.end("x", False)
-    assert d.ended["y"].of == "x"
+    assert d.ended["y"].dependency == "x"
 
 
 def test_an_aged_job_is_withdrawn_and_goes_before_the_others() -> None:
-    d = Driver(ahead=1)
+    d = Driver(lookahead=1)
     d.submit(job("a"))
     d.go_on(1.0)
     d.submit(job("b"))
@@ -242,7 +242,7 @@
     # b's time has come too: the one that stood first is in, the other is the next.
     assert d.released[1:] == [("a", True), ("b", False)]
     assert set(d.out) == {"a"}
-    d.feed(api.Sent("a"))
+    d.feed(api.JobSent("a"))
     assert d.released[3:] == [("b", True)]
 
 
@@ -259,47 +259,47 @@
     d.go_on(2900.0)
     d.back("x", 400.0)
     d.go_on(1000.0)
-    assert d.ended["x"].cause in (Cause.OVERDUE, Cause.TOO_LATE)
+    assert d.ended["x"].cause in (EndCause.OVERDUE, EndCause.TOO_LATE)
 
 
 @pytest.mark.parametrize("failed", [0, 3])
 def test_a_group_has_so_many_out_at_a_time_and_ends_with_its_last(failed: int) -> None:
-    d = Driver(ahead=10)
-    d.feed(api.Grouped("g", 2))
-    d.submit(*(job(f"g{n}", group="g") for n in range(5)), intake="g")
+    d = Driver(lookahead=10)
+    d.feed(api.BatchAdded("g", 2))
+    d.submit(*(job(f"g{n}", batch="g") for n in range(5)), unrecorded_batch="g")
     d.submit(job("other"), job("all", "g"), job("one failed", "g", on=Condition.FAILED))
-    d.feed(api.Opened("g"))
+    d.feed(api.BatchRecorded("g"))
     assert names(d.released) == ["other", "g0", "g1"]
-    d.feed(api.Sent("g0"))
+    d.feed(api.JobSent("g0"))
     assert len(d.out) == 3
     d.end("g0")
     assert d.released[-1][0] == "g2"
     d.go_on(5 * WANTED)
     assert len(d.out) == 3
-    assert d.room.why("all").jobs == ("g",)
+    assert d.room.wait_status("all").waiting_for == ("g",)
     for n in range(1, 5):
         d.end(f"g{n}", failed != n)
-    assert not d.room.groups
+    assert not d.room.batches
     went, ended = ("one failed", "all") if failed else ("all", "one failed")
-    assert d.released[-1][0] == went and d.ended[ended].cause is Cause.DEPENDENCY
-    assert d.ended[ended].of == "g" and d.ended[ended].root == (f"g{failed}" if failed else "g")
+    assert d.released[-1][0] == went and d.ended[ended].cause is EndCause.DEPENDENCY
+    assert d.ended[ended].dependency == "g" and d.ended[ended].root_job == (f"g{failed}" if failed else "g")
 
 
 def test_an_intake_waits_until_all_of_it_is_recorded_and_can_be_dropped() -> None:
     d = Driver()
-    d.submit(job("a"), job("b", deadline_unix_ms=d.now + 10.0), intake="i")
-    d.submit(job("c"), intake="k")
+    d.submit(job("a"), job("b", deadline_unix_ms=d.now + 10.0), unrecorded_batch="i")
+    d.submit(job("c"), unrecorded_batch="k")
     d.go_on(20.0)
     assert not d.released and list(d.ended) == ["b"]
-    d.feed(api.Opened("i"))
-    d.feed(api.Dropped("k"))
+    d.feed(api.BatchRecorded("i"))
+    d.feed(api.BatchDiscarded("k"))
     assert names(d.released) == ["a"] and list(d.room.graph.nodes) == ["a"]
 
 
 def test_a_job_of_before_a_restart_keeps_its_age() -> None:
-    d = Driver(ahead=1)
+    d = Driver(lookahead=1)
     d.submit(job("fresh", age_ms=10.0), job("old", age_ms=400.0), job("aged", age_ms=600.0), restored=True)
-    d.submit(job("ran", sent=True, group="g"), restored=True)
+    d.submit(job("ran", sent=True, batch="g"), restored=True)
     d.submit(job("next", "ran"))
     assert d.released == [("aged", True), ("old", False)] or d.released == [("aged", True), ("fresh", False)]
     assert not d.ready
@@ -316,15 +316,15 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.d = Driver(ahead=2, steps=3)
-        self.specs: dict[str, Spec] = {}
+        self.d = Driver(lookahead=2, max_steps_per_event=3)
+        self.specs: dict[str, JobSpec] = {}
         self.done: dict[str, bool] = {}
         self.holds: set[str] = set()
         self.sent: set[str] = set()
         self.begun: set[str] = set()  # their hour has come
         self.lanes = [True, True]
         self.checked = 0
-        self.d.feed(api.Wall(0.0))
+        self.d.feed(api.WallClockOffset(0.0))
         self.offset = 0.0
 
     def settle(self) -> None:
@@ -342,12 +342,12 @@
         spec = self.specs[name]
         assert name not in self.done and name not in self.sent and name not in self.holds
         assert name in self.begun
-        if spec.edges:
+        if spec.dependencies:
             kept = [
-                self.done[edge.job] is not None and edge.condition.holds(self.done[edge.job])
+                self.done[edge.job] is not None and edge.condition.is_met(self.done[edge.job])
                 if edge.job in self.done
                 else False
-                for edge in spec.edges
+                for edge in spec.dependencies
             ]
             assert any(kept) if spec.any_of else all(kept)
 
@@ -359,7 +359,7 @@
         deadline=st.one_of(st.none(), st.integers(3500, 9000)),
         held=st.booleans(),
         on=st.sampled_from(Condition),
-        lane=st.integers(0, 1),
+        job_class=st.integers(0, 1),
         direct=st.booleans(),
     )
     def submit(
@@ -371,22 +371,22 @@
         deadline: int | None,
         held: bool,
         on: Condition,
-        lane: int,
+        job_class: int,
         direct: bool,
     ) -> None:
         unix = self.d.now + self.offset
-        batch: list[Spec] = []
+        batch: list[JobSpec] = []
         known = list(self.specs)
         for n in range(count):
             name = f"j{len(self.specs) + n}"
             targets = dict.fromkeys(
                 (known + [s.job for s in batch])[k % (len(known) + n)] for k in links if known or n
             )
-            edges = tuple(Edge(t, on, self.done.get(t)) for t in targets)
+            edges = tuple(Dependency(t, on, self.done.get(t)) for t in targets)
             batch.append(
-                Spec(
+                JobSpec(
                     name,
-                    lane,
+                    job_class,
                     WANTED,
                     edges,
                     any_of,
@@ -398,7 +398,7 @@
             )
         try:
             self.d.submit(*reversed(batch))
-        except api.RoomError as error:
+        except api.SubmissionError as error:
             assert "deadline" in str(error)
             return
         self.specs |= {spec.job: spec for spec in batch}
@@ -422,7 +422,7 @@
     def send(self, number: int) -> None:
         name = self.pick(set(self.d.out) - self.sent, number)
         self.sent.add(name)
-        self.d.feed(api.Sent(name))
+        self.d.feed(api.JobSent(name))
         self.settle()
 
     @precondition(lambda self: self.d.out)
@@ -441,21 +441,21 @@
         if name in self.sent:
             return
         (self.holds.add if on else self.holds.discard)(name)
-        self.d.feed(api.Held(name, on))
+        self.d.feed(api.HoldChanged(name, on))
         self.settle()
 
     @precondition(lambda self: bool(set(self.specs) - set(self.done) - set(self.d.out)))
     @rule(number=st.integers(0, 99))
     def terminate(self, number: int) -> None:
         name = self.pick(set(self.specs) - set(self.done) - set(self.d.out), number)
-        self.d.feed(api.Terminated(name))
-        assert self.d.ended[name].cause is Cause.TERMINATED
+        self.d.feed(api.TerminationRequested(name))
+        assert self.d.ended[name].cause is EndCause.TERMINATED
         self.settle()
 
-    @rule(lane=st.integers(0, 1), on=st.booleans())
-    def lane(self, lane: int, on: bool) -> None:
-        self.lanes[lane] = on
-        self.d.feed(api.Lane(lane, on))
+    @rule(job_class=st.integers(0, 1), on=st.booleans())
+    def set_class_availability(self, job_class: int, on: bool) -> None:
+        self.lanes[job_class] = on
+        self.d.feed(api.ClassAvailabilityChanged(job_class, on))
         self.settle()
 
     @rule(ms=st.integers(1, 2500))
@@ -468,7 +468,7 @@
     def set_wall_clock(self, step: int) -> None:
         self.offset += step
         self.settle()
-        self.d.feed(api.Wall(self.offset))
+        self.d.feed(api.WallClockOffset(self.offset))
         self.settle()
 
     @rule()
@@ -480,28 +480,28 @@
         for name in set(self.specs) - set(self.done):
             node = self.d.room.graph.nodes[name]
             ages[name] = self.d.now - node.ready_ms if node.ready_ms < float("inf") else None
-        former, self.d = self.d, Driver(ahead=2, steps=3)
+        former, self.d = self.d, Driver(lookahead=2, max_steps_per_event=3)
         self.d.now = former.now
         self.d.out = {name: True for name in self.sent}
-        self.d.feed(api.Wall(self.offset))
-        for lane, on in enumerate(self.lanes):
-            self.d.feed(api.Lane(lane, on))
+        self.d.feed(api.WallClockOffset(self.offset))
+        for job_class, on in enumerate(self.lanes):
+            self.d.feed(api.ClassAvailabilityChanged(job_class, on))
         specs = []
         for name in ages:
             s = self.specs[name]
-            edges = tuple(Edge(e.job, e.condition, self.done.get(e.job)) for e in s.edges)
+            edges = tuple(Dependency(e.job, e.condition, self.done.get(e.job)) for e in s.dependencies)
             specs.append(
-                Spec(
+                JobSpec(
                     name,
-                    s.lane,
-                    s.wanted_ms,
+                    s.job_class,
+                    s.latency_objective_ms,
                     edges,
                     s.any_of,
                     s.start_unix_ms,
                     s.deadline_unix_ms,
                     name in self.holds,
                     s.direct,
-                    s.group,
+                    s.batch,
                     ages[name],
                     name in self.sent,
                 )
@@ -514,34 +514,36 @@
     def none_is_forgotten(self) -> None:
         nodes = self.d.room.graph.nodes
         assert set(nodes) == set(self.specs) - set(self.done)
-        assert self.d.room.stages == [sum(n.stage is stage for n in nodes.values()) for stage in Stage]
+        assert self.d.room.stage_counts == [
+            sum(n.stage is stage for n in nodes.values()) for stage in JobStage
+        ]
         for name in self.d.out:
-            assert nodes[name].stage is (Stage.SENT if name in self.sent else Stage.RELEASED)
+            assert nodes[name].stage is (JobStage.SENT if name in self.sent else JobStage.RELEASED)
 
     @invariant()
     def lanes_are_let_in_in_order_and_kept_full(self) -> None:
         room = self.d.room
         if room.asked_ms <= self.d.now:
             return  # it has asked for a tick to go on with
-        for lane in room.lanes:
+        for job_class in room.class_queues:
             for aged in (0, 1):
                 unsent = [
                     n
                     for n in room.graph.nodes.values()
-                    if n.stage is Stage.RELEASED
+                    if n.stage is JobStage.RELEASED
                     and not n.direct
-                    and room.lanes[n.lane] is lane
+                    and room.class_queues[n.job_class] is job_class
                     and n.aged == bool(aged)
                 ]
-                assert len(unsent) == lane.unsent[aged] <= 2
-                assert not lane.open or lane.unsent[aged] == 2 or not lane.ready[aged]
+                assert len(unsent) == job_class.unsent[aged] <= 2
+                assert not job_class.open or job_class.unsent[aged] == 2 or not job_class.ready[aged]
 
     def teardown(self) -> None:
         """With all holds and drains lifted each job comes to its end."""
-        for lane in (0, 1):
-            self.d.feed(api.Lane(lane, True))
+        for job_class in (0, 1):
+            self.d.feed(api.ClassAvailabilityChanged(job_class, True))
         for name in sorted(self.holds - set(self.done)):
-            self.d.feed(api.Held(name, False))
+            self.d.feed(api.HoldChanged(name, False))
             self.holds.discard(name)
         self.settle()
         self.offset += 1e9
@@ -551,11 +553,11 @@
                 self.d.end(name)
                 self.settle()
             self.offset += 10_000.0
-            self.d.feed(api.Wall(self.offset))
+            self.d.feed(api.WallClockOffset(self.offset))
             self.d.go_on(10_000.0)
             self.settle()
         assert set(self.done) == set(self.specs) and not self.d.room.graph.nodes
-        assert self.d.room.stages == [0] * len(Stage)
+        assert self.d.room.stage_counts == [0] * len(JobStage)
         room = self.d.room
         for queue in (room.timed, room.deadlines, room.paused, room.ripening):
             assert not queue
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -13,9 +13,9 @@
 from grebestack.core.api import Outcome
 from grebestack.drmaa.errors import DrmaaError
 from grebestack.drmaa.template import Templates
-from grebestack.job_queue.interface import Stage as RoomStage
+from grebestack.job_queue.interface import JobStage
 from grebestack.jobs import store as store_module
-from grebestack.jobs.records import Batch, Job, JobError, JobLimits, JobState, Kind
+from grebestack.jobs.records import Batch, Job, JobError, JobErrorKind, JobLimits, JobState
 from grebestack.jobs.service import JobService
 from grebestack.jobs.store import JobStore, StoreError
 from grebestack.routing.engine import Engine
@@ -87,9 +87,9 @@
         self._check()
         super().add_all(jobs, edges)
 
-    def sending(self, job_id: str, server: str, sent: float) -> int:
+    def record_attempt(self, job_id: str, server: str, sent: float) -> int:
         self._check()
-        return super().sending(job_id, server, sent)
+        return super().record_attempt(job_id, server, sent)
 
     def finish(self, job_id: str, state: JobState, finished: float, **more: Any) -> bool:
         self._check()
@@ -112,7 +112,7 @@
         self.servers = self.engine.workers = Servers(self.engine)
         self.store = FailingStore(str(self.path / "jobs.sqlite"))
         self.templates = Templates(self.settings)
-        limits = JobLimits(wanted=(10.0, 10.0, 10.0), most_open=10, most_waiting=20_000)
+        limits = JobLimits(latency_objectives_s=(10.0, 10.0, 10.0), max_direct=10, max_queued=20_000)
         self.service = JobService(
             self.engine,
             self.servers,
@@ -123,7 +123,7 @@
             lambda: NOON + self.step + self.clock.now / 1000.0,
         )
         self.ends: dict[str, Job] = {}
-        self.service.ended = self._ended
+        self.service.on_job_ended = self._ended
         self.service.restore()
         lines = [WorkerEndpoint(entry(f"w{n}"), ("127.0.0.1", 1)) for n in range(self.count)]
         table.update(api.ListKind.FULL, lines)
@@ -152,10 +152,10 @@
         came: list[Batch | JobError] = []
         if isinstance(jobs, int):
             new = self.templates.new_job(ORDER, waits=True)
-            self.service.submit_many(key, "t", lambda n: new, range(jobs), True, most, came.append)
+            self.service.submit_batch(key, "t", lambda n: new, range(jobs), True, most, came.append)
         else:
             news = [self.templates.new_job(raw, name, True) for name, raw in jobs.items()]
-            self.service.submit_many(key, str(jobs), news, range(len(news)), False, None, came.append)
+            self.service.submit_batch(key, str(jobs), news, range(len(news)), False, None, came.append)
         for _ in range(10_000):
             if came:
                 return came[0]
@@ -190,10 +190,10 @@
         setting.run("k")
     assert not setting.servers.sent and not setting.engine.open_by_call_id
     failed = setting.many("many", 3)
-    assert isinstance(failed, JobError) and failed.kind is Kind.RESOURCE
-    assert not len(setting.service.room)
+    assert isinstance(failed, JobError) and failed.kind is JobErrorKind.RESOURCE
+    assert not len(setting.service.job_queue)
     setting.store.full = False
-    assert setting.store.batch("submission", "many") is None
+    assert setting.store.find_batch("submission", "many") is None
 
 
 def test_a_dispatch_that_cannot_be_recorded_is_not_sent(setting: Setting) -> None:
@@ -244,7 +244,7 @@
     setting.clock.advance(3000.0)
     assert setting.ends[direct].retry_after is not None
     assert setting.state(waits) is JobState.QUEUED
-    assert "no server takes its class" in setting.service.why(waits)
+    assert "no server takes its class" in setting.service.wait_reason(waits)
     setting.drain(False)
     assert setting.sent_jobs() == [waits]
     setting.end(waits, Outcome.REJECTED)  # handed back: it never ran
@@ -258,7 +258,7 @@
 def test_a_crash_between_release_and_dispatch_sends_it_once(setting: Setting) -> None:
     setting.servers.slow = True
     job = setting.waiting("k")
-    assert setting.service.room.stage(job) is RoomStage.RELEASED and not setting.servers.sent
+    assert setting.service.job_queue.stage(job) is JobStage.RELEASED and not setting.servers.sent
     setting.crash()
     assert setting.sent_jobs() == [job]
     setting.crash()  # now it may have run: it is never sent again
@@ -280,10 +280,10 @@
     last = setting.waiting("last", first, {"job": old, "on": "ended"})
     setting.clock.advance(300.0)
     setting.crash()
-    room = setting.service.room
+    room = setting.service.job_queue
     assert setting.sent_jobs()[0] == old
-    assert room.why(held).held and room.why(timed).start_unix_ms == (NOON + 60.0) * 1000.0
-    assert set(room.why(last).jobs) <= {first, old}
+    assert room.wait_status(held).held and room.wait_status(timed).start_unix_ms == (NOON + 60.0) * 1000.0
+    assert set(room.wait_status(last).waiting_for) <= {first, old}
     ages = {name: setting.clock.now - room.graph.nodes[name].ready_ms for name in (old, young)}
     assert 4000.0 < ages[old] < 4700.0 and ages[young] < 700.0
     assert room.graph.nodes[old].due < room.graph.nodes[young].due
@@ -318,7 +318,7 @@
     assert ids["plan"] in note and f"began with job {ids['reading']}" in note
     assert setting.sent_jobs() == [ids["reading"], ids["call"]]  # it asked for just this
     again = setting.many("g", {"other": ORDER})
-    assert isinstance(again, JobError) and again.kind is Kind.CONFLICT
+    assert isinstance(again, JobError) and again.kind is JobErrorKind.CONFLICT
 
 
 def test_submissions_that_cannot_be_taken_leave_nothing(setting: Setting) -> None:
@@ -337,7 +337,7 @@
         assert isinstance(failed, JobError)
         with pytest.raises(JobError, match=word):
             raise failed
-    assert not len(setting.service.room) and not setting.store.open()
+    assert not len(setting.service.job_queue) and not setting.store.open_jobs()
     job = setting.run("k")
     with pytest.raises(JobError, match="several|another"):
         setting.run("k", "book")
@@ -353,8 +353,8 @@
         setting.clock.advance(1.0)
         out = [d for d in setting.servers.sent if d.outcome is None]
         assert len(out) <= 3 and len({d.request.call_id for d in out}) == len(out)
-        later = {setting.service.room.stage(name) for name in members[n + 3 :]}
-        assert later <= {RoomStage.READY, RoomStage.RELEASED}
+        later = {setting.service.job_queue.stage(name) for name in members[n + 3 :]}
+        assert later <= {JobStage.READY, JobStage.RELEASED}
         setting.end(out[0].request.call_id)
 
 
@@ -379,9 +379,9 @@
             setting.store.remove(name)
             setting.crash()
     assert setting.ends[after[0]].state is JobState.FAILED
-    setting.store.forget_before(setting.service.wall() + 1.0)
+    setting.store.remove_ended_before(setting.service.wall_clock() + 1.0)
     setting.crash()
-    assert setting.store.batch("id", batch.id) is None
+    assert setting.store.find_batch("id", batch.id) is None
     setting.service.release(setting.service.find(after[1]))
     setting.clock.advance(100.0)
     assert setting.sent_jobs() == [after[1]]
@@ -390,10 +390,10 @@
 def test_an_array_that_a_crash_cuts_short_was_never_there(setting: Setting) -> None:
     came: list[Batch | JobError] = []
     new = setting.templates.new_job(ORDER, waits=True)
-    setting.service.submit_many("arr", "t", lambda n: new, range(1000), True, None, came.append)
-    assert not came and setting.store.open()
+    setting.service.submit_batch("arr", "t", lambda n: new, range(1000), True, None, came.append)
+    assert not came and setting.store.open_jobs()
     setting.crash()
-    assert not setting.store.open() and not setting.servers.sent
+    assert not setting.store.open_jobs() and not setting.servers.sent
     assert isinstance(setting.many("arr", 1000), Batch)
 
 
@@ -452,7 +452,7 @@
     db.close()
     setting = Setting(tmp_path)
     assert setting.sent_jobs() == ["open"] and setting.state("ran") is JobState.UNDETERMINED
-    assert setting.state("over") is JobState.DONE and setting.store.drains() == {"w9"}
+    assert setting.state("over") is JobState.DONE and setting.store.drained_workers() == {"w9"}
     assert setting.run("k-open") == "open"
     follower = setting.waiting("f", "over", "open")
     setting.end("open")
