--- a/grebestack/job_queue/dependencies.py
+++ b/grebestack/job_queue/dependencies.py
@@ -1,4 +1,4 @@
-"""What the room knows of each job, the graph of what waits for what, and the queues it keeps them in."""
+"""The unfinished jobs, the graph of their dependencies, and the sorted queues that hold them."""
 
 from __future__ import annotations
 
@@ -12,262 +12,285 @@
 NEVER = float("inf")
 
 
-class Ending:
-    """What a job can wait for: another job or a group."""
+class GraphNode:
+    """What a job can depend on: another job or a batch."""
 
-    __slots__ = ("dependants", "earliest", "id")
+    __slots__ = ("dependants", "earliest_end_unix_ms", "id")
 
-    def __init__(self, name: str, earliest: float) -> None:
+    def __init__(self, name: str, earliest_end_unix_ms: float) -> None:
         self.id = name
-        self.dependants: list[tuple[Node, Condition]] | None = None
-        self.earliest = earliest  # no end of it can come before this, in Unix time
+        self.dependants: list[tuple[JobNode, Condition]] | None = None
+        self.earliest_end_unix_ms = earliest_end_unix_ms  # it can't end before this time
 
 
-class Node(Ending):
-    """A job that has not ended. Slots and shared strings keep a hundred thousand of them small."""
+class JobNode(GraphNode):
+    """A job that has not ended. Slots and shared strings save memory: there can be a hundred thousand."""
 
     __slots__ = (
         "aged",
-        "after",
+        "depends_on",
         "any_of",
-        "deadline",
+        "deadline_unix_ms",
         "direct",
-        "due",
+        "due_ms",
         "batch",
         "held",
-        "intake",
+        "unrecorded_batch",
         "job_class",
-        "left",
-        "need",
+        "undecided",
+        "unmet",
         "ready_ms",
-        "seq",
+        "sequence",
         "stage",
-        "start",
-        "started",
-        "until",
-        "wanted",
+        "start_unix_ms",
+        "start_reached",
+        "retry_at_ms",
+        "latency_objective_ms",
     )
 
-    def __init__(self, spec: JobSpec, seq: int, earliest: float) -> None:
-        super().__init__(spec.job, earliest)
-        self.job_class, self.seq = spec.job_class, seq
-        self.wanted = spec.latency_objective_ms
-        self.start, self.deadline = spec.start_unix_ms, spec.deadline_unix_ms
-        self.started = spec.start_unix_ms is None or spec.age_ms is not None  # ready once: its hour had come
+    def __init__(self, spec: JobSpec, sequence: int, earliest_end_unix_ms: float) -> None:
+        super().__init__(spec.job, earliest_end_unix_ms)
+        self.job_class, self.sequence = spec.job_class, sequence
+        self.latency_objective_ms = spec.latency_objective_ms
+        self.start_unix_ms, self.deadline_unix_ms = spec.start_unix_ms, spec.deadline_unix_ms
+        # A job with an age was ready before a restart, so its start time has passed.
+        self.start_reached = spec.start_unix_ms is None or spec.age_ms is not None
         self.held, self.direct, self.any_of = spec.held, spec.direct, spec.any_of
-        self.intake: str | None = None
+        self.unrecorded_batch: str | None = None
         self.batch = spec.batch
         self.stage = JobStage.BLOCKED
         self.aged = False
-        self.need = 0  # conditions that must come to hold yet
-        self.left = 0  # conditions that are not decided
-        self.after: tuple[str, ...] = ()
-        self.ready_ms = 0.0  # since when its age counts
-        self.due = 0.0  # its standing: the lower the sooner
-        self.until = 0.0  # back from the engine: not tried again before
+        self.unmet = 0  # number of conditions that have still to be met
+        self.undecided = 0  # number of dependencies that have not ended
+        self.depends_on: tuple[str, ...] = ()
+        self.ready_ms = 0.0  # when it became ready
+        self.due_ms = 0.0  # end of its latency objective; the job with the lowest value is released first
+        self.retry_at_ms = 0.0  # earliest time of the next try after the engine returned the job
 
-    def __lt__(self, other: Node) -> bool:
-        return self.seq < other.seq
+    def __lt__(self, other: JobNode) -> bool:
+        return self.sequence < other.sequence
 
 
-class Queue:
-    """Nodes in the order of a number, each at most once; entering, leaving and place cost O(log n)."""
+class SortedQueue:
+    """Jobs sorted by a number, each at most once; adding, removing and ranking cost O(log n)."""
 
     __slots__ = ("entries",)
 
     def __init__(self) -> None:
-        self.entries: SortedList[tuple[float, Node]] = SortedList()
+        self.entries: SortedList[tuple[float, JobNode]] = SortedList()
 
     def __len__(self) -> int:
         return len(self.entries)
 
-    def add(self, key: float, node: Node) -> None:
-        """Put a node in."""
+    def add(self, key: float, node: JobNode) -> None:
+        """Add a job."""
         self.entries.add((key, node))
 
-    def remove(self, key: float, node: Node) -> None:
-        """Take a node out that may have left already."""
+    def remove(self, key: float, node: JobNode) -> None:
+        """Remove a job if it is in the queue."""
         self.entries.discard((key, node))
 
-    def first(self) -> float:
-        """The lowest number; infinity if there is none."""
+    def first_key(self) -> float:
+        """Return the lowest number; infinity if the queue is empty."""
         return self.entries[0][0] if self.entries else NEVER
 
-    def pop(self) -> Node:
-        """Take the first out."""
-        node: Node = self.entries.pop(0)[1]
+    def pop(self) -> JobNode:
+        """Remove and return the first job."""
+        node: JobNode = self.entries.pop(0)[1]
         return node
 
-    def place(self, key: float, node: Node) -> int:
-        """How many stand before a node."""
+    def rank(self, key: float, node: JobNode) -> int:
+        """Return the number of jobs before this one."""
         return int(self.entries.bisect_left((key, node)))
 
 
-class Group(Ending):
-    """Jobs that came together. It ends with the last of them: done if all are done.
+class BatchNode(GraphNode):
+    """A batch: jobs that were submitted together. It ends with the last of them, as done if all are done.
 
-    Guards against a job that waits for ten thousand others by as many conditions: it has one. At most `most`
-    of the jobs are out of the room at a time; the others stand aside.
+    A job that waits for the ten thousand jobs of a batch has a single dependency, on the batch. At most
+    `max_parallel` of the jobs are released or sent at a time; `over_limit` holds the ready ones beyond that.
     """
 
-    __slots__ = ("aside", "failed", "members", "most", "out", "root", "whole")
+    __slots__ = (
+        "complete",
+        "failed",
+        "in_progress",
+        "max_parallel",
+        "over_limit",
+        "root_job",
+        "unfinished_jobs",
+    )
 
-    def __init__(self, name: str, most: float, failed: bool) -> None:
+    def __init__(self, name: str, max_parallel: float, failed: bool) -> None:
         super().__init__(name, 0.0)
-        self.most, self.failed = most, failed
-        self.members = self.out = 0  # those that have not ended, those that are out
-        self.whole = False  # no more will come
-        self.root = name  # the first that was not done
-        self.aside = Queue()
+        self.max_parallel, self.failed = max_parallel, failed
+        self.unfinished_jobs = self.in_progress = 0  # in_progress: released or sent
+        self.complete = False  # no further jobs will be added
+        self.root_job = name  # the first job that was not done
+        self.over_limit = SortedQueue()
 
 
-class Graph:
-    """The jobs that have not ended, and for each those that wait for its end; the groups too."""
+class DependencyGraph:
+    """The jobs and batches that have not ended, each with the jobs that depend on it."""
 
     def __init__(self) -> None:
-        self.nodes: dict[str, Node] = {}
-        self.batches: dict[str, Group] = {}
-        self.count = 0
+        self.nodes: dict[str, JobNode] = {}
+        self.batches: dict[str, BatchNode] = {}
+        self.added_count = 0
 
-    def find(self, name: str) -> Ending | None:
-        """A job or group that has not ended."""
+    def find(self, name: str) -> GraphNode | None:
+        """Return the unfinished job or batch of this name, if there is one."""
         return self.nodes.get(name) or self.batches.get(name)
 
-    def check_and_sort(self, specs: Iterable[JobSpec], most_edges: int) -> list[JobSpec]:
-        """The jobs of a submission in an order in which each comes after those it waits for.
+    def check_and_sort(self, specs: Iterable[JobSpec], max_dependencies: int) -> list[JobSpec]:
+        """Return the jobs of a submission sorted so that each comes after its dependencies.
 
-        RoomError for a name used twice, an unknown job, too many conditions, a cycle, or a deadline that
-        can't be met since a job that is waited for begins later.
+        Raises
+        ------
+        SubmissionError : a name that is used twice, an unknown job, too many dependencies, a cycle, or a
+            deadline that can't be met because a dependency starts later.
         """
-        fresh: dict[str, JobSpec] = {}
+        submitted: dict[str, JobSpec] = {}
         for spec in specs:
-            if spec.job in fresh or spec.job in self.nodes:
-                raise SubmissionError(f"job {spec.job} is there already", spec.job)
-            fresh[spec.job] = spec
-        waits = {name: 0 for name in fresh}
-        followers: dict[str, list[str]] = {}
-        for spec in fresh.values():
-            if len(spec.dependencies) > most_edges:
-                what = f"it waits for {len(spec.dependencies)} jobs, {most_edges} are allowed"
-                raise SubmissionError(f"job {spec.job}: {what}", spec.job)
-            for edge in spec.dependencies:
-                if edge.job in fresh:
-                    waits[spec.job] += 1
-                    followers.setdefault(edge.job, []).append(spec.job)
-                elif edge.done is None and self.find(edge.job) is None:
-                    raise SubmissionError(f"job {spec.job} waits for the unknown job {edge.job}", spec.job)
+            if spec.job in submitted or spec.job in self.nodes:
+                raise SubmissionError(f"job {spec.job} already exists", spec.job)
+            submitted[spec.job] = spec
+        unsorted_dependencies = {name: 0 for name in submitted}
+        dependants: dict[str, list[str]] = {}
+        for spec in submitted.values():
+            if len(spec.dependencies) > max_dependencies:
+                reason = f"it has {len(spec.dependencies)} dependencies, the limit is {max_dependencies}"
+                raise SubmissionError(f"job {spec.job}: {reason}", spec.job)
+            for dependency in spec.dependencies:
+                if dependency.job in submitted:
+                    unsorted_dependencies[spec.job] += 1
+                    dependants.setdefault(dependency.job, []).append(spec.job)
+                elif dependency.done is None and self.find(dependency.job) is None:
+                    raise SubmissionError(
+                        f"job {spec.job} depends on the unknown job {dependency.job}", spec.job
+                    )
         ordered: list[JobSpec] = []
-        free = deque(name for name, count in waits.items() if not count)
-        while free:
-            name = free.popleft()
-            ordered.append(fresh[name])
-            for follower in followers.get(name, ()):
-                waits[follower] -= 1
-                if not waits[follower]:
-                    free.append(follower)
-        if len(ordered) < len(fresh):
-            ring = self._ring(fresh, {name for name, count in waits.items() if count})
-            raise SubmissionError(f"jobs wait for each other: {' -> '.join(ring)}", ring[0])
+        unblocked = deque(name for name, count in unsorted_dependencies.items() if not count)
+        while unblocked:
+            name = unblocked.popleft()
+            ordered.append(submitted[name])
+            for dependant in dependants.get(name, ()):
+                unsorted_dependencies[dependant] -= 1
+                if not unsorted_dependencies[dependant]:
+                    unblocked.append(dependant)
+        if len(ordered) < len(submitted):
+            cycle = self._find_cycle(
+                submitted, {name for name, count in unsorted_dependencies.items() if count}
+            )
+            raise SubmissionError(f"cyclic dependency: {' -> '.join(cycle)}", cycle[0])
         self._check_times(ordered)
         return ordered
 
     @staticmethod
-    def _ring(fresh: Mapping[str, JobSpec], stuck: set[str]) -> list[str]:
-        """A cycle: each of the stuck waits for another that is stuck."""
+    def _find_cycle(submitted: Mapping[str, JobSpec], unsorted: set[str]) -> list[str]:
+        """Return the names along a cycle; each job of `unsorted` depends on another job of it."""
         path: dict[str, int] = {}
-        name = next(name for name in fresh if name in stuck)
+        name = next(name for name in submitted if name in unsorted)
         while name not in path:
             path[name] = len(path)
-            name = next(edge.job for edge in fresh[name].dependencies if edge.job in stuck)
+            name = next(
+                dependency.job for dependency in submitted[name].dependencies if dependency.job in unsorted
+            )
         names = list(path)[path[name] :]
         return [*names, name] if len(names) <= 8 else [*names[:4], "...", *names[-3:], name]
 
     def _check_times(self, ordered: Iterable[JobSpec]) -> None:
-        earliest: dict[str, float] = {}
+        earliest_end_unix_ms: dict[str, float] = {}
         for spec in ordered:
-            begins = self._earliest(spec, earliest)
-            earliest[spec.job] = begins
-            if spec.deadline_unix_ms is not None and begins >= spec.deadline_unix_ms:
-                raise SubmissionError(f"job {spec.job} can't begin before its deadline has passed", spec.job)
+            start = self._earliest_start(spec, earliest_end_unix_ms)
+            earliest_end_unix_ms[spec.job] = start
+            if spec.deadline_unix_ms is not None and start >= spec.deadline_unix_ms:
+                raise SubmissionError(f"job {spec.job} can't start before its deadline", spec.job)
 
-    def _earliest(self, spec: JobSpec, fresh: Mapping[str, float]) -> float:
+    def _earliest_start(self, spec: JobSpec, submitted: Mapping[str, float]) -> float:
         ends = [
-            0.0 if edge.done is not None else self._earliest_end(edge.job, fresh)
-            for edge in spec.dependencies
+            0.0 if dependency.done is not None else self._earliest_end(dependency.job, submitted)
+            for dependency in spec.dependencies
         ]
         after = (min(ends) if spec.any_of else max(ends)) if ends else 0.0
         return max(spec.start_unix_ms or 0.0, after)
 
-    def _earliest_end(self, name: str, fresh: Mapping[str, float]) -> float:
-        known = self.find(name)
-        return fresh.get(name, 0.0) if known is None else known.earliest
+    def _earliest_end(self, name: str, submitted: Mapping[str, float]) -> float:
+        node = self.find(name)
+        return submitted.get(name, 0.0) if node is None else node.earliest_end_unix_ms
 
-    def add(self, spec: JobSpec) -> tuple[Node, str | None]:
-        """Take a job in; also the job whose end leaves it no hope, if there is one."""
-        self.count += 1
-        node = Node(spec, self.count, self._earliest(spec, {}))
+    def add(self, spec: JobSpec) -> tuple[JobNode, str | None]:
+        """Add a job; also return the ended job or batch because of which it can never run, if any."""
+        self.added_count += 1
+        node = JobNode(spec, self.added_count, self._earliest_start(spec, {}))
         self.nodes[spec.job] = node
         if not spec.dependencies:
             return node, None
-        waits_for, hopeless = [], None
-        held = 0
-        for edge in spec.dependencies:
-            parent = self.find(edge.job)
-            if parent is not None:
-                if parent.dependants is None:
-                    parent.dependants = []
-                parent.dependants.append((node, edge.condition))
-                waits_for.append(parent.id)
-            elif edge.done is not None and edge.condition.is_met(edge.done):
-                held += 1
+        waits_for, failed_dependency = [], None
+        met = 0
+        for dependency in spec.dependencies:
+            prerequisite = self.find(dependency.job)
+            if prerequisite is not None:
+                if prerequisite.dependants is None:
+                    prerequisite.dependants = []
+                prerequisite.dependants.append((node, dependency.condition))
+                waits_for.append(prerequisite.id)
+            elif dependency.done is not None and dependency.condition.is_met(dependency.done):
+                met += 1
             else:
-                hopeless = hopeless or edge.job
-        node.after = tuple(waits_for)
-        node.left = len(waits_for)
+                failed_dependency = failed_dependency or dependency.job
+        node.depends_on = tuple(waits_for)
+        node.undecided = len(waits_for)
         if spec.any_of:
-            node.need = 0 if held else 1
-            return node, hopeless if not held and not waits_for else None
-        node.need = len(waits_for)
-        return node, hopeless
+            node.unmet = 0 if met else 1
+            return node, failed_dependency if not met and not waits_for else None
+        node.unmet = len(waits_for)
+        return node, failed_dependency
 
-    def forget(self, node: Node) -> None:
-        """A job has ended."""
+    def remove(self, node: JobNode) -> None:
+        """Remove a job that has ended."""
         self.nodes.pop(node.id, None)
         node.stage = JobStage.ENDED
 
     @staticmethod
-    def decide(node: Node, condition: Condition, done: bool) -> bool | None:
-        """A job that a node waits for has ended: the node may go now, or never, or waits on (None)."""
-        node.left -= 1
+    def resolve(node: JobNode, condition: Condition, done: bool) -> bool | None:
+        """Take into account that a dependency of a job has ended.
+
+        Return True if all conditions of the job are met, False if they can't be met any more, else None.
+        """
+        node.undecided -= 1
         if condition.is_met(done):
-            node.need = 0 if node.any_of else node.need - 1
-            return True if node.need == 0 else None
-        if node.any_of and (node.left > 0 or node.need == 0):
+            node.unmet = 0 if node.any_of else node.unmet - 1
+            return True if node.unmet == 0 else None
+        if node.any_of and (node.undecided > 0 or node.unmet == 0):
             return None
         return False
 
 
-class Cascade:
-    """Ends whose dependants have not all been told. Walked without recursion, a few steps at a time."""
+class DependantNotifications:
+    """The ended jobs and batches whose dependants have not all been notified.
+
+    They are walked without recursion and a few steps at a time, since a chain of dependencies may be long.
+    """
 
     def __init__(self) -> None:
-        self.open: deque[tuple[Iterator[tuple[Node, Condition]], bool, str, str]] = deque()
+        self.pending: deque[tuple[Iterator[tuple[JobNode, Condition]], bool, str, str]] = deque()
 
     def __bool__(self) -> bool:
-        return bool(self.open)
+        return bool(self.pending)
 
-    def add(self, node: Ending, done: bool, root: str) -> None:
-        """A job or group has ended; `root` is the job whose end began it."""
+    def add(self, node: GraphNode, done: bool, root_job: str) -> None:
+        """Add a job or batch that has ended; `root_job` is the first job of the chain that ended."""
         if node.dependants:
-            self.open.append((iter(node.dependants), done, node.id, root))
+            self.pending.append((iter(node.dependants), done, node.id, root_job))
             node.dependants = None
 
-    def step(self) -> tuple[Node, Condition, bool, str, str] | None:
-        """The next one to be told: who, its condition, how the other ended, the other and the root."""
-        while self.open:
-            rest, done, name, root = self.open[0]
-            told = next(rest, None)
-            if told is not None:
-                return told[0], told[1], done, name, root
-            self.open.popleft()
+    def pop_dependant(self) -> tuple[JobNode, Condition, bool, str, str] | None:
+        """Return the next dependant to notify, its condition, and of the ended one: done, name, root job."""
+        while self.pending:
+            remaining, done, name, root_job = self.pending[0]
+            dependant = next(remaining, None)
+            if dependant is not None:
+                return dependant[0], dependant[1], done, name, root_job
+            self.pending.popleft()
         return None
--- a/grebestack/job_queue/interface.py
+++ b/grebestack/job_queue/interface.py
@@ -1,8 +1,8 @@
-"""The types that cross the edge of the waiting room: its settings, events and actions.
+"""The public types of the job queue: its settings, events and actions.
 
-Two clocks reach the room, both as numbers. `now_ms` is monotonic and orders everything. Hours that people
-name (a start, a deadline) are Unix milliseconds; `Wall` tells how far that clock is ahead of the monotonic
-one, again and again, for the wall clock may be set while jobs wait.
+The queue gets two clocks, both as numbers. `now_ms` is monotonic and orders everything. Start times and
+deadlines of jobs are Unix milliseconds. `WallClockOffset` says how far Unix time is ahead of the monotonic
+clock. It is repeated, because the wall clock may be set while jobs wait.
 """
 
 from __future__ import annotations
@@ -12,38 +12,41 @@
 
 
 class Condition(Enum):
-    """What a job asks of the end of another."""
+    """How a dependency must end for the dependent job to run."""
 
     DONE = "done"
-    FAILED = "failed"  # ended otherwise than done: failed, terminated, refused for good, overdue
-    ENDED = "ended"  # whichever way
+    FAILED = "failed"  # ended in any other way: failed, terminated, finally refused or overdue
+    ENDED = "ended"  # ended in any way
 
     def is_met(self, done: bool) -> bool:
-        """Whether it holds once the other job has ended, done or not."""
+        """Whether the condition is met by a dependency that ended, successfully (`done`) or not."""
         return self is Condition.ENDED or (self is Condition.DONE) == done
 
 
 class EndCause(Enum):
-    """Why a job ends in the room, without having been let out of it."""
+    """Why the queue itself ended a job."""
 
-    DEPENDENCY = "dependency"  # what it waits for has ended so that its condition can't hold any more
-    OVERDUE = "overdue"  # its deadline has come
-    TOO_LATE = "too late"  # refused, and its deadline comes before the time to try again
+    DEPENDENCY = "dependency"  # a dependency ended in such a way that the condition can't be met any more
+    OVERDUE = "overdue"  # its deadline has passed
+    TOO_LATE = "too late"  # refused, and its deadline is before the time of the next try
     TERMINATED = "terminated"
 
 
 class JobStage(IntEnum):
-    """How far a job has got."""
+    """The stage of a job in the queue."""
 
-    BLOCKED = 0  # it waits for jobs, for its hour or for a hold to be lifted
-    READY = 1  # nothing holds it but its turn
-    RELEASED = 2  # in the engine; no byte has gone to a server
-    SENT = 3  # a dispatch's first byte goes: it may run
+    BLOCKED = 0  # it waits for dependencies, its start time, the end of a hold, or its batch's recording
+    READY = 1  # it waits only for its turn
+    RELEASED = 2  # in the engine; no byte has been sent to a worker
+    SENT = 3  # the first byte of an attempt is being sent: it may run
     ENDED = 4
 
 
 class SubmissionError(Exception):
-    """A submission that the room can't take. `job` is the job that it is about, `full` says to come later."""
+    """The queue rejects a submission; nothing of it is queued.
+
+    `job` is the job at fault. `queue_full` means that the submission may be repeated later.
+    """
 
     def __init__(self, message: str, job: str = "", queue_full: bool = False) -> None:
         super().__init__(message)
@@ -52,18 +55,18 @@
 
 @dataclass(frozen=True, slots=True)
 class JobQueueSettings:
-    """What an operator's file says of waiting.
+    """The queue's settings.
 
-    `lanes` is the number of job classes: each has a lane of its own, lest a class whose servers are all away
-    keeps the others back.
+    `class_count` is the number of job classes. Each has a queue of its own, so that a class without an
+    available worker does not hold up the others.
     """
 
     class_count: int
-    lookahead: int = 16  # released jobs of a lane that no server has been sent yet, aged and other each
-    aged_share: float = 0.5  # the part of its wanted time after which a ready job is aged
+    lookahead: int = 16  # most unsent released jobs of a class; aged and other jobs are counted apart
+    aged_share: float = 0.5  # share of its latency objective after which a ready job counts as aged
     max_jobs: int = 100_000
-    max_dependencies: int = 500  # conditions of one job; a group is one
-    max_steps_per_event: int = 100  # jobs that one event moves at most; the rest follows at the next tick
+    max_dependencies: int = 500  # of one job; a batch counts as one
+    max_steps_per_event: int = 100  # the remaining steps follow at the next tick
 
     def __post_init__(self) -> None:
         if (
@@ -73,14 +76,17 @@
             or self.max_dependencies < 0
             or self.max_steps_per_event < 1
         ):
-            raise ValueError(f"{self} has a figure out of range")
+            raise ValueError(f"a value is out of range in {self}")
         if not 0 <= self.aged_share <= 1:
-            raise ValueError(f"ripe must be from 0 to 1, not {self.aged_share!r}")
+            raise ValueError(f"aged_share must be from 0 to 1, not {self.aged_share!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class Dependency:
-    """A condition on another job or group; `done` tells how that one ended, where it had ended before."""
+    """A condition on the end of another job or batch.
+
+    `done` is None unless that one ended before the submission; then it says whether it was successful.
+    """
 
     job: str
     condition: Condition = Condition.DONE
@@ -89,17 +95,18 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """A job as it comes to the room.
+    """A job as it is submitted to the queue.
 
-    `age_ms` is how long it had been ready before a restart, `sent` that it may have run before that one.
-    A direct job asks for no waiting: it goes on at once, and its refusal is final.
+    After a restart, `age_ms` is how long the job had been ready before and `sent` whether it may have run.
+    A `direct` job asks for no queueing: it is released as soon as nothing blocks it, and a refusal
+    ends it.
     """
 
     job: str
     job_class: int
     latency_objective_ms: float
     dependencies: tuple[Dependency, ...] = ()
-    any_of: bool = False  # one condition is enough
+    any_of: bool = False  # one met dependency is enough
     start_unix_ms: float | None = None
     deadline_unix_ms: float | None = None
     held: bool = False
@@ -111,32 +118,36 @@
 
 @dataclass(frozen=True, slots=True)
 class JobsSubmitted:
-    """Jobs come in, all or none. With an `intake` none goes on before that one is `Opened`."""
+    """Jobs are submitted, all or none.
+
+    With an `unrecorded_batch`, none of them becomes ready before `BatchRecorded` for that batch.
+    """
 
     jobs: tuple[JobSpec, ...]
     unrecorded_batch: str | None = None
-    restored: bool = False  # taken whatever the limits say: they were acknowledged
+    restored: bool = False  # the limits don't apply: these jobs were acknowledged before a restart
 
 
 @dataclass(frozen=True, slots=True)
 class BatchRecorded:
-    """All jobs of an intake are recorded: they wait like others from now on."""
+    """All jobs of a batch are recorded: from now on they wait as other jobs do."""
 
     batch: str
 
 
 @dataclass(frozen=True, slots=True)
 class BatchDiscarded:
-    """An intake came to nothing: its jobs were never acknowledged."""
+    """A batch could not be recorded completely: its jobs were never acknowledged."""
 
     batch: str
 
 
 @dataclass(frozen=True, slots=True)
 class BatchAdded:
-    """Jobs come that belong together, with this name as their intake; others may wait for the end of all.
+    """Announces a batch, whose jobs follow; other jobs may depend on the end of the whole batch.
 
-    At most so many of them are out of the room at a time. `failed`: one has ended before, and not as done.
+    At most `max_parallel` of its jobs are released or sent at a time. After a restart, `failed` says that one
+    of its jobs ended unsuccessfully before.
     """
 
     batch: str
@@ -146,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldChanged:
-    """A hold is put on a job that no server has been sent, or lifted."""
+    """A job that is not sent yet is held, or its hold is lifted."""
 
     job: str
     held: bool
@@ -154,14 +165,17 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSent:
-    """A released job's first byte goes to a server."""
+    """The first byte of a released job is being sent to a worker."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class JobReturned:
-    """A released job comes back: it was refused or withdrawn and has not run."""
+    """A released job comes back to the queue: it was refused or withdrawn and has not run.
+
+    `pause_ms` is the advised time until the next try.
+    """
 
     job: str
     pause_ms: float = 0.0
@@ -169,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobEnded:
-    """A job has its final state, by other ways than the room's own `End`."""
+    """A job has reached its final state otherwise than by an `EndJob` of the queue."""
 
     job: str
     done: bool
@@ -177,14 +191,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TerminationRequested:
-    """A job that is not out of the room is not wanted any more."""
+    """A client asks to terminate a job that is neither released nor sent."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class ClassAvailabilityChanged:
-    """Whether a class has a server that takes work."""
+    """Whether a worker is available for a job class has changed."""
 
     job_class: int
     available: bool
@@ -192,14 +206,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WallClockOffset:
-    """Unix time is the monotonic time and so much, in milliseconds."""
+    """Unix time minus monotonic time, in milliseconds."""
 
     offset_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The time that a `Wake` asked for has come."""
+    """The time of a `ScheduleTick` has come."""
 
 
 Event = (
@@ -220,7 +234,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseJob:
-    """Let a job into the engine; an aged one goes before all that are not."""
+    """Pass a job to the engine; an aged one goes before all that are not."""
 
     job: str
     aged: bool
@@ -228,14 +242,18 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawJob:
-    """Take a released job back if no server has been sent it: then `Returned` follows, else nothing."""
+    """Take a released job back from the engine if it is not sent yet; only then `JobReturned` follows."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndJob:
-    """A job ends as not run. `of` is the job whose end did it, `root` the one that began the chain."""
+    """End a job that has not run.
+
+    With `EndCause.DEPENDENCY`, `dependency` is the job or batch whose end caused it, and `root_job` the first
+    job of the chain of dependencies that ended.
+    """
 
     job: str
     cause: EndCause
@@ -245,14 +263,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordReadyTime:
-    """Nothing holds a job any more but its turn; its age counts from now, after a restart too."""
+    """Record that a job became ready now: its age counts from this time, also after a restart."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduleTick:
-    """Feed a `Tick` at or after a time of the monotonic clock."""
+    """Send a `Tick` event at or after `at_ms` of the monotonic clock."""
 
     at_ms: float
 
@@ -262,19 +280,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitStatus:
-    """Why a job waits: what a console shows. Times are milliseconds, Unix ones where they say so."""
+    """Why a job waits, as a console shows it. Times are milliseconds; `_unix_ms` marks Unix time."""
 
     stage: JobStage
     held: bool = False
-    waiting_for: tuple[str, ...] = ()  # those that have not ended, the first few
-    more_waiting_for: int = 0  # beyond those
+    waiting_for: tuple[str, ...] = ()  # unfinished dependencies, the first few
+    more_waiting_for: int = 0  # number of further unfinished dependencies
     any_of: bool = False
     start_unix_ms: float | None = None
     deadline_unix_ms: float | None = None
     age_ms: float = 0.0  # since it became ready
     latency_objective_ms: float = 0.0
-    jobs_ahead: int | None = None  # ready jobs of its lane that are to go before it
+    jobs_ahead: int | None = (
+        None  # ready jobs of its class that are released before it; None if it is not ready
+    )
     batch_full: bool = False
     class_unavailable: bool = False
-    retry_in_ms: float = 0.0  # until it is tried again
-    send_rate_per_s: float = 0.0  # at which its lane's jobs have gone lately
+    retry_in_ms: float = 0.0  # until it is tried again after a refusal
+    send_rate_per_s: float = 0.0  # recent rate at which jobs of its class were sent
--- a/grebestack/jobs/batch_intake.py
+++ b/grebestack/jobs/batch_intake.py
@@ -97,7 +97,7 @@
 
     def _room_for(self, count: int) -> None:
         if len(self.service.job_queue) + count > self.service.limits.max_queued:
-            what = f"no more than {self.service.limits.max_queued} jobs can wait"
+            what = f"the job queue is full: it takes at most {self.service.limits.max_queued} jobs"
             raise JobError(JobErrorKind.LATER, what, self.service.drain_ms())
 
     def _each(
--- a/grebestack/jobs/service.py
+++ b/grebestack/jobs/service.py
@@ -249,7 +249,7 @@
         kinds = {server.entry.kind for name, server in table.workers.items() if table.accepts_work(name)}
         for index, job_class in enumerate(self.settings.classes):
             is_open = bool(kinds) if job_class.kind == -1 else job_class.kind in kinds
-            if is_open != self.job_queue.class_queues[index].open:
+            if is_open != self.job_queue.class_queues[index].available:
                 if len(self.job_queue):
                     log.info("lane", extra={"kv": {"job_class": job_class.name, "open": is_open}})
                 self.handle_event(queue_api.ClassAvailabilityChanged(index, is_open))
@@ -426,7 +426,7 @@
 
     def drain_ms(self) -> float:
         """When there may be room again: about when a hundredth of those that wait have gone."""
-        gaps = [lane.gap_ms for lane in self.job_queue.class_queues if lane.gap_ms > 0]
+        gaps = [lane.mean_gap_ms for lane in self.job_queue.class_queues if lane.mean_gap_ms > 0]
         return min(60_000.0, max(1000.0, (min(gaps) if gaps else 10.0) * len(self.job_queue) / 100.0))
 
     def submit(self, submission: str, new: NewJob, crowded: bool = False) -> tuple[Job, bool]:
--- a/tests/test_job_queue_program.py
+++ b/tests/test_job_queue_program.py
@@ -116,7 +116,7 @@
     wrong = client.ask("POST", "/bulk", bulk | {"endIndex": 1}, Idempotency_Key="k")
     assert wrong[0] == 400 and "endIndex: 1 is below beginIndex" in wrong[1]["message"]
     circle = client.ask("POST", "/graph", {"jobs": {"a": after("b"), "b": after("a")}}, Idempotency_Key="c")
-    assert circle[0] == 400 and "jobs wait for each other: " in circle[1]["message"]
+    assert circle[0] == 400 and "cyclic dependency: " in circle[1]["message"]
 
 
 def test_the_schema_is_served(world: World) -> None:
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -286,7 +286,7 @@
     assert set(room.wait_status(last).waiting_for) <= {first, old}
     ages = {name: setting.clock.now - room.graph.nodes[name].ready_ms for name in (old, young)}
     assert 4000.0 < ages[old] < 4700.0 and ages[young] < 700.0
-    assert room.graph.nodes[old].due < room.graph.nodes[young].due
+    assert room.graph.nodes[old].due_ms < room.graph.nodes[young].due_ms
     for _ in range(6):
         for name in [n for n in setting.sent_jobs() if n not in setting.ends]:
             setting.end(name)
@@ -331,7 +331,7 @@
             "(a -> b -> a)|(b -> a -> b)",
         ),
         ({"a": ORDER | {"implementationSpecific": {"after": ["zz"]}}}, "no job zz"),
-        (20_001, "no more than 20000"),
+        (20_001, "at most 20000 jobs"),
     ):
         failed = setting.many("k", jobs)
         assert isinstance(failed, JobError)
