--- a/grebestack/jobs/earlier_attempts.py
+++ b/grebestack/jobs/earlier_attempts.py
@@ -1,7 +1,7 @@
-"""Whether a job that was sent before a restart may be sent again. Pure.
+"""Decides whether a job that was sent before a restart may be sent again.
 
-The store records an attempt before its first byte goes. After a crash a job may therefore count as sent that
-no worker has heard of. It looks like one whose answer was lost, and is treated as such.
+The store records an attempt before its first byte is sent. After a crash, a job may therefore count as sent
+although no worker has received it. It can't be told from a job whose response was lost, and is treated alike.
 """
 
 from __future__ import annotations
@@ -11,23 +11,22 @@
 
 from grebestack.core.api import Effect, Group, JobClass, Settings
 
-RETRY_MARGIN_S = (
-    0.2  # between the last moment for a retry and the end of the window: the process may be held up
-)
+# Between the last moment for a retry and the end of its window, since the process may be delayed.
+RETRY_MARGIN_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class EarlierAttempts:
-    """The attempts of one job before a restart that are not proven never to have run.
+    """The attempts of one job before a restart, except those that are proven never to have run.
 
     Parameters
     ----------
     worker
-        Where it was sent last.
+        The worker of the latest attempt.
     first_sent_s
-        The Unix time of the first one.
+        The Unix time of the first attempt.
     count
-        How many there are.
+        The number of attempts.
     """
 
     worker: str
@@ -37,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryLimit:
-    """The bounds of a job that is sent again after a restart.
+    """The limits for sending a job again after a restart.
 
     Parameters
     ----------
     until_s
-        The Unix time after which it is not sent any more; infinity where nothing limits it.
+        The Unix time after which it is not sent any more; infinity if there is no such limit.
     attempts
-        How many further attempts are allowed.
+        The number of further attempts that are allowed.
     """
 
     until_s: float
@@ -52,10 +51,11 @@
 
 
 def retry_limit(job_class: JobClass, settings: Settings, earlier: EarlierAttempts) -> RetryLimit | None:
-    """Return the bounds of a retry, or None if the job must not be sent again.
+    """Return the limits of a retry, or None if the job must not be sent again.
 
-    Its earlier attempt must be given up first, which the settings have to allow. Where an idempotency key is
-    recognised by a group of workers only, the group of the earlier attempts is not known any more.
+    The worker must give up the earlier attempt first, which the `cancel` setting has to allow. A job class
+    whose idempotency key is recognised only within a group of workers is not retried, because after a restart
+    the group of the earlier attempts is not known.
     """
     attempts = settings.max_attempts - earlier.count
     if attempts < 1 or not settings.cancel:
--- a/grebestack/jobs/records.py
+++ b/grebestack/jobs/records.py
@@ -1,4 +1,4 @@
-"""What is kept of a job, and what the fronts and the job service hand each other."""
+"""The records of jobs and batches, and the types that API servers and the job service exchange."""
 
 from __future__ import annotations
 
@@ -13,56 +13,56 @@
 
 
 class JobState(StrEnum):
-    """The states of DRMAA2 that a job here can be in."""
+    """The DRMAA2 job states that are used here."""
 
-    UNDETERMINED = "UNDETERMINED"  # sent before a restart: it may have run, and nothing has been heard since
+    UNDETERMINED = "UNDETERMINED"  # sent before a restart: it may have run, its outcome is not known yet
     QUEUED = "QUEUED"
     QUEUED_HELD = "QUEUED_HELD"
     RUNNING = "RUNNING"
-    REQUEUED = "REQUEUED"  # a server was sent it and it has not run
+    REQUEUED = "REQUEUED"  # it was sent to a worker and has not run
     REQUEUED_HELD = "REQUEUED_HELD"
     DONE = "DONE"
     FAILED = "FAILED"
 
     @property
     def terminated(self) -> bool:
-        """Whether it is final."""
+        """Whether the state is final."""
         return self in (JobState.DONE, JobState.FAILED)
 
     @property
     def held(self) -> bool:
-        """Whether a hold is on it."""
+        """Whether the job is held."""
         return self in (JobState.QUEUED_HELD, JobState.REQUEUED_HELD)
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """A job as it is recorded; times are Unix seconds."""
+    """A job as it is stored; times are Unix seconds."""
 
     id: str
     submission: str  # the client's key: the same key is the same job
-    template: str  # as it came, in a canonical form
+    template: str  # the client's job template in canonical form
     category: str
     state: JobState
     submitted: float
-    deadline: float  # NO_DEADLINE: none
+    deadline: float  # NO_DEADLINE if it has none
     finished: float | None = None
     result: bytes | None = None
     annotation: str = ""
-    retry_after: float | None = None  # refused: when to come back, in seconds
-    direct: bool = True  # it asks for no waiting: refused is refused
+    retry_after: float | None = None  # for a refused job: seconds after which it may be submitted again
+    direct: bool = True  # it asks for no queueing: a refusal ends it
     start: float | None = None
-    wanted: float = 0.0  # seconds from when nothing holds it but its turn, priority counted in
-    any_of: bool = False  # one condition is enough
-    ready: float | None = None  # since when its age counts
-    batch: str | None = None  # what it was submitted with
-    number: int | None = None  # its place there
-    label: str = ""  # its name there
+    wanted: float = 0.0  # latency objective in seconds from `ready`, scaled by the priority
+    any_of: bool = False  # one met dependency is enough
+    ready: float | None = None  # when it became ready: its age counts from then
+    batch: str | None = None  # the batch that it belongs to
+    number: int | None = None  # its index in the batch
+    label: str = ""  # its name in the batch
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptRecord:
-    """A recorded dispatch."""
+    """A recorded attempt."""
 
     worker: str
     sent_s: float
@@ -72,7 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Jobs that were submitted together, all or none. At most `most` are out of the room at a time."""
+    """Jobs that were submitted together, all or none.
+
+    At most `max_parallel` of them are released or sent at a time; None: no limit.
+    """
 
     id: str
     submission: str
@@ -81,12 +84,12 @@
     is_array: bool
     max_parallel: int | None = None
     complete: bool = False
-    removed_failures: int = 0  # of its jobs that are forgotten
+    removed_failures: int = 0  # failed jobs whose records are removed
 
 
 @dataclass(frozen=True, slots=True)
 class JobRequest:
-    """What the engine is asked to do for a job."""
+    """The request to the engine that runs a job."""
 
     job_class: int
     payload: Payload
@@ -96,15 +99,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NewJob:
-    """A job as a front hands it in; times are Unix seconds, `wanted` seconds.
+    """A job as an API server submits it; times are Unix seconds.
 
-    `after` names jobs, batches or, within one submission, labels.
+    `dependencies` names jobs, batches or, within one submission, labels.
     """
 
     template: str
     category: str
     job_class: int
-    may_wait: bool = False  # it may wait: refused, it is put back
+    may_wait: bool = False  # after a refusal it goes back to the job queue
     start: float | None = None
     deadline: float | None = None
     latency_objective_s: float | None = None
@@ -116,14 +119,14 @@
 
 
 class RequestBuilder(Protocol):
-    """A front's way from a recorded template to what a server is sent."""
+    """Builds the requests of stored jobs; implemented by the API server, which knows the template format."""
 
     def build_request(self, job: Job) -> JobRequest:
-        """What to do; JobError if the template can't be used any more."""
+        """Return the request of a job; raises JobError if the template can't be used any more."""
 
 
 class JobErrorKind(Enum):
-    """What is wrong with a call."""
+    """Why a call is rejected."""
 
     INVALID = "invalid"
     UNKNOWN = "unknown"
@@ -134,7 +137,7 @@
 
 
 class JobError(Exception):
-    """A call that the job service turns down; nothing has changed."""
+    """The job service rejects a call; nothing has changed."""
 
     def __init__(self, kind: JobErrorKind, message: str, retry_after_ms: float | None = None) -> None:
         super().__init__(message)
@@ -143,13 +146,13 @@
 
 @dataclass(frozen=True, slots=True)
 class JobLimits:
-    """What an operator's file says of jobs; times are in seconds.
+    """Limits from the operator's file.
 
-    `wanted` is by class: how long a job may wait once nothing holds it but its turn.
+    `latency_objectives_s` gives for each class how long a job should wait at most once it is ready.
     """
 
     latency_objectives_s: tuple[float, ...]
-    max_direct: int = 1000  # jobs that ask for no waiting
+    max_direct: int = 1000  # open direct jobs
     max_queued: int = 100_000
     max_dependencies: int = 500
     max_batch_size: int = 100_000
--- a/grebestack/jobs/service.py
+++ b/grebestack/jobs/service.py
@@ -20,7 +20,7 @@
 from grebestack.job_queue.interface import Condition, Dependency, JobSpec
 from grebestack.job_queue.job_queue import JobQueue
 from grebestack.jobs.batch_intake import BatchIntake
-from grebestack.jobs.descriptions import annotation, in_words
+from grebestack.jobs.descriptions import describe_wait, end_annotation
 from grebestack.jobs.earlier_attempts import RetryLimit
 from grebestack.jobs.records import (
     NO_DEADLINE,
@@ -317,7 +317,7 @@
             with self.store.transaction():
                 now = self.wall_clock()
                 for end in ends:
-                    note = annotation(end, may_have_run=end.job in self.retries)
+                    note = end_annotation(end, may_have_run=end.job in self.retries)
                     self.store.finish(end.job, JobState.FAILED, now, annotation=note)
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"ends": len(ends), "error": error}})
@@ -343,11 +343,11 @@
             elif self.job_queue.is_active(name):
                 found = Dependency(name, condition)
             else:
-                found = Dependency(name, condition, self.how_ended(name))
+                found = Dependency(name, condition, self.ended_as_done(name))
             edges[name, condition] = found
         return tuple(edges.values())
 
-    def how_ended(self, name: str) -> bool:
+    def ended_as_done(self, name: str) -> bool:
         """Whether a job or batch that the room does not know any more was done."""
         job = self.store.get(name)
         if job is not None:
@@ -416,15 +416,15 @@
             sent,
         )
 
-    def check_room(self, specs: Sequence[JobSpec]) -> list[JobSpec]:
+    def check_and_sort(self, specs: Sequence[JobSpec]) -> list[JobSpec]:
         try:
             return self.job_queue.check_and_sort(specs)
         except queue_api.SubmissionError as error:
             if error.queue_full:
-                raise JobError(JobErrorKind.LATER, str(error), self.drain_ms()) from error
+                raise JobError(JobErrorKind.LATER, str(error), self.estimated_wait_ms()) from error
             raise JobError(JobErrorKind.INVALID, str(error)) from error
 
-    def drain_ms(self) -> float:
+    def estimated_wait_ms(self) -> float:
         """When there may be room again: about when a hundredth of those that wait have gone."""
         gaps = [lane.mean_gap_ms for lane in self.job_queue.class_queues if lane.mean_gap_ms > 0]
         return min(60_000.0, max(1000.0, (min(gaps) if gaps else 10.0) * len(self.job_queue) / 100.0))
@@ -444,7 +444,7 @@
         if self.stopping or crowded or (not new.may_wait and len(self.direct) >= self.limits.max_direct):
             raise JobError(JobErrorKind.LATER, "no more jobs are taken now", 1000.0)
         job, spec = self.make_job(new, uuid.uuid4().hex, submission, {})
-        self.check_room([spec])
+        self.check_and_sort([spec])
         try:
             self.store.add(job, [(job.id, edge.job, edge.condition, edge.done) for edge in spec.dependencies])
         except sqlite3.Error as error:
@@ -519,7 +519,7 @@
             why = self.job_queue.wait_status(job_id)
         except KeyError:
             return ""
-        return in_words(why, self.job_queue.unix_ms)
+        return describe_wait(why, self.job_queue.unix_ms)
 
     # Submissions of several jobs, and jobs of before a restart.
 
--- a/grebestack/jobs/store.py
+++ b/grebestack/jobs/store.py
@@ -1,4 +1,4 @@
-"""The jobs of one dispatcher in a sqlite file: written before a job is acknowledged or a dispatch goes."""
+"""Stores the jobs of one dispatcher in an SQLite file, before a job is acknowledged or an attempt is sent."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from grebestack.jobs.records import AttemptRecord, Batch, Job, JobState
 
 VERSION = 2
-# What each version adds to the one before; a new file gets all, an older one what it lacks.
+# The changes of each schema version; a new file gets all of them, an older one those that it lacks.
 MIGRATIONS = (
     """
     CREATE TABLE IF NOT EXISTS jobs (
@@ -71,7 +71,7 @@
     );
     """,
 )
-OPEN = "state NOT IN ('DONE', 'FAILED')"
+NOT_ENDED = "state NOT IN ('DONE', 'FAILED')"
 FIELDS = (
     "id",
     "submission",
@@ -100,33 +100,38 @@
 
 
 class StoreError(Exception):
-    """The file is none that this program can use; the text says why."""
+    """This program can't use the file; the message says why."""
 
 
 STATES = {str(state): state for state in JobState}
-row_of = attrgetter(*FIELDS)
+row_from_job = attrgetter(*FIELDS)
 
 
-def _job(row: tuple[Any, ...]) -> Job:
+def _job_from_row(row: tuple[Any, ...]) -> Job:
     state, direct, any_of = STATES[row[4]], bool(row[11]), bool(row[14])
     values: list[Any] = [*row[:4], state, *row[5:11], direct, *row[12:14], any_of, *row[15:]]
     return Job(*values)
 
 
 class JobStore:
-    """One dispatcher's jobs. The file is locked: two dispatchers on one file would run its jobs twice."""
+    """The stored jobs of one dispatcher.
+
+    The file is locked, because two dispatchers on one file would run its jobs twice.
+    """
 
     def __init__(self, path: str) -> None:
         self.db = sqlite3.connect(path, isolation_level=None, timeout=0.5)
         self.db.execute("PRAGMA locking_mode = EXCLUSIVE")
         self.db.execute("PRAGMA journal_mode = WAL")
-        self.db.execute("PRAGMA synchronous = FULL")  # what is acknowledged outlives the machine's power
+        self.db.execute("PRAGMA synchronous = FULL")  # acknowledged jobs survive a power failure
         self.db.execute("PRAGMA foreign_keys = ON")
         (version,) = self.db.execute("PRAGMA user_version").fetchone()
         if version > VERSION:
-            raise StoreError(f"{path}: made by a newer version ({version}; this one knows up to {VERSION})")
+            raise StoreError(
+                f"{path}: written by a newer version (schema {version}, this one reads up to {VERSION})"
+            )
         for number in range(version, VERSION):
-            # One transaction with the version's number: a crash leaves the file as it was.
+            # The schema and its version number change in one transaction: a crash leaves the file unchanged.
             script = f"BEGIN IMMEDIATE; {MIGRATIONS[number]} PRAGMA user_version = {number + 1}; COMMIT;"
             try:
                 self.db.executescript(script)
@@ -134,7 +139,7 @@
                 if self.db.in_transaction:
                     self.db.execute("ROLLBACK")
                 raise
-        self.db.execute("BEGIN IMMEDIATE")  # takes the lock now, not at the first job
+        self.db.execute("BEGIN IMMEDIATE")  # takes the lock now rather than at the first write
         self.db.execute("COMMIT")
 
     def close(self) -> None:
@@ -143,7 +148,7 @@
 
     @contextmanager
     def transaction(self) -> Iterator[None]:
-        """All of it or nothing, with one flush; inside another it is part of that one."""
+        """Run the block as one transaction, with one flush; a nested one is part of the outer one."""
         if self.db.in_transaction:
             yield
             return
@@ -156,44 +161,45 @@
                 self.db.execute("ROLLBACK")
             raise
 
-    # Jobs come and go.
+    # Adding and removing jobs.
 
-    def add(self, job: Job, edges: Iterable[DependencyRow] = ()) -> None:
-        """Record a job and what it waits for."""
-        self.add_all([job], edges)
+    def add(self, job: Job, dependencies: Iterable[DependencyRow] = ()) -> None:
+        """Record a job and its dependencies."""
+        self.add_all([job], dependencies)
 
-    def add_all(self, jobs: Iterable[Job], edges: Iterable[DependencyRow] = ()) -> None:
-        """Record jobs and what they wait for."""
+    def add_all(self, jobs: Iterable[Job], dependencies: Iterable[DependencyRow] = ()) -> None:
+        """Record jobs and their dependencies."""
         with self.transaction():
-            self.db.executemany(INSERT, map(row_of, jobs))
+            self.db.executemany(INSERT, map(row_from_job, jobs))
             self.db.executemany(
                 "INSERT INTO edges (job, other, condition, done) VALUES (?, ?, ?, ?)",
-                [(name, other, condition.value, done) for name, other, condition, done in edges],
+                [(name, other, condition.value, done) for name, other, condition, done in dependencies],
             )
 
-    def _remember_ends(self, where: str, *values: object) -> None:
-        """Guards those that wait for jobs whose records go: how they ended is kept with the condition."""
+    def _keep_outcomes(self, where: str, *values: object) -> None:
+        """Keep the outcomes of jobs that are about to be removed, for the jobs and batches that need them."""
         self.db.execute(
             "UPDATE edges SET done = (SELECT state = 'DONE' FROM jobs WHERE id = edges.other)"
             f" WHERE other IN (SELECT id FROM jobs WHERE {where})",
             values,
         )
-        gone = f"SELECT batch, count(*) AS n FROM jobs WHERE state = 'FAILED' AND {where} GROUP BY batch"
+        failures = f"SELECT batch, count(*) AS n FROM jobs WHERE state = 'FAILED' AND {where} GROUP BY batch"
         self.db.execute(
-            f"UPDATE batches SET failed = failed + g.n FROM ({gone}) AS g WHERE batches.id = g.batch", values
+            f"UPDATE batches SET failed = failed + g.n FROM ({failures}) AS g WHERE batches.id = g.batch",
+            values,
         )
 
     def remove(self, job_id: str) -> None:
-        """Forget a job that has ended, or that nobody was told of."""
+        """Remove a job that has ended or was never acknowledged."""
         with self.transaction():
-            self._remember_ends("id = ?", job_id)
+            self._keep_outcomes("id = ?", job_id)
             self.db.execute("DELETE FROM jobs WHERE id = ?", (job_id,))
 
     def remove_ended_before(self, finished: float) -> int:
-        """Forget jobs that were terminated before then; returns how many."""
+        """Remove jobs that ended before a Unix time, and batches left empty; return the number of jobs."""
         where = "state IN ('DONE', 'FAILED') AND finished < ?"
         with self.transaction():
-            self._remember_ends(where, finished)
+            self._keep_outcomes(where, finished)
             count = self.db.execute(f"DELETE FROM jobs WHERE {where}", (finished,)).rowcount
             empty = "submitted < ? AND NOT EXISTS (SELECT 1 FROM jobs WHERE batch = batches.id)"
             self.db.execute(
@@ -204,65 +210,67 @@
             self.db.execute(f"DELETE FROM batches WHERE {empty}", (finished,))
         return count
 
-    # What is known.
+    # Queries.
 
     def _jobs(self, where: str, *values: object) -> list[Job]:
-        return [_job(row) for row in self.db.execute(f"SELECT {COLUMNS} FROM jobs WHERE {where}", values)]
+        return [
+            _job_from_row(row) for row in self.db.execute(f"SELECT {COLUMNS} FROM jobs WHERE {where}", values)
+        ]
 
     def get(self, job_id: str) -> Job | None:
-        """The job of an id."""
+        """Return the job with this id."""
         return next(iter(self._jobs("id = ?", job_id)), None)
 
     def find_by_submission(self, submission: str) -> Job | None:
-        """The job that a client's key has made."""
+        """Return the job that was submitted with this key."""
         return next(iter(self._jobs("submission = ?", submission)), None)
 
     def open_jobs(self) -> list[Job]:
-        """The jobs that are not terminated, oldest first; without their templates, which may be many."""
+        """Return the jobs that have not ended, oldest first; without templates, which take much memory."""
         columns = ", ".join("''" if name == "template" else name for name in FIELDS)
-        rows = self.db.execute(f"SELECT {columns} FROM jobs WHERE {OPEN} ORDER BY submitted, rowid")
-        return [_job(row) for row in rows]
+        rows = self.db.execute(f"SELECT {columns} FROM jobs WHERE {NOT_ENDED} ORDER BY submitted, rowid")
+        return [_job_from_row(row) for row in rows]
 
-    def newest(self, state: str | None, most: int) -> list[tuple[str, str, str]]:
-        """The newest jobs, of one state or of all: id, category and state."""
+    def newest(self, state: str | None, limit: int) -> list[tuple[str, str, str]]:
+        """Return id, category and state of the newest jobs, of one state or of all."""
         where, values = ("1", ()) if state is None else ("state = ?", (state,))
-        chosen = f"SELECT id, category, state FROM jobs WHERE {where} ORDER BY submitted DESC LIMIT ?"
-        return self.db.execute(chosen, (*values, most)).fetchall()
+        query = f"SELECT id, category, state FROM jobs WHERE {where} ORDER BY submitted DESC LIMIT ?"
+        return self.db.execute(query, (*values, limit)).fetchall()
 
     def counts_by_state(self) -> dict[str, int]:
-        """How many jobs are in each state."""
+        """Return the number of jobs in each state."""
         return dict(self.db.execute("SELECT state, count(*) FROM jobs GROUP BY state"))
 
     def open_dependencies(self) -> list[DependencyRow]:
-        """What the jobs that are not terminated wait for, and how it ended where it has."""
+        """Return the dependencies of the jobs that have not ended, and the outcome of each that has ended."""
         rows = self.db.execute(
             "SELECT e.job, e.other, e.condition, e.done, o.state"
-            f" FROM edges e JOIN jobs j ON j.id = e.job AND j.{OPEN} LEFT JOIN jobs o ON o.id = e.other"
+            f" FROM edges e JOIN jobs j ON j.id = e.job AND j.{NOT_ENDED} LEFT JOIN jobs o ON o.id = e.other"
             " ORDER BY e.rowid"
         ).fetchall()
         conditions = {condition.value: condition for condition in Condition}
-        groups: dict[str, bool | None] = {}
-        edges = []
-        for job, other, condition, kept, state in rows:
+        batch_outcomes: dict[str, bool | None] = {}
+        dependencies = []
+        for job, other, condition, recorded_done, state in rows:
             if state is not None:
                 done = state == "DONE" if STATES[state].terminated else None
-            elif kept is not None:
-                done = bool(kept)
+            elif recorded_done is not None:
+                done = bool(recorded_done)
             else:  # a batch
-                if other not in groups:
-                    groups[other] = self.is_batch_done(other)
-                done = groups[other]
-            edges.append((job, other, conditions[condition], done))
-        return edges
+                if other not in batch_outcomes:
+                    batch_outcomes[other] = self.is_batch_done(other)
+                done = batch_outcomes[other]
+            dependencies.append((job, other, conditions[condition], done))
+        return dependencies
 
     # States and ends.
 
     def set_state(self, job_id: str, state: JobState) -> None:
-        """Move a job that is not terminated to another state."""
-        self.db.execute(f"UPDATE jobs SET state = ? WHERE id = ? AND {OPEN}", (state, job_id))
+        """Set the state of a job that has not ended."""
+        self.db.execute(f"UPDATE jobs SET state = ? WHERE id = ? AND {NOT_ENDED}", (state, job_id))
 
     def set_ready_times(self, rows: Iterable[tuple[float | None, str]]) -> None:
-        """Record since when the ages of jobs count."""
+        """Record when jobs became ready: their ages count from then."""
         with self.transaction():
             self.db.executemany("UPDATE jobs SET ready = ? WHERE id = ?", rows)
 
@@ -276,52 +284,57 @@
         annotation: str = "",
         retry_after: float | None = None,
     ) -> bool:
-        """Terminate a job; False if it was terminated already: there is one final state, the first."""
+        """Set the final state of a job; returns False if it has one already, which stays."""
         changed = self.db.execute(
             "UPDATE jobs SET state = ?, finished = ?, result = ?, annotation = ?, retry_after = ?"
-            f" WHERE id = ? AND {OPEN}",
+            f" WHERE id = ? AND {NOT_ENDED}",
             (state, finished, result, annotation, retry_after, job_id),
         )
         return changed.rowcount == 1
 
-    # Dispatches.
+    # Attempts.
 
-    def record_attempt(self, job_id: str, server: str, sent: float) -> int:
-        """Record a dispatch, whose first byte goes after this, and that the job runs; returns its row."""
+    def record_attempt(self, job_id: str, worker: str, sent_s: float) -> int:
+        """Record an attempt and that the job runs, before the first byte is sent; return its row."""
         with self.transaction():
             row = self.db.execute(
-                "INSERT INTO dispatches (job, server, sent) VALUES (?, ?, ?)", (job_id, server, sent)
+                "INSERT INTO dispatches (job, server, sent) VALUES (?, ?, ?)", (job_id, worker, sent_s)
             ).lastrowid
             self.set_state(job_id, JobState.RUNNING)
         assert row is not None
         return row
 
     def attempts(self, job_id: str) -> list[AttemptRecord]:
-        """A job's dispatches, in order."""
+        """Return the attempts of a job, in order."""
         rows = self.db.execute(
             "SELECT server, sent, outcome, never_ran FROM dispatches WHERE job = ? ORDER BY rowid", (job_id,)
         )
-        return [AttemptRecord(server, sent, outcome, bool(never)) for server, sent, outcome, never in rows]
+        return [
+            AttemptRecord(worker, sent_s, outcome, bool(never_ran))
+            for worker, sent_s, outcome, never_ran in rows
+        ]
 
     def earlier_attempts(self) -> dict[str, EarlierAttempts]:
-        """Return the attempts that may have run of the jobs that are not terminated."""
+        """Return the attempts that may have run, of the jobs that have not ended."""
         rows = self.db.execute(
             "SELECT d.job, min(d.sent), count(*), (SELECT last.server FROM dispatches last"
             " WHERE last.job = d.job AND NOT last.never_ran ORDER BY last.rowid DESC LIMIT 1)"
-            f" FROM dispatches d JOIN jobs j ON j.id = d.job AND j.{OPEN}"
+            f" FROM dispatches d JOIN jobs j ON j.id = d.job AND j.{NOT_ENDED}"
             " WHERE NOT d.never_ran GROUP BY d.job"
         )
-        return {job: EarlierAttempts(server, sent, count) for job, sent, count, server in rows}
+        return {
+            job: EarlierAttempts(worker, first_sent_s, count) for job, first_sent_s, count, worker in rows
+        }
 
     def record_attempt_ends(self, rows: Iterable[tuple[str, bool, int]]) -> None:
-        """Record how dispatches ended: outcome, whether it proves that it never ran, and the row."""
+        """Record the ends of attempts: outcome, whether it proves that the job never ran, and row."""
         with self.transaction():
             self.db.executemany("UPDATE dispatches SET outcome = ?, never_ran = ? WHERE rowid = ?", rows)
 
     # Batches.
 
     def add_batch(self, batch: Batch) -> None:
-        """Record that jobs come together; none counts before the batch is complete."""
+        """Record a batch; its jobs don't count before it is complete."""
         self.db.execute(
             f"INSERT INTO batches ({BATCH_COLUMNS}) VALUES (?,?,?,?,?,?,?,?)",
             (
@@ -337,37 +350,41 @@
         )
 
     def mark_batch_complete(self, batch_id: str) -> None:
-        """All jobs of a batch are recorded."""
+        """Record that all jobs of a batch are stored."""
         self.db.execute("UPDATE batches SET complete = 1 WHERE id = ?", (batch_id,))
 
     def delete_batches(self, where: str = "complete = 0", *values: object) -> None:
-        """Forget batches that were never acknowledged, with their jobs."""
+        """Delete batches that were never acknowledged, with their jobs."""
         with self.transaction():
-            chosen = f"SELECT id FROM batches WHERE {where}"
-            self.db.execute(f"DELETE FROM jobs WHERE batch IN ({chosen})", values)
+            query = f"SELECT id FROM batches WHERE {where}"
+            self.db.execute(f"DELETE FROM jobs WHERE batch IN ({query})", values)
             self.db.execute(f"DELETE FROM batches WHERE {where}", values)
 
     def find_batch(self, column: str, value: str) -> Batch | None:
-        """The batch of an `id` or of a `submission`."""
-        chosen = f"SELECT {BATCH_COLUMNS} FROM batches WHERE {column} = ?"
-        row = self.db.execute(chosen, (value,)).fetchone()
+        """Return the batch with this `id` or `submission` key; `column` says which."""
+        query = f"SELECT {BATCH_COLUMNS} FROM batches WHERE {column} = ?"
+        row = self.db.execute(query, (value,)).fetchone()
         if row is None:
             return None
-        name, submission, template, submitted, array, most, complete, failed = row
-        return Batch(name, submission, template, submitted, bool(array), most, bool(complete), failed)
+        name, submission, template, submitted, is_array, max_parallel, complete, failed = row
+        return Batch(
+            name, submission, template, submitted, bool(is_array), max_parallel, bool(complete), failed
+        )
 
-    def batch_members(self, batch_id: str, most: int = -1, beyond: int = -1) -> list[tuple[str, int, str]]:
-        """The jobs of a batch in their order, some or all, beyond a number: id, number and label."""
-        chosen = "SELECT id, number, label FROM jobs WHERE batch = ? AND number > ? ORDER BY number LIMIT ?"
-        return self.db.execute(chosen, (batch_id, beyond, most)).fetchall()
+    def batch_members(
+        self, batch_id: str, limit: int = -1, after_number: int = -1
+    ) -> list[tuple[str, int, str]]:
+        """Return id, number and label of the jobs of a batch with a number above `after_number`, in order."""
+        query = "SELECT id, number, label FROM jobs WHERE batch = ? AND number > ? ORDER BY number LIMIT ?"
+        return self.db.execute(query, (batch_id, after_number, limit)).fetchall()
 
     def batch_state_counts(self, batch_id: str) -> dict[str, int]:
-        """How many jobs of a batch are in each state."""
-        chosen = "SELECT state, count(*) FROM jobs WHERE batch = ? GROUP BY state"
-        return dict(self.db.execute(chosen, (batch_id,)))
+        """Return the number of jobs of a batch in each state."""
+        query = "SELECT state, count(*) FROM jobs WHERE batch = ? GROUP BY state"
+        return dict(self.db.execute(query, (batch_id,)))
 
     def is_batch_done(self, batch_id: str) -> bool | None:
-        """How a batch ended: done if all its jobs are. None: some have not ended. False: it is unknown."""
+        """Return whether all jobs of a batch are done; None if some have not ended, False if unknown."""
         batch = self.find_batch("id", batch_id)
         if batch is None:
             return False
@@ -377,20 +394,22 @@
         return batch.removed_failures == 0 and JobState.FAILED not in states
 
     def open_batches(self) -> list[tuple[str, int | None, bool]]:
-        """The batches with jobs that are not terminated: id, most at a time, whether one has failed."""
+        """Return id, max_parallel and whether a job has failed, of the batches with unfinished jobs."""
         rows = self.db.execute(
             "SELECT id, most, failed OR EXISTS (SELECT 1 FROM jobs WHERE batch = b.id AND state = 'FAILED')"
-            f" FROM batches b WHERE EXISTS (SELECT 1 FROM jobs WHERE batch = b.id AND {OPEN})"
+            f" FROM batches b WHERE EXISTS (SELECT 1 FROM jobs WHERE batch = b.id AND {NOT_ENDED})"
         )
-        return [(name, most, bool(failed)) for name, most, failed in rows]
+        return [(name, max_parallel, bool(failed)) for name, max_parallel, failed in rows]
 
-    # The operator's drains.
+    # Workers drained by the operator.
 
     def drained_workers(self) -> set[str]:
-        """The servers that the operator drains."""
-        return {server for (server,) in self.db.execute("SELECT server FROM drains")}
+        """Return the workers that the operator drains."""
+        return {worker for (worker,) in self.db.execute("SELECT server FROM drains")}
 
-    def set_drained(self, server: str, on: bool) -> None:
-        """Record that the operator drains a server, or does no longer."""
-        statement = "INSERT OR IGNORE INTO drains VALUES (?)" if on else "DELETE FROM drains WHERE server = ?"
-        self.db.execute(statement, (server,))
+    def set_drained(self, worker: str, drained: bool) -> None:
+        """Record that the operator drains a worker, or no longer."""
+        statement = (
+            "INSERT OR IGNORE INTO drains VALUES (?)" if drained else "DELETE FROM drains WHERE server = ?"
+        )
+        self.db.execute(statement, (worker,))
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -87,9 +87,9 @@
         self._check()
         super().add_all(jobs, edges)
 
-    def record_attempt(self, job_id: str, server: str, sent: float) -> int:
+    def record_attempt(self, job_id: str, worker: str, sent_s: float) -> int:
         self._check()
-        return super().record_attempt(job_id, server, sent)
+        return super().record_attempt(job_id, worker, sent_s)
 
     def finish(self, job_id: str, state: JobState, finished: float, **more: Any) -> bool:
         self._check()
