--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -125,11 +125,11 @@
             feed(event)
             self.longest_ms = max(self.longest_ms, (time.perf_counter() - start) * 1000.0)
 
-        note_age = service._note_age
+        defer_ready_time = service._defer_ready_time
 
         def noted(job_id: str, ready: float | None) -> None:
             self.ready[job_id] = clock.now
-            note_age(job_id, ready)
+            defer_ready_time(job_id, ready)
 
         def ended(job: Job) -> None:
             assert job.id not in self.ends, "ended twice"
@@ -138,7 +138,7 @@
                 self.end_stretches.append((clock.now - self.ready[job.id]) / self.wanted[job.id])
 
         service.handle_event = told  # type: ignore[method-assign]
-        service._note_age = noted  # type: ignore[method-assign]
+        service._defer_ready_time = noted  # type: ignore[method-assign]
         service.on_job_ended = ended
 
 
--- a/grebestack/jobs/recovery.py
+++ b/grebestack/jobs/recovery.py
@@ -1,4 +1,4 @@
-"""The jobs of before a restart: which go on, which are waited for, and which are sent again."""
+"""Restores the stored jobs after a restart: which are queued, which are awaited, and which are sent again."""
 
 from __future__ import annotations
 
@@ -19,138 +19,150 @@
     from grebestack.jobs.service import JobService
 
 log = logging.getLogger(__name__)
-ASK_BACK_AGAIN_MS = 100.0  # between looks whether the server of a job of before a restart is listed
+WORKER_LOOKUP_INTERVAL_MS = 100.0  # until it is checked again whether the worker is listed
 
 
 class JobRecovery:
-    """Takes up the jobs that a job service finds in its store."""
+    """Restores the jobs that a job service finds in its store."""
 
     def __init__(self, service: JobService) -> None:
-        """Take them up for this service."""
+        """Restore jobs for `service`."""
         self.service = service
 
     def restore(self) -> None:
-        """Take up the jobs of before a restart, with their places.
+        """Restore the jobs from before a restart with their ages, and so their places in the queue.
 
-        One that may have run is sent again only where that is harmless, and once its server has given it up.
+        A job that may have run is sent again only if that is harmless, and after its worker has given it up.
         """
-        collects = gc.isenabled()
-        gc.disable()  # it would walk all that is made here again and again, and find nothing
+        gc_was_enabled = gc.isenabled()
+        gc.disable()  # repeated collections would traverse all new objects and free nothing
         try:
             self._restore()
         finally:
-            if collects:
+            if gc_was_enabled:
                 gc.enable()
 
     def _restore(self) -> None:
         service = self.service
         service.store.delete_batches()
-        edges: dict[str, list[Dependency]] = {}
-        for name, other, condition, done in service.store.open_dependencies():
-            edges.setdefault(name, []).append(Dependency(other, condition, done))
-        ran = service.store.earlier_attempts()
-        for batch, most, failed in service.store.open_batches():
-            service.handle_event(queue_api.BatchAdded(batch, most, failed))
+        dependencies: dict[str, list[Dependency]] = {}
+        for job_id, prerequisite, condition, done in service.store.open_dependencies():
+            dependencies.setdefault(job_id, []).append(Dependency(prerequisite, condition, done))
+        earlier_attempts = service.store.earlier_attempts()
+        for batch, max_parallel, failed in service.store.open_batches():
+            service.handle_event(queue_api.BatchAdded(batch, max_parallel, failed))
         now, specs = service.wall_clock(), []
         with service.store.transaction():
             for job in service.store.open_jobs():
-                earlier = ran.get(job.id)
+                earlier = earlier_attempts.get(job.id)
                 if earlier is not None:
-                    self._adopt(job, earlier)
+                    self._take_over(job, earlier)
                 elif job.state in (JobState.RUNNING, JobState.UNDETERMINED):
                     service.store.set_state(job.id, JobState.QUEUED)
                 if job.direct:
-                    service.direct.add(job.id)
-                since = None if job.ready is None else max(job.ready, job.submitted)
-                age_ms = None if since is None else max(0.0, now - since) * 1000.0
-                specs.append(service.spec_of(job, tuple(edges.get(job.id, ())), age_ms, earlier is not None))
+                    service.direct_jobs.add(job.id)
+                ready_since = None if job.ready is None else max(job.ready, job.submitted)
+                age_ms = None if ready_since is None else max(0.0, now - ready_since) * 1000.0
+                specs.append(
+                    service.spec_of(job, tuple(dependencies.get(job.id, ())), age_ms, earlier is not None)
+                )
         if specs:
-            kv = {"jobs": len(specs), "may_have_run": len(ran), "direct": len(service.direct)}
+            kv = {
+                "jobs": len(specs),
+                "may_have_run": len(earlier_attempts),
+                "direct": len(service.direct_jobs),
+            }
             log.info("jobs_restored", extra={"kv": kv})
             service.handle_event(queue_api.JobsSubmitted(tuple(specs), restored=True))
 
-    def _adopt(self, job: Job, earlier: EarlierAttempts) -> None:
-        """Guards against a second run: its call-back or its deadline ends a job that may have run.
+    def _take_over(self, job: Job, earlier: EarlierAttempts) -> None:
+        """Await the call-back of a job that may have run, so that it does not run twice.
 
-        Unless it may be sent again: then its server is told to give it up.
+        The call-back or the deadline ends it. If it may be sent again, its worker is asked to give it up.
         """
         service = self.service
-        server = earlier.worker
-        log.info("job_restored", extra={"kv": {"job": job.id, "may_have_run": True, "server": server}})
+        worker = earlier.worker
+        log.info("job_restored", extra={"kv": {"job": job.id, "may_have_run": True, "server": worker}})
         service.store.set_state(job.id, JobState.UNDETERMINED)
-        ticket = service.tickets[job.id] = ReleasedJob(service, job.id, job.direct)
-        ticket.adopted = server
-        service.servers.set_callback_handler(job.id, server, partial(self._adopted_ended, job.id))
-        if job.category in service.classes:
-            job_class = service.settings.classes[service.classes[job.category]]
+        released_job = service.released_jobs[job.id] = ReleasedJob(service, job.id, job.direct)
+        released_job.earlier_worker = worker
+        service.workers.set_callback_handler(job.id, worker, partial(self._on_earlier_attempt_ended, job.id))
+        if job.category in service.class_indices:
+            job_class = service.settings.classes[service.class_indices[job.category]]
             limit = retry_limit(job_class, service.settings, earlier)
             if limit is not None:
-                self._ask_back(job.id, limit)
+                self._request_give_up(job.id, limit)
         deadline = job.deadline
-        if deadline == NO_DEADLINE:  # its class's deadline, which counts from its release, is the latest
-            index = service.classes.get(job.category, 0)
+        if deadline == NO_DEADLINE:  # use the deadline of its class, which counts from its release
+            index = service.class_indices.get(job.category, 0)
             deadline = service.wall_clock() + service.settings.classes[index].deadline_ms / 1000.0
-        ticket.timer = service.engine.clock.call_at(
-            service.clock_ms(deadline), partial(self.on_overdue, job.id)
+        released_job.timer = service.engine.clock.call_at(
+            service.to_clock_ms(deadline), partial(self.on_overdue, job.id)
         )
 
-    def _ask_back(self, job_id: str, limit: RetryLimit) -> None:
-        """Have its server give up a job that may be sent again, once that server is listed."""
+    def _request_give_up(self, job_id: str, limit: RetryLimit) -> None:
+        """Ask the worker of a job that may be sent again to give it up, as soon as the worker is listed."""
         service = self.service
-        ticket = service.tickets.get(job_id)
-        if ticket is None or ticket.adopted is None or service.wall_clock() >= limit.until_s:
+        released_job = service.released_jobs.get(job_id)
+        if (
+            released_job is None
+            or released_job.earlier_worker is None
+            or service.wall_clock() >= limit.until_s
+        ):
             return
-        if not service.servers.abandon_job(ticket.adopted, job_id, partial(self._send_again, job_id, limit)):
-            again = partial(self._ask_back, job_id, limit)
-            service.engine.clock.call_at(service.engine.clock.now_ms() + ASK_BACK_AGAIN_MS, again)
+        if not service.workers.abandon_job(
+            released_job.earlier_worker, job_id, partial(self._retry, job_id, limit)
+        ):
+            next_try = partial(self._request_give_up, job_id, limit)
+            service.engine.clock.call_at(service.engine.clock.now_ms() + WORKER_LOOKUP_INTERVAL_MS, next_try)
 
-    def _send_again(self, job_id: str, limit: RetryLimit) -> None:
-        """A server has heard that a job of before the restart is given up: let it wait for its turn."""
+    def _retry(self, job_id: str, limit: RetryLimit) -> None:
+        """Return a job to the queue after its worker has confirmed that it gave up the earlier attempt."""
         service = self.service
-        ticket = service.tickets.get(job_id)
+        released_job = service.released_jobs.get(job_id)
         if (
-            ticket is None
-            or ticket.adopted is None
+            released_job is None
+            or released_job.earlier_worker is None
             or service.stopping
             or service.wall_clock() >= limit.until_s
         ):
             return
-        log.info("job_sent_again", extra={"kv": {"job": job_id, "server": ticket.adopted}})
-        if ticket.timer is not None:
-            ticket.timer.cancel()
-        service.servers.set_callback_handler(job_id, ticket.adopted, None)
-        service.retries[job_id] = limit
+        log.info("job_sent_again", extra={"kv": {"job": job_id, "server": released_job.earlier_worker}})
+        if released_job.timer is not None:
+            released_job.timer.cancel()
+        service.workers.set_callback_handler(job_id, released_job.earlier_worker, None)
+        service.retry_limits[job_id] = limit
         service.store.set_state(job_id, JobState.REQUEUED)
         if limit.until_s < math.inf:
             service.engine.clock.call_at(
-                service.clock_ms(limit.until_s), partial(self._retry_expired, job_id)
+                service.to_clock_ms(limit.until_s), partial(self._retry_expired, job_id)
             )
-        service.returned(ticket, 0.0)
+        service.return_to_queue(released_job, 0.0)
 
     def _retry_expired(self, job_id: str) -> None:
-        """A job may not be sent again any more: one that was not ends here."""
-        if job_id not in self.service.retries:
+        """End a job that may not be sent again any more, unless it is being sent."""
+        if job_id not in self.service.retry_limits:
             return
-        ticket = self.service.tickets.get(job_id)
-        if ticket is None or (
-            ticket.session is not None and self.service.engine.withdraw_unsent(ticket.session)
+        released_job = self.service.released_jobs.get(job_id)
+        if released_job is None or (
+            released_job.request is not None and self.service.engine.withdraw_unsent(released_job.request)
         ):
             self.on_overdue(job_id)
 
-    def _adopted_ended(self, job_id: str, outcome: Outcome, result: bytes) -> None:
+    def _on_earlier_attempt_ended(self, job_id: str, outcome: Outcome, result: bytes) -> None:
         if outcome is Outcome.OK:
             self.service.finish(job_id, JobState.DONE, result=result)
         elif outcome.never_ran:
-            note = "handed back after a restart: it has not run and may be submitted again"
-            self.service.finish(job_id, JobState.FAILED, annotation=note, retry_after=0.0)
+            annotation = "handed back after a restart: it has not run and may be submitted again"
+            self.service.finish(job_id, JobState.FAILED, annotation=annotation, retry_after=0.0)
         else:
             self.service.finish(job_id, JobState.FAILED, annotation="failed: it may have run")
 
     def on_overdue(self, job_id: str) -> None:
-        """End a job of before the restart of which nothing was heard in time."""
-        note = "nothing was heard of it by its deadline since a restart: it has perhaps run"
-        self.service.finish(job_id, JobState.FAILED, annotation=note)
+        """End a job from before the restart whose outcome did not arrive in time."""
+        annotation = "nothing was heard of it by its deadline since a restart: it has perhaps run"
+        self.service.finish(job_id, JobState.FAILED, annotation=annotation)
 
     def on_cancelled(self, job_id: str) -> None:
-        """End a job of before the restart that its server has given up as a client asked."""
+        """End a job from before the restart that its worker has given up at a client's request."""
         self.service.finish(job_id, JobState.FAILED, annotation="terminated: it may have run")
--- a/grebestack/jobs/service.py
+++ b/grebestack/jobs/service.py
@@ -1,7 +1,8 @@
-"""The job service: takes jobs, keeps their records, lets them wait and brings each to its one end.
+"""The job service: accepts jobs, stores them, queues them and brings each to exactly one final state.
 
-Fronts hand jobs in and are told of ends. The waiting room decides which job is let into the engine and when,
-the engine's decision module which server it goes to; what is here records, in time, and carries out.
+API servers submit jobs and are notified of their ends. The job queue decides which job is released to the
+engine and when; the engine's decision module decides which worker gets it. This module carries out these
+decisions, and records what must survive a crash before it acts.
 """
 
 from __future__ import annotations
@@ -40,44 +41,47 @@
 from grebestack.routing.interfaces import Timer
 
 log = logging.getLogger(__name__)
-STORE_AGAIN_MS = 1000.0  # what could not be recorded is tried again after this
-LEAST_PAUSE_MS = 50.0  # a job that was refused is tried again after this at the soonest
-WALL_MS = 1000.0  # the wall clock is read at least so often: it may be set while jobs wait
-NOTES_MS = 100.0  # what nothing hangs on is recorded together, so long after the first of it
-SERVERS_MS = 5.0  # changes of the server table are looked at together, so long after the first
-PRIORITY_DOUBLES = 50.0  # so much more priority halves the wanted time
+STORE_RETRY_MS = 1000.0  # until a failed write to the store is tried again
+MIN_PAUSE_MS = 50.0  # shortest pause before a refused job is tried again
+WALL_CLOCK_INTERVAL_MS = 1000.0  # between reads of the wall clock, which may be set while jobs wait
+RECORDING_DELAY_MS = 100.0  # uncritical records are collected for so long and written together
+AVAILABILITY_CHECK_DELAY_MS = 5.0  # changes of the worker table are collected for so long
+PRIORITY_HALVING_STEP = 50.0  # an increase of the priority that halves the latency objective
 
 
 class EarlierAttemptHandler(Protocol):
-    """What is asked of the servers' side for jobs that were sent before a restart."""
+    """What the job service needs from the worker side for jobs that were sent before a restart."""
 
     def set_callback_handler(
-        self, call_id: str, server: str, ended: Callable[[Outcome, bytes], None] | None
+        self, call_id: str, worker: str, on_ended: Callable[[Outcome, bytes], None] | None
     ) -> None:
-        """Wait for such a job's end; None: no longer."""
+        """Call `on_ended` at the end of such a job; None stops waiting for it."""
 
-    def cancel_job(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
-        """Ask a server to give a job up."""
+    def cancel_job(self, worker: str, call_id: str, on_confirmed: Callable[[], None]) -> None:
+        """Ask a worker to cancel a job; `on_confirmed` is called if it does."""
 
-    def abandon_job(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
-        """Tell a server that a job is not waited for; False if the server is not known."""
+    def abandon_job(self, worker: str, call_id: str, on_response: Callable[[], None]) -> bool:
+        """Tell a worker that nobody waits for a job; `on_response` is called once it has responded.
+
+        Returns False if the worker is not listed.
+        """
 
 
 class JobService:
-    """All jobs of one dispatcher."""
+    """The jobs of one dispatcher."""
 
     def __init__(
         self,
         engine: Engine,
-        servers: EarlierAttemptHandler,
+        workers: EarlierAttemptHandler,
         settings: Settings,
         store: JobStore,
-        codec: RequestBuilder,
+        request_builder: RequestBuilder,
         limits: JobLimits,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        self.engine, self.servers, self.settings, self.store = engine, servers, settings, store
-        self.codec, self.limits, self.wall_clock = codec, limits, wall_clock
+        self.engine, self.workers, self.settings, self.store = engine, workers, settings, store
+        self.request_builder, self.limits, self.wall_clock = request_builder, limits, wall_clock
         self.job_queue = JobQueue(
             queue_api.JobQueueSettings(
                 class_count=len(settings.classes),
@@ -87,184 +91,202 @@
                 max_dependencies=limits.max_dependencies,
             )
         )
-        self.classes = {c.name: index for index, c in enumerate(settings.classes)}
-        self.tickets: dict[str, ReleasedJob] = {}
-        self.direct: set[str] = set()  # jobs that asked for no waiting and are not terminated
-        self.retries: dict[str, RetryLimit] = {}  # jobs that are sent again after a restart
-        self.fresh: dict[str, Job] = {}  # recorded in this very call: need not be read again
-        self.on_job_ended: Callable[[Job], None] = lambda job: None  # told once of each job, after its record
+        self.class_indices = {c.name: index for index, c in enumerate(settings.classes)}
+        self.released_jobs: dict[str, ReleasedJob] = {}
+        self.direct_jobs: set[str] = set()  # direct jobs that have not ended
+        self.retry_limits: dict[str, RetryLimit] = {}  # for jobs that are sent again after a restart
+        # Recorded in the current call: these need not be read from the store.
+        self.just_submitted: dict[str, Job] = {}
+        # Called once for each job, after its end is recorded.
+        self.on_job_ended: Callable[[Job], None] = lambda job: None
         self.stopping = False
         self.counts: Counter[str] = Counter()
         self.events: deque[queue_api.Event] = deque()
-        self.feeding = False
-        self.tick: Timer | None = None
-        self.ages: dict[str, float | None] = {}  # to be recorded, together
-        self.ends: list[tuple[str, bool, int]] = []  # the same of dispatches
-        self.recording = self.looking = False
-        self.batches, self.recovery = BatchIntake(self), JobRecovery(self)
-        self._servers_changed()
-        engine.table.after_change = self._servers_soon
-        self._read_wall()
+        self.handling_events = False
+        self.tick_timer: Timer | None = None
+        self.ready_times: dict[str, float | None] = {}  # not recorded yet
+        self.attempt_ends: list[tuple[str, bool, int]] = []  # not recorded yet
+        self.recording_scheduled = self.availability_check_scheduled = False
+        self.batch_intake, self.recovery = BatchIntake(self), JobRecovery(self)
+        self._check_availability()
+        engine.table.after_change = self._schedule_availability_check
+        self._poll_wall_clock()
 
     # Time.
 
-    def clock_ms(self, unix_s: float) -> float:
-        """A Unix time on the engine's clock."""
+    def to_clock_ms(self, unix_s: float) -> float:
+        """Convert a Unix time to the engine's clock."""
         return self.engine.clock.now_ms() + (unix_s - self.wall_clock()) * 1000.0
 
-    def _read_wall(self) -> None:
-        """Guards jobs that wait for an hour against a wall clock that is set meanwhile."""
-        self._tell_wall()
-        self.engine.clock.call_at(self.engine.clock.now_ms() + WALL_MS, self._read_wall)
+    def _poll_wall_clock(self) -> None:
+        """Keep start times and deadlines right if the wall clock is set while jobs wait."""
+        self._update_wall_clock_offset()
+        self.engine.clock.call_at(self.engine.clock.now_ms() + WALL_CLOCK_INTERVAL_MS, self._poll_wall_clock)
 
-    def _tell_wall(self) -> None:
+    def _update_wall_clock_offset(self) -> None:
         offset = self.wall_clock() * 1000.0 - self.engine.clock.now_ms()
         if abs(offset - self.job_queue.offset_ms) > 1.0:
             self.handle_event(queue_api.WallClockOffset(offset))
 
-    def _ticked(self) -> None:
-        self.tick = None
-        self._tell_wall()
+    def _on_tick(self) -> None:
+        self.tick_timer = None
+        self._update_wall_clock_offset()
         self.handle_event(queue_api.Tick())
 
-    # The waiting room's events and actions.
+    # Events and actions of the job queue.
 
     def handle_event(self, event: queue_api.Event) -> None:
-        """Tell the room something and carry out what follows; within that, events wait their turn."""
+        """Pass an event to the job queue and carry out its actions; events that arise meanwhile follow."""
         self.events.append(event)
-        if self.feeding:
+        if self.handling_events:
             return
-        self.feeding = True
+        self.handling_events = True
         try:
             while self.events:
                 actions = self.job_queue.handle(self.engine.clock.now_ms(), self.events.popleft())
                 ends = [action for action in actions if isinstance(action, queue_api.EndJob)]
                 if ends:
-                    self._end_all(ends)
+                    self._end_jobs(ends)
                 for action in actions:
-                    self._carry_out(action)
+                    self._execute(action)
         finally:
-            self.feeding = False
+            self.handling_events = False
 
-    def _carry_out(self, action: queue_api.Action) -> None:
+    def _execute(self, action: queue_api.Action) -> None:
         match action:
             case queue_api.ReleaseJob(job_id, aged):
                 self._release(job_id, aged)
             case queue_api.WithdrawJob(job_id):
                 self._withdraw(job_id)
             case queue_api.RecordReadyTime(job_id):
-                self._note_age(job_id, self.wall_clock())
+                self._defer_ready_time(job_id, self.wall_clock())
             case queue_api.ScheduleTick(at_ms):
-                if self.tick is not None:
-                    self.tick.cancel()
-                self.tick = self.engine.clock.call_at(at_ms, self._ticked)
+                if self.tick_timer is not None:
+                    self.tick_timer.cancel()
+                self.tick_timer = self.engine.clock.call_at(at_ms, self._on_tick)
 
-    def _note_age(self, job_id: str, ready: float | None) -> None:
-        self.ages[job_id] = ready
-        self._record_soon()
+    def _defer_ready_time(self, job_id: str, ready: float | None) -> None:
+        self.ready_times[job_id] = ready
+        self._schedule_recording()
 
-    def note_end(self, ended: tuple[str, bool, int]) -> None:
-        """A dispatch has ended that may have run: a record that nothing hangs on."""
-        self.ends.append(ended)
-        self._record_soon()
+    def defer_attempt_end(self, ended: tuple[str, bool, int]) -> None:
+        """Record later that an attempt has ended that may have run, as the store already says."""
+        self.attempt_ends.append(ended)
+        self._schedule_recording()
 
-    def _record_soon(self) -> None:
-        if not self.recording:
-            self.recording = True
-            self.engine.clock.call_at(self.engine.clock.now_ms() + NOTES_MS, self.record_deferred)
+    def _schedule_recording(self) -> None:
+        if not self.recording_scheduled:
+            self.recording_scheduled = True
+            self.engine.clock.call_at(self.engine.clock.now_ms() + RECORDING_DELAY_MS, self.record_deferred)
 
     def record_deferred(self) -> None:
-        """Record what can wait a little, with one flush for all of it."""
-        ages, ends, self.ages, self.ends, self.recording = self.ages, self.ends, {}, [], False
+        """Write the deferred records in one transaction, with one flush."""
+        ready_times, ends, self.ready_times, self.attempt_ends, self.recording_scheduled = (
+            self.ready_times,
+            self.attempt_ends,
+            {},
+            [],
+            False,
+        )
         try:
             with self.store.transaction():
-                self.store.set_ready_times((ready, job_id) for job_id, ready in ages.items())
+                self.store.set_ready_times((ready, job_id) for job_id, ready in ready_times.items())
                 self.store.record_attempt_ends(ends)
-        except sqlite3.Error as error:  # a restart would count these ages from anew: nothing worse
-            log.error("store_failed", extra={"kv": {"ages": len(ages), "ends": len(ends), "error": error}})
+        except sqlite3.Error as error:  # the only loss: after a restart these ages start at zero
+            log.error(
+                "store_failed", extra={"kv": {"ages": len(ready_times), "ends": len(ends), "error": error}}
+            )
 
     def _release(self, job_id: str, aged: bool) -> None:
-        """Let a job into the engine."""
-        job = self.fresh.get(job_id)
+        """Open a request in the engine for a job."""
+        job = self.just_submitted.get(job_id)
         try:
             job = job or self.store.get(job_id)
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"job": job_id, "error": error}})
-            self.handle_event(queue_api.JobReturned(job_id, STORE_AGAIN_MS))
+            self.handle_event(queue_api.JobReturned(job_id, STORE_RETRY_MS))
             return
         if job is None:
             log.error("job_without_record", extra={"kv": {"job": job_id}})
             self.handle_event(queue_api.JobEnded(job_id, False))
             return
-        ticket = self.tickets[job_id] = ReleasedJob(self, job_id, job.direct)
-        ticket.acknowledged = job_id not in self.fresh
+        released_job = self.released_jobs[job_id] = ReleasedJob(self, job_id, job.direct)
+        released_job.acknowledged = job_id not in self.just_submitted
         try:
-            task = self.codec.build_request(job)
-        except JobError as error:  # the operator has changed the classes meanwhile
+            job_request = self.request_builder.build_request(job)
+        except JobError as error:  # the operator has changed the job classes meanwhile
             self.finish(job_id, JobState.FAILED, annotation=f"it has not run: {error}")
             return
         now_ms = self.engine.clock.now_ms()
-        deadline_ms = now_ms + self.settings.classes[task.job_class].deadline_ms
+        deadline_ms = now_ms + self.settings.classes[job_request.job_class].deadline_ms
         if job.deadline != NO_DEADLINE:
-            deadline_ms = min(deadline_ms, self.clock_ms(job.deadline))
+            deadline_ms = min(deadline_ms, self.to_clock_ms(job.deadline))
         self.counts["released"] += 1
         self.counts["released_aged"] += aged
-        ticket.session = self.engine.open_request(
-            ticket,
+        released_job.request = self.engine.open_request(
+            released_job,
             job_id,
-            task.payload,
-            task.job_class,
+            job_request.payload,
+            job_request.job_class,
             deadline_ms,
-            slots=task.slots,
-            memory=task.memory,
+            slots=job_request.slots,
+            memory=job_request.memory,
             aged=aged,
         )
 
     def _withdraw(self, job_id: str) -> None:
-        ticket = self.tickets.get(job_id)
-        if ticket is not None and ticket.session is not None and self.engine.withdraw_unsent(ticket.session):
-            self.returned(ticket, 0.0)
-
-    def returned(self, ticket: ReleasedJob, pause_ms: float) -> None:
-        """A job comes back from the engine: it has not run, and waits on."""
-        del self.tickets[ticket.id]
+        released_job = self.released_jobs.get(job_id)
+        if (
+            released_job is not None
+            and released_job.request is not None
+            and self.engine.withdraw_unsent(released_job.request)
+        ):
+            self.return_to_queue(released_job, 0.0)
+
+    def return_to_queue(self, released_job: ReleasedJob, pause_ms: float) -> None:
+        """Put a job that has not run back into the queue."""
+        del self.released_jobs[released_job.id]
         self.counts["returned"] += 1
         self.handle_event(
-            queue_api.JobReturned(ticket.id, max(LEAST_PAUSE_MS, pause_ms) if pause_ms else 0.0)
+            queue_api.JobReturned(released_job.id, max(MIN_PAUSE_MS, pause_ms) if pause_ms else 0.0)
         )
 
-    # Servers.
+    # Workers.
 
-    def _servers_soon(self) -> None:
-        if not self.looking:
-            self.looking = True
-            self.engine.clock.call_at(self.engine.clock.now_ms() + SERVERS_MS, self._servers_changed)
+    def _schedule_availability_check(self) -> None:
+        if not self.availability_check_scheduled:
+            self.availability_check_scheduled = True
+            self.engine.clock.call_at(
+                self.engine.clock.now_ms() + AVAILABILITY_CHECK_DELAY_MS, self._check_availability
+            )
 
-    def _servers_changed(self) -> None:
-        """A class without a server that takes work lets nothing in: its jobs keep their places."""
-        self.looking = False
+    def _check_availability(self) -> None:
+        """Close the queues of classes without an available worker: their jobs keep their places."""
+        self.availability_check_scheduled = False
         if self.stopping:
             return
         table = self.engine.table
-        kinds = {server.entry.kind for name, server in table.workers.items() if table.accepts_work(name)}
+        worker_kinds = {
+            worker.entry.kind for name, worker in table.workers.items() if table.accepts_work(name)
+        }
         for index, job_class in enumerate(self.settings.classes):
-            is_open = bool(kinds) if job_class.kind == -1 else job_class.kind in kinds
-            if is_open != self.job_queue.class_queues[index].available:
+            available = bool(worker_kinds) if job_class.kind == -1 else job_class.kind in worker_kinds
+            if available != self.job_queue.class_queues[index].available:
                 if len(self.job_queue):
-                    log.info("lane", extra={"kv": {"job_class": job_class.name, "open": is_open}})
-                self.handle_event(queue_api.ClassAvailabilityChanged(index, is_open))
+                    log.info("lane", extra={"kv": {"job_class": job_class.name, "open": available}})
+                self.handle_event(queue_api.ClassAvailabilityChanged(index, available))
 
     def stop(self) -> None:
-        """Take nothing more and let nothing more in: what waits goes on after the next start.
+        """Accept and release no more jobs: queued jobs continue after the next start.
 
-        Guards a planned stop against a waiting room that never empties.
+        Otherwise a planned stop could wait for a queue that never empties.
         """
         self.stopping = True
         for index in range(len(self.job_queue.class_queues)):
             self.handle_event(queue_api.ClassAvailabilityChanged(index, False))
-        for ticket in list(self.tickets.values()):
-            if not ticket.direct:
-                self._withdraw(ticket.id)
+        for released_job in list(self.released_jobs.values()):
+            if not released_job.direct:
+                self._withdraw(released_job.id)
 
     # Ends.
 
@@ -277,13 +299,13 @@
         annotation: str = "",
         retry_after: float | None = None,
     ) -> None:
-        """Terminate a job, once; whoever waits for it is told after it is recorded."""
-        ticket = self.tickets.get(job_id)
-        if ticket is not None:
-            if ticket.timer is not None:
-                ticket.timer.cancel()
-            if ticket.adopted is not None:
-                self.servers.set_callback_handler(job_id, ticket.adopted, None)
+        """Record the final state of a job, then notify the queue and the waiting clients."""
+        released_job = self.released_jobs.get(job_id)
+        if released_job is not None:
+            if released_job.timer is not None:
+                released_job.timer.cancel()
+            if released_job.earlier_worker is not None:
+                self.workers.set_callback_handler(job_id, released_job.earlier_worker, None)
         try:
             self.store.finish(
                 job_id,
@@ -295,63 +317,65 @@
             )
             job = self.store.get(job_id)
         except sqlite3.Error as error:
-            # Guards an end against a full disk: it is not told before it is recorded, and not lost.
+            # For example, the disk is full. The end must not be lost, nor reported before it is recorded.
             log.error("store_failed", extra={"kv": {"job": job_id, "error": error}})
-            again = partial(
+            retry = partial(
                 self.finish, job_id, state, result=result, annotation=annotation, retry_after=retry_after
             )
-            timer = self.engine.clock.call_at(self.engine.clock.now_ms() + STORE_AGAIN_MS, again)
-            if ticket is not None:
-                ticket.timer = timer
+            timer = self.engine.clock.call_at(self.engine.clock.now_ms() + STORE_RETRY_MS, retry)
+            if released_job is not None:
+                released_job.timer = timer
             return
-        self.tickets.pop(job_id, None)
-        self.direct.discard(job_id)
-        self.retries.pop(job_id, None)
+        self.released_jobs.pop(job_id, None)
+        self.direct_jobs.discard(job_id)
+        self.retry_limits.pop(job_id, None)
         self.handle_event(queue_api.JobEnded(job_id, state is JobState.DONE))
         if job is not None:
             self.on_job_ended(job)
 
-    def _end_all(self, ends: Sequence[queue_api.EndJob]) -> None:
-        """Record the ends that the room has decided together, with one flush; then tell of them."""
+    def _end_jobs(self, ends: Sequence[queue_api.EndJob]) -> None:
+        """Record the ends that the queue has decided in one transaction, then report them."""
         try:
             with self.store.transaction():
                 now = self.wall_clock()
                 for end in ends:
-                    note = end_annotation(end, may_have_run=end.job in self.retries)
-                    self.store.finish(end.job, JobState.FAILED, now, annotation=note)
+                    annotation = end_annotation(end, may_have_run=end.job in self.retry_limits)
+                    self.store.finish(end.job, JobState.FAILED, now, annotation=annotation)
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"ends": len(ends), "error": error}})
-            again = partial(self._end_all, ends)
-            self.engine.clock.call_at(self.engine.clock.now_ms() + STORE_AGAIN_MS, again)
+            retry = partial(self._end_jobs, ends)
+            self.engine.clock.call_at(self.engine.clock.now_ms() + STORE_RETRY_MS, retry)
             return
         for end in ends:
             self.counts[f"ended_{end.cause.name.lower()}"] += 1
-            self.direct.discard(end.job)
-            self.retries.pop(end.job, None)
+            self.direct_jobs.discard(end.job)
+            self.retry_limits.pop(end.job, None)
             job = self.store.get(end.job)
             if job is not None:
                 self.on_job_ended(job)
 
     # Submissions.
 
-    def _edges(self, after: Iterable[tuple[str, Condition]], names: dict[str, str]) -> tuple[Dependency, ...]:
-        """What a job waits for: labels of its submission, jobs, and batches, which stand for their jobs."""
-        edges: dict[tuple[str, Condition], Dependency] = {}
-        for name, condition in after:
-            if name in names:
-                found = Dependency(names[name], condition)
+    def _dependencies(
+        self, conditions: Iterable[tuple[str, Condition]], job_ids_by_label: dict[str, str]
+    ) -> tuple[Dependency, ...]:
+        """Resolve a job's dependencies: labels of its own submission, jobs and batches."""
+        dependencies: dict[tuple[str, Condition], Dependency] = {}
+        for name, condition in conditions:
+            if name in job_ids_by_label:
+                dependency = Dependency(job_ids_by_label[name], condition)
             elif self.job_queue.is_active(name):
-                found = Dependency(name, condition)
+                dependency = Dependency(name, condition)
             else:
-                found = Dependency(name, condition, self.ended_as_done(name))
-            edges[name, condition] = found
-        return tuple(edges.values())
+                dependency = Dependency(name, condition, self.ended_as_done(name))
+            dependencies[name, condition] = dependency
+        return tuple(dependencies.values())
 
     def ended_as_done(self, name: str) -> bool:
-        """Whether a job or batch that the room does not know any more was done."""
+        """Whether a job or batch that is not in the queue any more ended as done."""
         job = self.store.get(name)
         if job is not None:
-            # Not in the room and not terminated: its end is decided and could not be recorded yet.
+            # Without a final state its end is decided but could not be recorded yet: it counts as failed.
             return job.state is JobState.DONE
         batch = self.store.find_batch("id", name)
         if batch is None or not batch.complete:
@@ -363,23 +387,23 @@
         new: NewJob,
         job_id: str,
         submission: str,
-        names: dict[str, str],
+        job_ids_by_label: dict[str, str],
         batch: Batch | None = None,
         number: int | None = None,
     ) -> tuple[Job, JobSpec]:
-        """A job's record and what the room is told of it."""
+        """Return the record of a new job and its submission to the queue."""
         now = self.wall_clock()
         deadline = NO_DEADLINE if new.deadline is None else new.deadline
         if not new.may_wait:
             deadline = min(deadline, now + self.settings.classes[new.job_class].deadline_ms / 1000.0)
         if deadline <= now:
             raise JobError(JobErrorKind.INVALID, "the deadline has passed")
-        wanted = (
+        latency_objective_s = (
             new.latency_objective_s
             if new.latency_objective_s is not None
             else self.limits.latency_objectives_s[new.job_class]
         )
-        wanted *= 2.0 ** (-new.priority / PRIORITY_DOUBLES)
+        latency_objective_s *= 2.0 ** (-new.priority / PRIORITY_HALVING_STEP)
         job = Job(
             job_id,
             submission,
@@ -390,22 +414,22 @@
             deadline,
             direct=not new.may_wait,
             start=new.start,
-            wanted=wanted,
+            wanted=latency_objective_s,
             any_of=new.any_of,
             batch=None if batch is None else batch.id,
             number=number,
             label=new.label,
         )
-        return job, self.spec_of(job, self._edges(new.dependencies, names))
+        return job, self.spec_of(job, self._dependencies(new.dependencies, job_ids_by_label))
 
     def spec_of(
-        self, job: Job, edges: tuple[Dependency, ...], age_ms: float | None = None, sent: bool = False
+        self, job: Job, dependencies: tuple[Dependency, ...], age_ms: float | None = None, sent: bool = False
     ) -> JobSpec:
         return JobSpec(
             job.id,
-            self.classes.get(job.category, 0),
+            self.class_indices.get(job.category, 0),
             max(1.0, job.wanted * 1000.0),
-            edges,
+            dependencies,
             job.any_of,
             None if job.start is None else job.start * 1000.0,
             None if job.deadline == NO_DEADLINE else job.deadline * 1000.0,
@@ -425,87 +449,114 @@
             raise JobError(JobErrorKind.INVALID, str(error)) from error
 
     def estimated_wait_ms(self) -> float:
-        """When there may be room again: about when a hundredth of those that wait have gone."""
-        gaps = [lane.mean_gap_ms for lane in self.job_queue.class_queues if lane.mean_gap_ms > 0]
+        """Estimate when the queue will accept jobs again: after a hundredth of its jobs have been sent."""
+        gaps = [
+            class_queue.mean_gap_ms
+            for class_queue in self.job_queue.class_queues
+            if class_queue.mean_gap_ms > 0
+        ]
         return min(60_000.0, max(1000.0, (min(gaps) if gaps else 10.0) * len(self.job_queue) / 100.0))
 
-    def submit(self, submission: str, new: NewJob, crowded: bool = False) -> tuple[Job, bool]:
-        """Take a job: the same key and template are the same job. Its record, and whether it is new.
+    def submit(self, submission: str, new: NewJob, overloaded: bool = False) -> tuple[Job, bool]:
+        """Accept a job; return its record and whether it is new.
 
-        JobError: it is not taken, and nothing is left of it.
+        A repeated key with the same template returns the existing job. With `overloaded`, no new job is
+        accepted.
+
+        Raises
+        ------
+        JobError : the job is not accepted, and nothing of it is stored.
         """
-        earlier = self.store.find_by_submission(submission)
-        if earlier is not None:
-            if earlier.template != new.template:
-                raise JobError(JobErrorKind.CONFLICT, "this key has made another job")
-            return earlier, False
+        existing = self.store.find_by_submission(submission)
+        if existing is not None:
+            if existing.template != new.template:
+                raise JobError(JobErrorKind.CONFLICT, "this key was used for another job")
+            return existing, False
         if self.store.find_batch("submission", submission) is not None:
-            raise JobError(JobErrorKind.CONFLICT, "this key has made a submission of several jobs")
-        if self.stopping or crowded or (not new.may_wait and len(self.direct) >= self.limits.max_direct):
-            raise JobError(JobErrorKind.LATER, "no more jobs are taken now", 1000.0)
+            raise JobError(JobErrorKind.CONFLICT, "this key was used for a submission of several jobs")
+        if (
+            self.stopping
+            or overloaded
+            or (not new.may_wait and len(self.direct_jobs) >= self.limits.max_direct)
+        ):
+            raise JobError(JobErrorKind.LATER, "no new jobs are accepted now", 1000.0)
         job, spec = self.make_job(new, uuid.uuid4().hex, submission, {})
         self.check_and_sort([spec])
         try:
-            self.store.add(job, [(job.id, edge.job, edge.condition, edge.done) for edge in spec.dependencies])
+            self.store.add(
+                job,
+                [
+                    (job.id, dependency.job, dependency.condition, dependency.done)
+                    for dependency in spec.dependencies
+                ],
+            )
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"job": job.id, "error": error}})
             raise JobError(JobErrorKind.RESOURCE, "the job could not be recorded", 5000.0) from error
         if job.direct:
-            self.direct.add(job.id)
-            self.fresh[job.id] = job
+            self.direct_jobs.add(job.id)
+            self.just_submitted[job.id] = job
         self.handle_event(queue_api.JobsSubmitted((spec,)))
-        self.fresh.pop(job.id, None)
-        ticket = self.tickets.get(job.id)
-        if ticket is not None:
-            ticket.acknowledged = True
-            if ticket.deny_ms is not None:
-                del self.tickets[job.id]
-                self.direct.discard(job.id)
+        self.just_submitted.pop(job.id, None)
+        released_job = self.released_jobs.get(job.id)
+        if released_job is not None:
+            released_job.acknowledged = True
+            if released_job.refusal_retry_after_ms is not None:
+                del self.released_jobs[job.id]
+                self.direct_jobs.discard(job.id)
                 self.handle_event(queue_api.JobEnded(job.id, False))
                 self.store.remove(job.id)
-                raise JobError(JobErrorKind.LATER, "refused: it has not run", ticket.deny_ms)
+                raise JobError(
+                    JobErrorKind.LATER, "refused: it has not run", released_job.refusal_retry_after_ms
+                )
         return self.store.get(job.id) or job, True
 
-    # What people want of jobs.
+    # Operations on jobs.
 
     def find(self, job_id: str) -> Job:
-        """The job of an id."""
+        """Return the job with this id; raises JobError if there is none."""
         job = self.store.get(job_id)
         if job is None:
             raise JobError(JobErrorKind.UNKNOWN, f"there is no job {job_id}")
         return job
 
     def terminate(self, job: Job) -> None:
-        """Have a job cancelled. Its state tells what came of it."""
+        """Start to cancel a job. Whether it worked shows in its final state."""
         if job.state.terminated:
             raise JobError(JobErrorKind.STATE, f"the job is {job.state} already")
         log.info("job_terminate", extra={"kv": {"job": job.id, "state": job.state}})
-        ticket = self.tickets.get(job.id)
-        if ticket is None:
+        released_job = self.released_jobs.get(job.id)
+        if released_job is None:
             self.handle_event(queue_api.TerminationRequested(job.id))
-        elif ticket.session is not None:
-            self.engine.cancel_request(ticket.session)
-        elif ticket.adopted is not None:
-            self.servers.cancel_job(ticket.adopted, job.id, partial(self.recovery.on_cancelled, job.id))
+        elif released_job.request is not None:
+            self.engine.cancel_request(released_job.request)
+        elif released_job.earlier_worker is not None:
+            self.workers.cancel_job(
+                released_job.earlier_worker, job.id, partial(self.recovery.on_cancelled, job.id)
+            )
 
     def hold(self, job: Job) -> None:
-        """Keep a job that no server has been sent from going on."""
+        """Hold a job that is not sent yet."""
         if job.state in (JobState.QUEUED_HELD, JobState.REQUEUED_HELD):
             return
-        ticket = self.tickets.get(job.id)
-        out = ticket is not None and (ticket.session is None or ticket.session.may_have_run)
+        released_job = self.released_jobs.get(job.id)
+        sent = released_job is not None and (
+            released_job.request is None or released_job.request.may_have_run
+        )
         queued = job.state in (JobState.QUEUED, JobState.REQUEUED)
-        if not queued or out:
-            what = "being sent" if queued else job.state
-            raise JobError(JobErrorKind.STATE, f"the job is {what}: only one that is queued can be held")
+        if not queued or sent:
+            state_text = "being sent" if queued else job.state
+            raise JobError(
+                JobErrorKind.STATE, f"the job is {state_text}: only one that is queued can be held"
+            )
         requeued = job.state is JobState.REQUEUED
         self.store.set_state(job.id, JobState.REQUEUED_HELD if requeued else JobState.QUEUED_HELD)
-        self._note_age(job.id, None)
+        self._defer_ready_time(job.id, None)
         self.handle_event(queue_api.HoldChanged(job.id, True))
         log.info("job_hold", extra={"kv": {"job": job.id}})
 
     def release(self, job: Job) -> None:
-        """Lift a hold."""
+        """Release a held job."""
         if not job.state.held:
             raise JobError(JobErrorKind.STATE, f"the job is {job.state}: it is not held")
         requeued = job.state is JobState.REQUEUED_HELD
@@ -514,29 +565,31 @@
         log.info("job_release", extra={"kv": {"job": job.id}})
 
     def wait_reason(self, job_id: str) -> str:
-        """Why a job waits, in words; empty for one that does not."""
+        """Describe why a job waits; empty if it has ended."""
         try:
-            why = self.job_queue.wait_status(job_id)
+            status = self.job_queue.wait_status(job_id)
         except KeyError:
             return ""
-        return describe_wait(why, self.job_queue.unix_ms)
+        return describe_wait(status, self.job_queue.unix_ms)
 
-    # Submissions of several jobs, and jobs of before a restart.
+    # Batches, and jobs from before a restart.
 
     def submit_batch(
         self,
         submission: str,
         template: str,
-        news: Sequence[NewJob] | Callable[[int], NewJob],
+        new_jobs: Sequence[NewJob] | Callable[[int], NewJob],
         numbers: range,
-        array: bool,
-        most: int | None,
-        done: Callable[[Batch | JobError], None],
-        crowded: bool = False,
+        is_array: bool,
+        max_parallel: int | None,
+        on_done: Callable[[Batch | JobError], None],
+        overloaded: bool = False,
     ) -> None:
-        """Take several jobs, all or none; see `BatchIntake.submit`."""
-        self.batches.submit(submission, template, news, numbers, array, most, done, crowded)
+        """Accept several jobs, all or none; see `BatchIntake.submit`."""
+        self.batch_intake.submit(
+            submission, template, new_jobs, numbers, is_array, max_parallel, on_done, overloaded
+        )
 
     def restore(self) -> None:
-        """Take up the jobs of before a restart; see `JobRecovery.restore`."""
+        """Restore the jobs from before a restart; see `JobRecovery.restore`."""
         self.recovery.restore()
