--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""The job service without a socket: where its store fails, where jobs wait, and across restarts."""
+"""The job service without sockets: failing writes, queued jobs and restarts."""
 
 from __future__ import annotations
 
@@ -28,278 +28,292 @@
 NOON = 1_800_000_000.0
 
 
-class Servers:
-    """Sends as soon as it is asked to, if it may; holds dispatches back while `slow`."""
+class FakeWorkers:
+    """Sends each attempt at once if the engine confirms it; collects attempts unsent while `delayed`."""
 
     def __init__(self, engine: Engine) -> None:
-        self.engine, self.sent, self.waiting = engine, list[Attempt](), list[Attempt]()
-        self.slow = False
-        self.adopted: dict[str, Callable[[Outcome, bytes], None] | None] = {}
-        self.given_up: dict[str, Callable[[], None]] = {}  # told so, and not answered yet
-
-    def send_attempt(self, dispatch: Attempt) -> None:
-        self.waiting.append(dispatch)
-        if not self.slow:
+        self.engine, self.sent_attempts, self.unsent_attempts = engine, list[Attempt](), list[Attempt]()
+        self.delayed = False
+        self.callback_handlers: dict[str, Callable[[Outcome, bytes], None] | None] = {}
+        self.abandoned: dict[
+            str, Callable[[], None]
+        ] = {}  # by call id: to be called as the worker's response
+
+    def send_attempt(self, attempt: Attempt) -> None:
+        self.unsent_attempts.append(attempt)
+        if not self.delayed:
             self.send()
 
     def send(self) -> None:
-        while self.waiting:
-            dispatch = self.waiting.pop(0)
-            if not self.engine.confirm_send(dispatch):
-                self.engine.finish_attempt(dispatch, Outcome.CONNECT_FAILED)
+        while self.unsent_attempts:
+            attempt = self.unsent_attempts.pop(0)
+            if not self.engine.confirm_send(attempt):
+                self.engine.finish_attempt(attempt, Outcome.CONNECT_FAILED)
                 continue
-            dispatch.stage = AttemptStage.WRITTEN
-            self.sent.append(dispatch)
+            attempt.stage = AttemptStage.WRITTEN
+            self.sent_attempts.append(attempt)
 
-    def abandon_attempt(self, dispatch: Attempt) -> None:
+    def abandon_attempt(self, attempt: Attempt) -> None:
         pass
 
     cancel_attempt = abandon_attempt
 
-    def probe(self, server: str) -> None:
+    def probe(self, worker: str) -> None:
         pass
 
     def set_callback_handler(
-        self, call_id: str, server: str, ended: Callable[[Outcome, bytes], None] | None
+        self, call_id: str, worker: str, on_ended: Callable[[Outcome, bytes], None] | None
     ) -> None:
-        self.adopted[call_id] = ended
+        self.callback_handlers[call_id] = on_ended
 
-    def cancel_job(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
+    def cancel_job(self, worker: str, call_id: str, on_confirmed: Callable[[], None]) -> None:
         pass
 
-    def abandon_job(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
-        if server not in self.engine.table.workers:
+    def abandon_job(self, worker: str, call_id: str, on_response: Callable[[], None]) -> bool:
+        if worker not in self.engine.table.workers:
             return False
-        self.given_up[call_id] = heard
+        self.abandoned[call_id] = on_response
         return True
 
 
 class FailingStore(JobStore):
     """A job store on a disk that is full for a while."""
 
-    full = False
+    disk_full = False
 
     def _check(self) -> None:
-        if self.full:
+        if self.disk_full:
             raise sqlite3.OperationalError("database or disk is full")
 
-    def add_all(self, jobs: Any, edges: Any = ()) -> None:
+    def add_all(self, jobs: Any, dependencies: Any = ()) -> None:
         self._check()
-        super().add_all(jobs, edges)
+        super().add_all(jobs, dependencies)
 
     def record_attempt(self, job_id: str, worker: str, sent_s: float) -> int:
         self._check()
         return super().record_attempt(job_id, worker, sent_s)
 
-    def finish(self, job_id: str, state: JobState, finished: float, **more: Any) -> bool:
+    def finish(self, job_id: str, state: JobState, finished: float, **options: Any) -> bool:
         self._check()
-        return super().finish(job_id, state, finished, **more)
+        return super().finish(job_id, state, finished, **options)
 
 
-class Setting:
-    """A job service between a store on disk and servers of a model; time is the model's."""
+class JobServiceHarness:
+    """A job service with a store on disk, simulated workers and simulated time."""
 
     settings = SETTINGS
 
-    def __init__(self, path: Path, servers: int = 1) -> None:
-        self.path, self.count = path, servers
-        self.clock, self.step = Clock(), 0.0
+    def __init__(self, path: Path, worker_count: int = 1) -> None:
+        self.path, self.worker_count = path, worker_count
+        self.clock, self.wall_clock_step_s = Clock(), 0.0
         self.start()
 
     def start(self) -> None:
         table = WorkerTable()
         self.engine = Engine(self.settings, 1, self.clock, table)
-        self.servers = self.engine.workers = Servers(self.engine)
+        self.workers = self.engine.workers = FakeWorkers(self.engine)
         self.store = FailingStore(str(self.path / "jobs.sqlite"))
         self.templates = Templates(self.settings)
         limits = JobLimits(latency_objectives_s=(10.0, 10.0, 10.0), max_direct=10, max_queued=20_000)
         self.service = JobService(
             self.engine,
-            self.servers,
+            self.workers,
             self.settings,
             self.store,
             self.templates,
             limits,
-            lambda: NOON + self.step + self.clock.now / 1000.0,
+            lambda: NOON + self.wall_clock_step_s + self.clock.now / 1000.0,
         )
-        self.ends: dict[str, Job] = {}
+        self.ended_jobs: dict[str, Job] = {}
         self.service.on_job_ended = self._ended
         self.service.restore()
-        lines = [WorkerEndpoint(entry(f"w{n}"), ("127.0.0.1", 1)) for n in range(self.count)]
-        table.update(api.ListKind.FULL, lines)
+        workers = [WorkerEndpoint(entry(f"w{n}"), ("127.0.0.1", 1)) for n in range(self.worker_count)]
+        table.update(api.ListKind.FULL, workers)
         self.clock.advance(10.0)
 
     def _ended(self, job: Job) -> None:
-        assert job.id not in self.ends, "told twice"
-        self.ends[job.id] = job
+        assert job.id not in self.ended_jobs, "reported twice"
+        self.ended_jobs[job.id] = job
 
     def crash(self) -> None:
-        """All but the file is gone; the clock's timers too."""
+        """Start anew with nothing but the file; the timers are lost too."""
         self.store.close()
-        former, self.clock = self.clock, Clock()
-        self.clock.now = former.now
+        previous, self.clock = self.clock, Clock()
+        self.clock.now = previous.now
         self.start()
 
-    def run(self, key: str, category: str = "order", **more: Any) -> str:
-        job, _ = self.service.submit(key, self.templates.new_job({"jobCategory": category} | more))
+    def submit(self, key: str, category: str = "order", **options: Any) -> str:
+        job, _ = self.service.submit(key, self.templates.new_job({"jobCategory": category} | options))
         return job.id
 
-    def waiting(self, key: str, *after: Any, category: str = "order", **more: Any) -> str:
-        special = {"after": list(after), "wantedTime": 10.0} | more.pop("special", {})
-        return self.run(key, category, implementationSpecific=special, **more)
+    def submit_queued(self, key: str, *dependencies: Any, category: str = "order", **options: Any) -> str:
+        extensions = {"after": list(dependencies), "wantedTime": 10.0} | options.pop("extensions", {})
+        return self.submit(key, category, implementationSpecific=extensions, **options)
 
-    def many(self, key: str, jobs: dict[str, Any] | int, most: int | None = None) -> Batch | JobError:
-        came: list[Batch | JobError] = []
+    def submit_batch(
+        self, key: str, jobs: dict[str, Any] | int, max_parallel: int | None = None
+    ) -> Batch | JobError:
+        results: list[Batch | JobError] = []
         if isinstance(jobs, int):
             new = self.templates.new_job(ORDER, waits=True)
-            self.service.submit_batch(key, "t", lambda n: new, range(jobs), True, most, came.append)
+            self.service.submit_batch(
+                key, "t", lambda n: new, range(jobs), True, max_parallel, results.append
+            )
         else:
-            news = [self.templates.new_job(raw, name, True) for name, raw in jobs.items()]
-            self.service.submit_batch(key, str(jobs), news, range(len(news)), False, None, came.append)
+            new_jobs = [self.templates.new_job(raw, name, True) for name, raw in jobs.items()]
+            self.service.submit_batch(
+                key, str(jobs), new_jobs, range(len(new_jobs)), False, None, results.append
+            )
         for _ in range(10_000):
-            if came:
-                return came[0]
+            if results:
+                return results[0]
             self.clock.advance(0.01)
-        raise AssertionError("it is never answered")
+        raise AssertionError("the submission got no response")
 
     def state(self, job: str) -> JobState:
         return self.service.find(job).state
 
     def end(self, job: str, outcome: Outcome = Outcome.OK) -> None:
-        """The newest dispatch of a job ends."""
-        dispatch = next(d for d in reversed(self.servers.sent) if d.request.call_id == job)
-        self.engine.finish_attempt(dispatch, outcome, result=b"done")
+        """End the newest attempt of a job."""
+        attempt = next(
+            attempt for attempt in reversed(self.workers.sent_attempts) if attempt.request.call_id == job
+        )
+        self.engine.finish_attempt(attempt, outcome, result=b"done")
 
-    def drain(self, on: bool) -> None:
-        for n in range(self.count):
-            self.engine.table.set_cordoned(f"w{n}", on)
+    def drain(self, drained: bool) -> None:
+        for n in range(self.worker_count):
+            self.engine.table.set_cordoned(f"w{n}", drained)
         self.clock.advance(10.0)
 
     def sent_jobs(self) -> list[str]:
-        return [d.request.call_id for d in self.servers.sent]
+        return [attempt.request.call_id for attempt in self.workers.sent_attempts]
 
 
 @pytest.fixture
-def setting(tmp_path: Path) -> Setting:
-    return Setting(tmp_path)
+def harness(tmp_path: Path) -> JobServiceHarness:
+    return JobServiceHarness(tmp_path)
 
 
-def test_a_job_that_cannot_be_recorded_is_not_acknowledged(setting: Setting) -> None:
-    setting.store.full = True
+def test_a_job_that_cannot_be_recorded_is_not_acknowledged(harness: JobServiceHarness) -> None:
+    harness.store.disk_full = True
     with pytest.raises(JobError, match="could not be recorded"):
-        setting.run("k")
-    assert not setting.servers.sent and not setting.engine.open_by_call_id
-    failed = setting.many("many", 3)
+        harness.submit("k")
+    assert not harness.workers.sent_attempts and not harness.engine.open_by_call_id
+    failed = harness.submit_batch("many", 3)
     assert isinstance(failed, JobError) and failed.kind is JobErrorKind.RESOURCE
-    assert not len(setting.service.job_queue)
-    setting.store.full = False
-    assert setting.store.find_batch("submission", "many") is None
-
-
-def test_a_dispatch_that_cannot_be_recorded_is_not_sent(setting: Setting) -> None:
-    # Guards against an order that is sent again after a restart since nothing said that it had been sent.
-    setting.drain(True)
-    job = setting.run("k", "book")
-    setting.store.full = True
-    setting.drain(False)
-    setting.clock.advance(30.0)
-    assert not setting.servers.sent
-    setting.store.full = False
-    setting.clock.advance(900.0)
-    assert len(setting.servers.sent) == 1
-    assert setting.state(job) is JobState.RUNNING
-
-
-def test_an_end_that_cannot_be_recorded_is_recorded_later(setting: Setting) -> None:
-    job, follower = setting.run("k"), ""
-    follower = setting.waiting("f", job)
-    setting.store.full = True
-    setting.end(job)
-    assert setting.state(job) is JobState.RUNNING and not setting.ends
-    assert setting.sent_jobs() == [job]  # what waits for it is not told either
-    setting.store.full = False
-    setting.clock.advance(2000.0)
-    found = setting.service.find(job)
+    assert not len(harness.service.job_queue)
+    harness.store.disk_full = False
+    assert harness.store.find_batch("submission", "many") is None
+
+
+def test_an_attempt_that_cannot_be_recorded_is_not_sent(harness: JobServiceHarness) -> None:
+    # Guards against an order that is sent again after a restart because no record says that it was sent.
+    harness.drain(True)
+    job = harness.submit("k", "book")
+    harness.store.disk_full = True
+    harness.drain(False)
+    harness.clock.advance(30.0)
+    assert not harness.workers.sent_attempts
+    harness.store.disk_full = False
+    harness.clock.advance(900.0)
+    assert len(harness.workers.sent_attempts) == 1
+    assert harness.state(job) is JobState.RUNNING
+
+
+def test_an_end_that_cannot_be_recorded_is_recorded_later(harness: JobServiceHarness) -> None:
+    job, dependant = harness.submit("k"), ""
+    dependant = harness.submit_queued("f", job)
+    harness.store.disk_full = True
+    harness.end(job)
+    assert harness.state(job) is JobState.RUNNING and not harness.ended_jobs
+    assert harness.sent_jobs() == [job]  # its dependant is not notified either
+    harness.store.disk_full = False
+    harness.clock.advance(2000.0)
+    found = harness.service.find(job)
     assert (found.state, found.result) == (JobState.DONE, b"done")
-    assert setting.sent_jobs() == [job, follower]
-    assert not setting.store.finish(job, JobState.FAILED, 0.0)  # the first final state stays
-
-
-def test_ends_of_a_chain_that_cannot_be_recorded_are_recorded_later(setting: Setting) -> None:
-    first = setting.waiting("a", submitAsHold=True)
-    chain = [setting.waiting(f"b{n}", first) for n in range(3)]
-    setting.store.full = True
-    setting.service.terminate(setting.service.find(first))
-    assert not setting.ends
-    setting.store.full = False
-    setting.clock.advance(2000.0)
-    assert set(setting.ends) == {first, *chain}
-    assert f"job {first}" in setting.ends[chain[0]].annotation
-
-
-def test_a_waiting_job_that_is_refused_is_put_back_and_a_direct_one_is_told(setting: Setting) -> None:
-    setting.drain(True)
-    direct = setting.run("d")
-    waits = setting.waiting("w")
-    setting.clock.advance(3000.0)
-    assert setting.ends[direct].retry_after is not None
-    assert setting.state(waits) is JobState.QUEUED
-    assert "no server takes its class" in setting.service.wait_reason(waits)
-    setting.drain(False)
-    assert setting.sent_jobs() == [waits]
-    setting.end(waits, Outcome.REJECTED)  # handed back: it never ran
-    assert setting.state(waits) is JobState.REQUEUED
-    setting.clock.advance(3000.0)
-    assert setting.sent_jobs()[1:] and setting.state(waits) is JobState.RUNNING
-    setting.end(waits)
-    assert setting.ends[waits].state is JobState.DONE
-
-
-def test_a_crash_between_release_and_dispatch_sends_it_once(setting: Setting) -> None:
-    setting.servers.slow = True
-    job = setting.waiting("k")
-    assert setting.service.job_queue.stage(job) is JobStage.RELEASED and not setting.servers.sent
-    setting.crash()
-    assert setting.sent_jobs() == [job]
-    setting.crash()  # now it may have run: it is never sent again
-    assert not setting.servers.sent and setting.state(job) is JobState.UNDETERMINED
-    ended = setting.servers.adopted[job]
-    assert ended is not None
-    ended(Outcome.OK, b"late")
-    assert setting.ends[job].result == b"late"
-
-
-def test_a_restart_restores_graph_hours_holds_ages_and_places(setting: Setting) -> None:
-    setting.drain(True)
-    old = setting.waiting("old")
-    setting.clock.advance(4000.0)
-    young = setting.waiting("young")
-    held = setting.waiting("held", submitAsHold=True)
-    timed = setting.waiting("timed", startTime=NOON + 60.0)
-    first = setting.waiting("first", special={"wantedTime": 1000.0})
-    last = setting.waiting("last", first, {"job": old, "on": "ended"})
-    setting.clock.advance(300.0)
-    setting.crash()
-    room = setting.service.job_queue
-    assert setting.sent_jobs()[0] == old
-    assert room.wait_status(held).held and room.wait_status(timed).start_unix_ms == (NOON + 60.0) * 1000.0
-    assert set(room.wait_status(last).waiting_for) <= {first, old}
-    ages = {name: setting.clock.now - room.graph.nodes[name].ready_ms for name in (old, young)}
+    assert harness.sent_jobs() == [job, dependant]
+    assert not harness.store.finish(job, JobState.FAILED, 0.0)  # the first final state stays
+
+
+def test_ends_of_a_chain_that_cannot_be_recorded_are_recorded_later(harness: JobServiceHarness) -> None:
+    first = harness.submit_queued("a", submitAsHold=True)
+    chain = [harness.submit_queued(f"b{n}", first) for n in range(3)]
+    harness.store.disk_full = True
+    harness.service.terminate(harness.service.find(first))
+    assert not harness.ended_jobs
+    harness.store.disk_full = False
+    harness.clock.advance(2000.0)
+    assert set(harness.ended_jobs) == {first, *chain}
+    assert f"job {first}" in harness.ended_jobs[chain[0]].annotation
+
+
+def test_a_refused_job_is_queued_again_and_a_refused_direct_job_ends(
+    harness: JobServiceHarness,
+) -> None:
+    harness.drain(True)
+    direct = harness.submit("d")
+    queued = harness.submit_queued("w")
+    harness.clock.advance(3000.0)
+    assert harness.ended_jobs[direct].retry_after is not None
+    assert harness.state(queued) is JobState.QUEUED
+    assert "no server takes its class" in harness.service.wait_reason(queued)
+    harness.drain(False)
+    assert harness.sent_jobs() == [queued]
+    harness.end(queued, Outcome.REJECTED)  # handed back: it never ran
+    assert harness.state(queued) is JobState.REQUEUED
+    harness.clock.advance(3000.0)
+    assert harness.sent_jobs()[1:] and harness.state(queued) is JobState.RUNNING
+    harness.end(queued)
+    assert harness.ended_jobs[queued].state is JobState.DONE
+
+
+def test_a_crash_between_the_release_and_the_attempt_sends_the_job_once(harness: JobServiceHarness) -> None:
+    harness.workers.delayed = True
+    job = harness.submit_queued("k")
+    assert harness.service.job_queue.stage(job) is JobStage.RELEASED and not harness.workers.sent_attempts
+    harness.crash()
+    assert harness.sent_jobs() == [job]
+    harness.crash()  # now it may have run: it is never sent again
+    assert not harness.workers.sent_attempts and harness.state(job) is JobState.UNDETERMINED
+    on_ended = harness.workers.callback_handlers[job]
+    assert on_ended is not None
+    on_ended(Outcome.OK, b"late")
+    assert harness.ended_jobs[job].result == b"late"
+
+
+def test_a_restart_restores_dependencies_start_times_holds_ages_and_places(
+    harness: JobServiceHarness,
+) -> None:
+    harness.drain(True)
+    old = harness.submit_queued("old")
+    harness.clock.advance(4000.0)
+    young = harness.submit_queued("young")
+    held = harness.submit_queued("held", submitAsHold=True)
+    timed = harness.submit_queued("timed", startTime=NOON + 60.0)
+    first = harness.submit_queued("first", extensions={"wantedTime": 1000.0})
+    last = harness.submit_queued("last", first, {"job": old, "on": "ended"})
+    harness.clock.advance(300.0)
+    harness.crash()
+    queue = harness.service.job_queue
+    assert harness.sent_jobs()[0] == old
+    assert queue.wait_status(held).held and queue.wait_status(timed).start_unix_ms == (NOON + 60.0) * 1000.0
+    assert set(queue.wait_status(last).waiting_for) <= {first, old}
+    ages = {name: harness.clock.now - queue.graph.nodes[name].ready_ms for name in (old, young)}
     assert 4000.0 < ages[old] < 4700.0 and ages[young] < 700.0
-    assert room.graph.nodes[old].due_ms < room.graph.nodes[young].due_ms
+    assert queue.graph.nodes[old].due_ms < queue.graph.nodes[young].due_ms
     for _ in range(6):
-        for name in [n for n in setting.sent_jobs() if n not in setting.ends]:
-            setting.end(name)
-        setting.clock.advance(20_000.0)
-    setting.service.release(setting.service.find(held))
-    setting.clock.advance(100.0)
-    setting.end(held)
-    assert set(setting.ends) == {old, young, held, timed, first, last}
-    assert len(setting.sent_jobs()) == len(set(setting.sent_jobs()))
-
-
-def test_a_failed_job_ends_those_that_wait_for_it_with_its_name(setting: Setting) -> None:
-    batch = setting.many(
+        for name in [n for n in harness.sent_jobs() if n not in harness.ended_jobs]:
+            harness.end(name)
+        harness.clock.advance(20_000.0)
+    harness.service.release(harness.service.find(held))
+    harness.clock.advance(100.0)
+    harness.end(held)
+    assert set(harness.ended_jobs) == {old, young, held, timed, first, last}
+    assert len(harness.sent_jobs()) == len(set(harness.sent_jobs()))
+
+
+def test_a_failed_job_ends_its_dependants_with_its_name_in_the_annotation(harness: JobServiceHarness) -> None:
+    batch = harness.submit_batch(
         "g",
         {
             "reading": ORDER,
@@ -309,20 +323,20 @@
         },
     )
     assert isinstance(batch, Batch)
-    ids = {label: name for name, _, label in setting.store.batch_members(batch.id)}
-    assert setting.sent_jobs() == [ids["reading"]]
-    setting.end(ids["reading"], Outcome.ERROR)
-    assert {setting.ends[ids[n]].state for n in ("reading", "plan", "drive")} == {JobState.FAILED}
-    assert ids["reading"] in setting.ends[ids["plan"]].annotation
-    note = setting.ends[ids["drive"]].annotation
-    assert ids["plan"] in note and f"began with job {ids['reading']}" in note
-    assert setting.sent_jobs() == [ids["reading"], ids["call"]]  # it asked for just this
-    again = setting.many("g", {"other": ORDER})
-    assert isinstance(again, JobError) and again.kind is JobErrorKind.CONFLICT
-
-
-def test_submissions_that_cannot_be_taken_leave_nothing(setting: Setting) -> None:
-    for jobs, word in (
+    ids = {label: name for name, _, label in harness.store.batch_members(batch.id)}
+    assert harness.sent_jobs() == [ids["reading"]]
+    harness.end(ids["reading"], Outcome.ERROR)
+    assert {harness.ended_jobs[ids[n]].state for n in ("reading", "plan", "drive")} == {JobState.FAILED}
+    assert ids["reading"] in harness.ended_jobs[ids["plan"]].annotation
+    annotation = harness.ended_jobs[ids["drive"]].annotation
+    assert ids["plan"] in annotation and f"began with job {ids['reading']}" in annotation
+    assert harness.sent_jobs() == [ids["reading"], ids["call"]]  # "call" runs only if "plan" fails
+    repeated = harness.submit_batch("g", {"other": ORDER})
+    assert isinstance(repeated, JobError) and repeated.kind is JobErrorKind.CONFLICT
+
+
+def test_rejected_submissions_leave_nothing(harness: JobServiceHarness) -> None:
+    for jobs, message in (
         (
             {
                 "a": ORDER | {"implementationSpecific": {"after": ["b"]}},
@@ -333,109 +347,111 @@
         ({"a": ORDER | {"implementationSpecific": {"after": ["zz"]}}}, "no job zz"),
         (20_001, "at most 20000 jobs"),
     ):
-        failed = setting.many("k", jobs)
+        failed = harness.submit_batch("k", jobs)
         assert isinstance(failed, JobError)
-        with pytest.raises(JobError, match=word):
+        with pytest.raises(JobError, match=message):
             raise failed
-    assert not len(setting.service.job_queue) and not setting.store.open_jobs()
-    job = setting.run("k")
+    assert not len(harness.service.job_queue) and not harness.store.open_jobs()
+    job = harness.submit("k")
     with pytest.raises(JobError, match="several|another"):
-        setting.run("k", "book")
-    assert setting.run("k") == job
+        harness.submit("k", "book")
+    assert harness.submit("k") == job
 
 
-def test_an_array_is_taken_in_short_turns_and_keeps_to_its_most(setting: Setting) -> None:
-    batch = setting.many("arr", 1000, most=3)
+def test_an_array_is_recorded_completely_and_keeps_to_max_parallel(harness: JobServiceHarness) -> None:
+    batch = harness.submit_batch("arr", 1000, max_parallel=3)
     assert isinstance(batch, Batch)
-    members = [name for name, _, _ in setting.store.batch_members(batch.id)]
+    members = [name for name, _, _ in harness.store.batch_members(batch.id)]
     assert len(members) == 1000
     for n in range(5):
-        setting.clock.advance(1.0)
-        out = [d for d in setting.servers.sent if d.outcome is None]
-        assert len(out) <= 3 and len({d.request.call_id for d in out}) == len(out)
-        later = {setting.service.job_queue.stage(name) for name in members[n + 3 :]}
+        harness.clock.advance(1.0)
+        open_attempts = [attempt for attempt in harness.workers.sent_attempts if attempt.outcome is None]
+        assert len(open_attempts) <= 3 and len({attempt.request.call_id for attempt in open_attempts}) == len(
+            open_attempts
+        )
+        later = {harness.service.job_queue.stage(name) for name in members[n + 3 :]}
         assert later <= {JobStage.READY, JobStage.RELEASED}
-        setting.end(out[0].request.call_id)
+        harness.end(open_attempts[0].request.call_id)
 
 
-def test_the_end_of_an_array_is_known_across_restarts_and_after_its_jobs_are_forgotten(
-    setting: Setting,
+def test_the_outcome_of_an_array_is_kept_across_restarts_and_after_its_jobs_are_removed(
+    harness: JobServiceHarness,
 ) -> None:
-    batch = setting.many("arr", 3)
+    batch = harness.submit_batch("arr", 3)
     assert isinstance(batch, Batch)
-    members = [name for name, _, _ in setting.store.batch_members(batch.id)]
-    after = [
-        setting.waiting(f"f{n}", {"job": batch.id, "on": on}, submitAsHold=True)
-        for n, on in enumerate(("done", "failed"))
+    members = [name for name, _, _ in harness.store.batch_members(batch.id)]
+    dependants = [
+        harness.submit_queued(f"f{n}", {"job": batch.id, "on": condition}, submitAsHold=True)
+        for n, condition in enumerate(("done", "failed"))
     ]
     for name in members:
-        setting.clock.advance(900.0)
-        ended = setting.servers.adopted.get(name)
-        if ended is not None:  # it was out when the program crashed
-            ended(Outcome.OK, b"")
+        harness.clock.advance(900.0)
+        on_ended = harness.workers.callback_handlers.get(name)
+        if on_ended is not None:  # it was sent before the crash
+            on_ended(Outcome.OK, b"")
         else:
-            setting.end(name, Outcome.ERROR if name == members[1] else Outcome.OK)
+            harness.end(name, Outcome.ERROR if name == members[1] else Outcome.OK)
         if name == members[1]:
-            setting.store.remove(name)
-            setting.crash()
-    assert setting.ends[after[0]].state is JobState.FAILED
-    setting.store.remove_ended_before(setting.service.wall_clock() + 1.0)
-    setting.crash()
-    assert setting.store.find_batch("id", batch.id) is None
-    setting.service.release(setting.service.find(after[1]))
-    setting.clock.advance(100.0)
-    assert setting.sent_jobs() == [after[1]]
-
-
-def test_an_array_that_a_crash_cuts_short_was_never_there(setting: Setting) -> None:
-    came: list[Batch | JobError] = []
-    new = setting.templates.new_job(ORDER, waits=True)
-    setting.service.submit_batch("arr", "t", lambda n: new, range(1000), True, None, came.append)
-    assert not came and setting.store.open_jobs()
-    setting.crash()
-    assert not setting.store.open_jobs() and not setting.servers.sent
-    assert isinstance(setting.many("arr", 1000), Batch)
-
-
-def test_an_hour_counts_by_the_wall_clock_as_it_is_set(setting: Setting) -> None:
-    job = setting.waiting("k", startTime=NOON + 3600.0)
-    setting.clock.advance(10_000.0)
-    setting.step = -7200.0
-    setting.clock.advance(3_700_000.0)
-    assert not setting.servers.sent
-    setting.step = 0.0
-    setting.clock.advance(1100.0)
-    setting.step = -7200.0
-    setting.clock.advance(2000.0)
-    assert setting.sent_jobs() == [job]
-
-
-def test_a_hold_takes_back_what_no_server_has(setting: Setting) -> None:
-    setting.drain(True)
-    direct = setting.run("d")
-    setting.service.hold(setting.service.find(direct))
-    assert setting.state(direct) is JobState.QUEUED_HELD
-    setting.drain(False)
-    setting.clock.advance(100.0)
-    assert not setting.servers.sent
-    setting.service.release(setting.service.find(direct))
-    assert setting.sent_jobs() == [direct]
-    for change in (setting.service.hold, setting.service.release):
+            harness.store.remove(name)
+            harness.crash()
+    assert harness.ended_jobs[dependants[0]].state is JobState.FAILED
+    harness.store.remove_ended_before(harness.service.wall_clock() + 1.0)
+    harness.crash()
+    assert harness.store.find_batch("id", batch.id) is None
+    harness.service.release(harness.service.find(dependants[1]))
+    harness.clock.advance(100.0)
+    assert harness.sent_jobs() == [dependants[1]]
+
+
+def test_a_partly_recorded_array_is_deleted_after_a_crash(harness: JobServiceHarness) -> None:
+    results: list[Batch | JobError] = []
+    new = harness.templates.new_job(ORDER, waits=True)
+    harness.service.submit_batch("arr", "t", lambda n: new, range(1000), True, None, results.append)
+    assert not results and harness.store.open_jobs()
+    harness.crash()
+    assert not harness.store.open_jobs() and not harness.workers.sent_attempts
+    assert isinstance(harness.submit_batch("arr", 1000), Batch)
+
+
+def test_a_start_time_follows_the_wall_clock_when_it_is_set(harness: JobServiceHarness) -> None:
+    job = harness.submit_queued("k", startTime=NOON + 3600.0)
+    harness.clock.advance(10_000.0)
+    harness.wall_clock_step_s = -7200.0
+    harness.clock.advance(3_700_000.0)
+    assert not harness.workers.sent_attempts
+    harness.wall_clock_step_s = 0.0
+    harness.clock.advance(1100.0)
+    harness.wall_clock_step_s = -7200.0
+    harness.clock.advance(2000.0)
+    assert harness.sent_jobs() == [job]
+
+
+def test_a_hold_withdraws_a_job_that_no_worker_has(harness: JobServiceHarness) -> None:
+    harness.drain(True)
+    direct = harness.submit("d")
+    harness.service.hold(harness.service.find(direct))
+    assert harness.state(direct) is JobState.QUEUED_HELD
+    harness.drain(False)
+    harness.clock.advance(100.0)
+    assert not harness.workers.sent_attempts
+    harness.service.release(harness.service.find(direct))
+    assert harness.sent_jobs() == [direct]
+    for change in (harness.service.hold, harness.service.release):
         with pytest.raises(JobError, match="RUNNING"):
-            change(setting.service.find(direct))
+            change(harness.service.find(direct))
 
 
-def test_a_reaped_job_is_remembered_by_those_that_wait_for_it(setting: Setting) -> None:
-    first = setting.run("a")
-    setting.end(first)
-    late = setting.waiting("b", first, startTime=NOON + 60.0)
-    setting.store.remove(first)
-    setting.crash()
-    setting.clock.advance(70_000.0)
-    assert setting.sent_jobs() == [late]
+def test_the_outcome_of_a_removed_job_is_kept_for_its_dependants(harness: JobServiceHarness) -> None:
+    first = harness.submit("a")
+    harness.end(first)
+    late = harness.submit_queued("b", first, startTime=NOON + 60.0)
+    harness.store.remove(first)
+    harness.crash()
+    harness.clock.advance(70_000.0)
+    assert harness.sent_jobs() == [late]
 
 
-def test_a_file_of_version_1_is_taken_over_and_a_newer_one_refused(tmp_path: Path) -> None:
+def test_a_file_of_version_1_is_migrated_and_a_newer_one_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "jobs.sqlite"
     db = sqlite3.connect(path)
     db.executescript(store_module.MIGRATIONS[0] + "PRAGMA user_version = 1;")
@@ -450,21 +466,21 @@
     db.execute("INSERT INTO drains VALUES ('w9')")
     db.commit()
     db.close()
-    setting = Setting(tmp_path)
-    assert setting.sent_jobs() == ["open"] and setting.state("ran") is JobState.UNDETERMINED
-    assert setting.state("over") is JobState.DONE and setting.store.drained_workers() == {"w9"}
-    assert setting.run("k-open") == "open"
-    follower = setting.waiting("f", "over", "open")
-    setting.end("open")
-    assert setting.sent_jobs() == ["open", follower]
-    setting.store.db.execute("PRAGMA user_version = 3")
-    setting.store.close()
+    harness = JobServiceHarness(tmp_path)
+    assert harness.sent_jobs() == ["open"] and harness.state("ran") is JobState.UNDETERMINED
+    assert harness.state("over") is JobState.DONE and harness.store.drained_workers() == {"w9"}
+    assert harness.submit("k-open") == "open"
+    dependant = harness.submit_queued("f", "over", "open")
+    harness.end("open")
+    assert harness.sent_jobs() == ["open", dependant]
+    harness.store.db.execute("PRAGMA user_version = 3")
+    harness.store.close()
     with pytest.raises(StoreError, match="newer version"):
         JobStore(str(path))
 
 
 @pytest.mark.parametrize(
-    ("raw", "words"),
+    ("raw", "message"),
     [
         ({"minSlots": 0}, "minSlots: .*>= 1.*it is 0"),
         ({"priority": 1000}, "priority: .*<= 100.*it is 1000"),
@@ -476,6 +492,6 @@
         ({"implementationSpecific": {"payload": "x", "whatever": 1}}, "whatever"),
     ],
 )
-def test_errors_name_the_field_the_value_and_what_is_allowed(raw: Any, words: str) -> None:
-    with pytest.raises(DrmaaError, match=words):
+def test_errors_name_the_field_the_value_and_what_is_allowed(raw: Any, message: str) -> None:
+    with pytest.raises(DrmaaError, match=message):
         Templates(SETTINGS).new_job(ORDER | raw)
