--- a/grebestack/jobs/service.py
+++ b/grebestack/jobs/service.py
@@ -1,7 +1,8 @@
-"""The job service: takes jobs, keeps their records, lets them wait and brings each to its one end.
+"""The job service: accepts jobs, stores them, queues them and brings each to exactly one final state.
 
-Fronts hand jobs in and are told of ends. The waiting room decides which job is let into the engine and when,
-the engine's decision module which server it goes to; what is here records, in time, and carries out.
+API servers submit jobs and are notified of their ends. The job queue decides which job is released to the
+engine and when; the engine's decision module decides which worker gets it. This module carries out these
+decisions, and records what must survive a crash before it acts.
 """
 
 from __future__ import annotations
@@ -16,22 +17,22 @@
 from typing import Protocol
 
 from grebestack.core.api import Outcome, Settings
-from grebestack.job_queue import interface as room_api
-from grebestack.job_queue.interface import Condition, Edge, Spec
-from grebestack.job_queue.job_queue import Room
+from grebestack.job_queue import interface as queue_api
+from grebestack.job_queue.interface import Condition, Dependency, JobSpec
+from grebestack.job_queue.job_queue import JobQueue
 from grebestack.jobs.batch_intake import BatchIntake
-from grebestack.jobs.descriptions import annotation, in_words
+from grebestack.jobs.descriptions import describe_wait, end_annotation
 from grebestack.jobs.earlier_attempts import RetryLimit
 from grebestack.jobs.records import (
     NO_DEADLINE,
     Batch,
-    Codec,
     Job,
     JobError,
+    JobErrorKind,
     JobLimits,
     JobState,
-    Kind,
     NewJob,
+    RequestBuilder,
 )
 from grebestack.jobs.recovery import JobRecovery
 from grebestack.jobs.released_job import ReleasedJob
@@ -40,229 +41,252 @@
 from grebestack.routing.interfaces import Timer
 
 log = logging.getLogger(__name__)
-STORE_AGAIN_MS = 1000.0  # what could not be recorded is tried again after this
-LEAST_PAUSE_MS = 50.0  # a job that was refused is tried again after this at the soonest
-WALL_MS = 1000.0  # the wall clock is read at least so often: it may be set while jobs wait
-NOTES_MS = 100.0  # what nothing hangs on is recorded together, so long after the first of it
-SERVERS_MS = 5.0  # changes of the server table are looked at together, so long after the first
-PRIORITY_DOUBLES = 50.0  # so much more priority halves the wanted time
+STORE_RETRY_MS = 1000.0  # until a failed write to the store is tried again
+MIN_PAUSE_MS = 50.0  # shortest pause before a refused job is tried again
+WALL_CLOCK_INTERVAL_MS = 1000.0  # between reads of the wall clock, which may be set while jobs wait
+RECORDING_DELAY_MS = 100.0  # uncritical records are collected for so long and written together
+AVAILABILITY_CHECK_DELAY_MS = 5.0  # changes of the worker table are collected for so long
+PRIORITY_HALVING_STEP = 50.0  # an increase of the priority that halves the latency objective
 
 
-class Servers(Protocol):
-    """What is asked of the servers' side for jobs that were sent before a restart."""
+class EarlierAttemptHandler(Protocol):
+    """What the job service needs from the worker side for jobs that were sent before a restart."""
 
     def set_callback_handler(
-        self, call_id: str, server: str, ended: Callable[[Outcome, bytes], None] | None
+        self, call_id: str, worker: str, on_ended: Callable[[Outcome, bytes], None] | None
     ) -> None:
-        """Wait for such a job's end; None: no longer."""
+        """Call `on_ended` at the end of such a job; None stops waiting for it."""
 
-    def cancel_job(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
-        """Ask a server to give a job up."""
+    def cancel_job(self, worker: str, call_id: str, on_confirmed: Callable[[], None]) -> None:
+        """Ask a worker to cancel a job; `on_confirmed` is called if it does."""
 
-    def abandon_job(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
-        """Tell a server that a job is not waited for; False if the server is not known."""
+    def abandon_job(self, worker: str, call_id: str, on_response: Callable[[], None]) -> bool:
+        """Tell a worker that nobody waits for a job; `on_response` is called once it has responded.
+
+        Returns False if the worker is not listed.
+        """
 
 
 class JobService:
-    """All jobs of one dispatcher."""
+    """The jobs of one dispatcher."""
 
     def __init__(
         self,
         engine: Engine,
-        servers: Servers,
+        workers: EarlierAttemptHandler,
         settings: Settings,
         store: JobStore,
-        codec: Codec,
+        request_builder: RequestBuilder,
         limits: JobLimits,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        self.engine, self.servers, self.settings, self.store = engine, servers, settings, store
-        self.codec, self.limits, self.wall = codec, limits, wall
-        self.room = Room(
-            room_api.RoomSettings(
-                lanes=len(settings.classes),
-                ahead=limits.ahead,
-                ripe=limits.ripe,
-                most_jobs=limits.most_waiting,
-                most_edges=limits.most_conditions,
+        self.engine, self.workers, self.settings, self.store = engine, workers, settings, store
+        self.request_builder, self.limits, self.wall_clock = request_builder, limits, wall_clock
+        self.job_queue = JobQueue(
+            queue_api.JobQueueSettings(
+                class_count=len(settings.classes),
+                lookahead=limits.lookahead,
+                aged_share=limits.aged_share,
+                max_jobs=limits.max_queued,
+                max_dependencies=limits.max_dependencies,
             )
         )
-        self.classes = {c.name: index for index, c in enumerate(settings.classes)}
-        self.tickets: dict[str, ReleasedJob] = {}
-        self.direct: set[str] = set()  # jobs that asked for no waiting and are not terminated
-        self.retries: dict[str, RetryLimit] = {}  # jobs that are sent again after a restart
-        self.fresh: dict[str, Job] = {}  # recorded in this very call: need not be read again
-        self.ended: Callable[[Job], None] = lambda job: None  # told once of each job, after its record
+        self.class_indices = {c.name: index for index, c in enumerate(settings.classes)}
+        self.released_jobs: dict[str, ReleasedJob] = {}
+        self.direct_jobs: set[str] = set()  # direct jobs that have not ended
+        self.retry_limits: dict[str, RetryLimit] = {}  # for jobs that are sent again after a restart
+        # Recorded in the current call: these need not be read from the store.
+        self.just_submitted: dict[str, Job] = {}
+        # Called once for each job, after its end is recorded.
+        self.on_job_ended: Callable[[Job], None] = lambda job: None
         self.stopping = False
         self.counts: Counter[str] = Counter()
-        self.events: deque[room_api.Event] = deque()
-        self.feeding = False
-        self.tick: Timer | None = None
-        self.ages: dict[str, float | None] = {}  # to be recorded, together
-        self.ends: list[tuple[str, bool, int]] = []  # the same of dispatches
-        self.recording = self.looking = False
-        self.batches, self.recovery = BatchIntake(self), JobRecovery(self)
-        self._servers_changed()
-        engine.table.after_change = self._servers_soon
-        self._read_wall()
+        self.events: deque[queue_api.Event] = deque()
+        self.handling_events = False
+        self.tick_timer: Timer | None = None
+        self.ready_times: dict[str, float | None] = {}  # not recorded yet
+        self.attempt_ends: list[tuple[str, bool, int]] = []  # not recorded yet
+        self.recording_scheduled = self.availability_check_scheduled = False
+        self.batch_intake, self.recovery = BatchIntake(self), JobRecovery(self)
+        self._check_availability()
+        engine.table.after_change = self._schedule_availability_check
+        self._poll_wall_clock()
 
     # Time.
 
-    def clock_ms(self, unix_s: float) -> float:
-        """A Unix time on the engine's clock."""
-        return self.engine.clock.now_ms() + (unix_s - self.wall()) * 1000.0
+    def to_clock_ms(self, unix_s: float) -> float:
+        """Convert a Unix time to the engine's clock."""
+        return self.engine.clock.now_ms() + (unix_s - self.wall_clock()) * 1000.0
 
-    def _read_wall(self) -> None:
-        """Guards jobs that wait for an hour against a wall clock that is set meanwhile."""
-        self._tell_wall()
-        self.engine.clock.call_at(self.engine.clock.now_ms() + WALL_MS, self._read_wall)
+    def _poll_wall_clock(self) -> None:
+        """Keep start times and deadlines right if the wall clock is set while jobs wait."""
+        self._update_wall_clock_offset()
+        self.engine.clock.call_at(self.engine.clock.now_ms() + WALL_CLOCK_INTERVAL_MS, self._poll_wall_clock)
 
-    def _tell_wall(self) -> None:
-        offset = self.wall() * 1000.0 - self.engine.clock.now_ms()
-        if abs(offset - self.room.offset_ms) > 1.0:
-            self.feed(room_api.Wall(offset))
+    def _update_wall_clock_offset(self) -> None:
+        offset = self.wall_clock() * 1000.0 - self.engine.clock.now_ms()
+        if abs(offset - self.job_queue.offset_ms) > 1.0:
+            self.handle_event(queue_api.WallClockOffset(offset))
 
-    def _ticked(self) -> None:
-        self.tick = None
-        self._tell_wall()
-        self.feed(room_api.Tick())
+    def _on_tick(self) -> None:
+        self.tick_timer = None
+        self._update_wall_clock_offset()
+        self.handle_event(queue_api.Tick())
 
-    # The waiting room's events and actions.
+    # Events and actions of the job queue.
 
-    def feed(self, event: room_api.Event) -> None:
-        """Tell the room something and carry out what follows; within that, events wait their turn."""
+    def handle_event(self, event: queue_api.Event) -> None:
+        """Pass an event to the job queue and carry out its actions; events that arise meanwhile follow."""
         self.events.append(event)
-        if self.feeding:
+        if self.handling_events:
             return
-        self.feeding = True
+        self.handling_events = True
         try:
             while self.events:
-                actions = self.room.handle(self.engine.clock.now_ms(), self.events.popleft())
-                ends = [action for action in actions if isinstance(action, room_api.End)]
+                actions = self.job_queue.handle(self.engine.clock.now_ms(), self.events.popleft())
+                ends = [action for action in actions if isinstance(action, queue_api.EndJob)]
                 if ends:
-                    self._end_all(ends)
+                    self._end_jobs(ends)
                 for action in actions:
-                    self._carry_out(action)
+                    self._execute(action)
         finally:
-            self.feeding = False
+            self.handling_events = False
 
-    def _carry_out(self, action: room_api.Action) -> None:
+    def _execute(self, action: queue_api.Action) -> None:
         match action:
-            case room_api.Release(job_id, aged):
+            case queue_api.ReleaseJob(job_id, aged):
                 self._release(job_id, aged)
-            case room_api.Withdraw(job_id):
+            case queue_api.WithdrawJob(job_id):
                 self._withdraw(job_id)
-            case room_api.BecameReady(job_id):
-                self._note_age(job_id, self.wall())
-            case room_api.Wake(at_ms):
-                if self.tick is not None:
-                    self.tick.cancel()
-                self.tick = self.engine.clock.call_at(at_ms, self._ticked)
-
-    def _note_age(self, job_id: str, ready: float | None) -> None:
-        self.ages[job_id] = ready
-        self._record_soon()
-
-    def note_end(self, ended: tuple[str, bool, int]) -> None:
-        """A dispatch has ended that may have run: a record that nothing hangs on."""
-        self.ends.append(ended)
-        self._record_soon()
-
-    def _record_soon(self) -> None:
-        if not self.recording:
-            self.recording = True
-            self.engine.clock.call_at(self.engine.clock.now_ms() + NOTES_MS, self.record_notes)
-
-    def record_notes(self) -> None:
-        """Record what can wait a little, with one flush for all of it."""
-        ages, ends, self.ages, self.ends, self.recording = self.ages, self.ends, {}, [], False
+            case queue_api.RecordReadyTime(job_id):
+                self._defer_ready_time(job_id, self.wall_clock())
+            case queue_api.ScheduleTick(at_ms):
+                if self.tick_timer is not None:
+                    self.tick_timer.cancel()
+                self.tick_timer = self.engine.clock.call_at(at_ms, self._on_tick)
+
+    def _defer_ready_time(self, job_id: str, ready: float | None) -> None:
+        self.ready_times[job_id] = ready
+        self._schedule_recording()
+
+    def defer_attempt_end(self, ended: tuple[str, bool, int]) -> None:
+        """Record later that an attempt has ended that may have run, as the store already says."""
+        self.attempt_ends.append(ended)
+        self._schedule_recording()
+
+    def _schedule_recording(self) -> None:
+        if not self.recording_scheduled:
+            self.recording_scheduled = True
+            self.engine.clock.call_at(self.engine.clock.now_ms() + RECORDING_DELAY_MS, self.record_deferred)
+
+    def record_deferred(self) -> None:
+        """Write the deferred records in one transaction, with one flush."""
+        ready_times, ends, self.ready_times, self.attempt_ends, self.recording_scheduled = (
+            self.ready_times,
+            self.attempt_ends,
+            {},
+            [],
+            False,
+        )
         try:
             with self.store.transaction():
-                self.store.set_ready((ready, job_id) for job_id, ready in ages.items())
-                self.store.ended(ends)
-        except sqlite3.Error as error:  # a restart would count these ages from anew: nothing worse
-            log.error("store_failed", extra={"kv": {"ages": len(ages), "ends": len(ends), "error": error}})
+                self.store.set_ready_times((ready, job_id) for job_id, ready in ready_times.items())
+                self.store.record_attempt_ends(ends)
+        except sqlite3.Error as error:  # the only loss: after a restart these ages start at zero
+            log.error(
+                "store_failed", extra={"kv": {"ages": len(ready_times), "ends": len(ends), "error": error}}
+            )
 
     def _release(self, job_id: str, aged: bool) -> None:
-        """Let a job into the engine."""
-        job = self.fresh.get(job_id)
+        """Open a request in the engine for a job."""
+        job = self.just_submitted.get(job_id)
         try:
             job = job or self.store.get(job_id)
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"job": job_id, "error": error}})
-            self.feed(room_api.Returned(job_id, STORE_AGAIN_MS))
+            self.handle_event(queue_api.JobReturned(job_id, STORE_RETRY_MS))
             return
         if job is None:
             log.error("job_without_record", extra={"kv": {"job": job_id}})
-            self.feed(room_api.JobEnded(job_id, False))
+            self.handle_event(queue_api.JobEnded(job_id, False))
             return
-        ticket = self.tickets[job_id] = ReleasedJob(self, job_id, job.direct)
-        ticket.acknowledged = job_id not in self.fresh
+        released_job = self.released_jobs[job_id] = ReleasedJob(self, job_id, job.direct)
+        released_job.acknowledged = job_id not in self.just_submitted
         try:
-            task = self.codec.task(job)
-        except JobError as error:  # the operator has changed the classes meanwhile
+            job_request = self.request_builder.build_request(job)
+        except JobError as error:  # the operator has changed the job classes meanwhile
             self.finish(job_id, JobState.FAILED, annotation=f"it has not run: {error}")
             return
         now_ms = self.engine.clock.now_ms()
-        deadline_ms = now_ms + self.settings.classes[task.job_class].deadline_ms
+        deadline_ms = now_ms + self.settings.classes[job_request.job_class].deadline_ms
         if job.deadline != NO_DEADLINE:
-            deadline_ms = min(deadline_ms, self.clock_ms(job.deadline))
+            deadline_ms = min(deadline_ms, self.to_clock_ms(job.deadline))
         self.counts["released"] += 1
         self.counts["released_aged"] += aged
-        ticket.session = self.engine.open_request(
-            ticket,
+        released_job.request = self.engine.open_request(
+            released_job,
             job_id,
-            task.payload,
-            task.job_class,
+            job_request.payload,
+            job_request.job_class,
             deadline_ms,
-            slots=task.slots,
-            memory=task.memory,
+            slots=job_request.slots,
+            memory=job_request.memory,
             aged=aged,
         )
 
     def _withdraw(self, job_id: str) -> None:
-        ticket = self.tickets.get(job_id)
-        if ticket is not None and ticket.session is not None and self.engine.withdraw_unsent(ticket.session):
-            self.returned(ticket, 0.0)
-
-    def returned(self, ticket: ReleasedJob, pause_ms: float) -> None:
-        """A job comes back from the engine: it has not run, and waits on."""
-        del self.tickets[ticket.id]
+        released_job = self.released_jobs.get(job_id)
+        if (
+            released_job is not None
+            and released_job.request is not None
+            and self.engine.withdraw_unsent(released_job.request)
+        ):
+            self.return_to_queue(released_job, 0.0)
+
+    def return_to_queue(self, released_job: ReleasedJob, pause_ms: float) -> None:
+        """Put a job that has not run back into the queue."""
+        del self.released_jobs[released_job.id]
         self.counts["returned"] += 1
-        self.feed(room_api.Returned(ticket.id, max(LEAST_PAUSE_MS, pause_ms) if pause_ms else 0.0))
+        self.handle_event(
+            queue_api.JobReturned(released_job.id, max(MIN_PAUSE_MS, pause_ms) if pause_ms else 0.0)
+        )
 
-    # Servers.
+    # Workers.
 
-    def _servers_soon(self) -> None:
-        if not self.looking:
-            self.looking = True
-            self.engine.clock.call_at(self.engine.clock.now_ms() + SERVERS_MS, self._servers_changed)
+    def _schedule_availability_check(self) -> None:
+        if not self.availability_check_scheduled:
+            self.availability_check_scheduled = True
+            self.engine.clock.call_at(
+                self.engine.clock.now_ms() + AVAILABILITY_CHECK_DELAY_MS, self._check_availability
+            )
 
-    def _servers_changed(self) -> None:
-        """A class without a server that takes work lets nothing in: its jobs keep their places."""
-        self.looking = False
+    def _check_availability(self) -> None:
+        """Close the queues of classes without an available worker: their jobs keep their places."""
+        self.availability_check_scheduled = False
         if self.stopping:
             return
         table = self.engine.table
-        kinds = {server.entry.kind for name, server in table.workers.items() if table.accepts_work(name)}
+        worker_kinds = {
+            worker.entry.kind for name, worker in table.workers.items() if table.accepts_work(name)
+        }
         for index, job_class in enumerate(self.settings.classes):
-            is_open = bool(kinds) if job_class.kind == -1 else job_class.kind in kinds
-            if is_open != self.room.lanes[index].open:
-                if len(self.room):
-                    log.info("lane", extra={"kv": {"job_class": job_class.name, "open": is_open}})
-                self.feed(room_api.Lane(index, is_open))
+            available = bool(worker_kinds) if job_class.kind == -1 else job_class.kind in worker_kinds
+            if available != self.job_queue.class_queues[index].available:
+                if len(self.job_queue):
+                    log.info("lane", extra={"kv": {"job_class": job_class.name, "open": available}})
+                self.handle_event(queue_api.ClassAvailabilityChanged(index, available))
 
     def stop(self) -> None:
-        """Take nothing more and let nothing more in: what waits goes on after the next start.
+        """Accept and release no more jobs: queued jobs continue after the next start.
 
-        Guards a planned stop against a waiting room that never empties.
+        Otherwise a planned stop could wait for a queue that never empties.
         """
         self.stopping = True
-        for index in range(len(self.room.lanes)):
-            self.feed(room_api.Lane(index, False))
-        for ticket in list(self.tickets.values()):
-            if not ticket.direct:
-                self._withdraw(ticket.id)
+        for index in range(len(self.job_queue.class_queues)):
+            self.handle_event(queue_api.ClassAvailabilityChanged(index, False))
+        for released_job in list(self.released_jobs.values()):
+            if not released_job.direct:
+                self._withdraw(released_job.id)
 
     # Ends.
 
@@ -275,100 +299,111 @@
         annotation: str = "",
         retry_after: float | None = None,
     ) -> None:
-        """Terminate a job, once; whoever waits for it is told after it is recorded."""
-        ticket = self.tickets.get(job_id)
-        if ticket is not None:
-            if ticket.timer is not None:
-                ticket.timer.cancel()
-            if ticket.adopted is not None:
-                self.servers.set_callback_handler(job_id, ticket.adopted, None)
+        """Record the final state of a job, then notify the queue and the waiting clients."""
+        released_job = self.released_jobs.get(job_id)
+        if released_job is not None:
+            if released_job.timer is not None:
+                released_job.timer.cancel()
+            if released_job.earlier_worker is not None:
+                self.workers.set_callback_handler(job_id, released_job.earlier_worker, None)
         try:
             self.store.finish(
-                job_id, state, self.wall(), result=result, annotation=annotation, retry_after=retry_after
+                job_id,
+                state,
+                self.wall_clock(),
+                result=result,
+                annotation=annotation,
+                retry_after=retry_after,
             )
             job = self.store.get(job_id)
         except sqlite3.Error as error:
-            # Guards an end against a full disk: it is not told before it is recorded, and not lost.
+            # For example, the disk is full. The end must not be lost, nor reported before it is recorded.
             log.error("store_failed", extra={"kv": {"job": job_id, "error": error}})
-            again = partial(
+            retry = partial(
                 self.finish, job_id, state, result=result, annotation=annotation, retry_after=retry_after
             )
-            timer = self.engine.clock.call_at(self.engine.clock.now_ms() + STORE_AGAIN_MS, again)
-            if ticket is not None:
-                ticket.timer = timer
+            timer = self.engine.clock.call_at(self.engine.clock.now_ms() + STORE_RETRY_MS, retry)
+            if released_job is not None:
+                released_job.timer = timer
             return
-        self.tickets.pop(job_id, None)
-        self.direct.discard(job_id)
-        self.retries.pop(job_id, None)
-        self.feed(room_api.JobEnded(job_id, state is JobState.DONE))
+        self.released_jobs.pop(job_id, None)
+        self.direct_jobs.discard(job_id)
+        self.retry_limits.pop(job_id, None)
+        self.handle_event(queue_api.JobEnded(job_id, state is JobState.DONE))
         if job is not None:
-            self.ended(job)
+            self.on_job_ended(job)
 
-    def _end_all(self, ends: Sequence[room_api.End]) -> None:
-        """Record the ends that the room has decided together, with one flush; then tell of them."""
+    def _end_jobs(self, ends: Sequence[queue_api.EndJob]) -> None:
+        """Record the ends that the queue has decided in one transaction, then report them."""
         try:
             with self.store.transaction():
-                now = self.wall()
+                now = self.wall_clock()
                 for end in ends:
-                    note = annotation(end, may_have_run=end.job in self.retries)
-                    self.store.finish(end.job, JobState.FAILED, now, annotation=note)
+                    annotation = end_annotation(end, may_have_run=end.job in self.retry_limits)
+                    self.store.finish(end.job, JobState.FAILED, now, annotation=annotation)
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"ends": len(ends), "error": error}})
-            again = partial(self._end_all, ends)
-            self.engine.clock.call_at(self.engine.clock.now_ms() + STORE_AGAIN_MS, again)
+            retry = partial(self._end_jobs, ends)
+            self.engine.clock.call_at(self.engine.clock.now_ms() + STORE_RETRY_MS, retry)
             return
         for end in ends:
             self.counts[f"ended_{end.cause.name.lower()}"] += 1
-            self.direct.discard(end.job)
-            self.retries.pop(end.job, None)
+            self.direct_jobs.discard(end.job)
+            self.retry_limits.pop(end.job, None)
             job = self.store.get(end.job)
             if job is not None:
-                self.ended(job)
+                self.on_job_ended(job)
 
     # Submissions.
 
-    def _edges(self, after: Iterable[tuple[str, Condition]], names: dict[str, str]) -> tuple[Edge, ...]:
-        """What a job waits for: labels of its submission, jobs, and batches, which stand for their jobs."""
-        edges: dict[tuple[str, Condition], Edge] = {}
-        for name, condition in after:
-            if name in names:
-                found = Edge(names[name], condition)
-            elif self.room.knows(name):
-                found = Edge(name, condition)
+    def _dependencies(
+        self, conditions: Iterable[tuple[str, Condition]], job_ids_by_label: dict[str, str]
+    ) -> tuple[Dependency, ...]:
+        """Resolve a job's dependencies: labels of its own submission, jobs and batches."""
+        dependencies: dict[tuple[str, Condition], Dependency] = {}
+        for name, condition in conditions:
+            if name in job_ids_by_label:
+                dependency = Dependency(job_ids_by_label[name], condition)
+            elif self.job_queue.is_active(name):
+                dependency = Dependency(name, condition)
             else:
-                found = Edge(name, condition, self.how_ended(name))
-            edges[name, condition] = found
-        return tuple(edges.values())
+                dependency = Dependency(name, condition, self.ended_as_done(name))
+            dependencies[name, condition] = dependency
+        return tuple(dependencies.values())
 
-    def how_ended(self, name: str) -> bool:
-        """Whether a job or batch that the room does not know any more was done."""
+    def ended_as_done(self, name: str) -> bool:
+        """Whether a job or batch that is not in the queue any more ended as done."""
         job = self.store.get(name)
         if job is not None:
-            # Not in the room and not terminated: its end is decided and could not be recorded yet.
+            # Without a final state its end is decided but could not be recorded yet: it counts as failed.
             return job.state is JobState.DONE
-        batch = self.store.batch("id", name)
+        batch = self.store.find_batch("id", name)
         if batch is None or not batch.complete:
-            raise JobError(Kind.UNKNOWN, f"there is no job {name} to wait for")
-        return bool(self.store.batch_done(name))
+            raise JobError(JobErrorKind.UNKNOWN, f"there is no job {name} to wait for")
+        return bool(self.store.is_batch_done(name))
 
     def make_job(
         self,
         new: NewJob,
         job_id: str,
         submission: str,
-        names: dict[str, str],
+        job_ids_by_label: dict[str, str],
         batch: Batch | None = None,
         number: int | None = None,
-    ) -> tuple[Job, Spec]:
-        """A job's record and what the room is told of it."""
-        now = self.wall()
+    ) -> tuple[Job, JobSpec]:
+        """Return the record of a new job and its submission to the queue."""
+        now = self.wall_clock()
         deadline = NO_DEADLINE if new.deadline is None else new.deadline
-        if not new.waits:
+        if not new.may_wait:
             deadline = min(deadline, now + self.settings.classes[new.job_class].deadline_ms / 1000.0)
         if deadline <= now:
-            raise JobError(Kind.INVALID, "the deadline has passed")
-        wanted = new.wanted if new.wanted is not None else self.limits.wanted[new.job_class]
-        wanted *= 2.0 ** (-new.priority / PRIORITY_DOUBLES)
+            raise JobError(JobErrorKind.INVALID, "the deadline has passed")
+        latency_objective_s = (
+            new.latency_objective_s
+            if new.latency_objective_s is not None
+            else self.limits.latency_objectives_s[new.job_class]
+        )
+        latency_objective_s *= 2.0 ** (-new.priority / PRIORITY_HALVING_STEP)
         job = Job(
             job_id,
             submission,
@@ -377,24 +412,24 @@
             JobState.QUEUED_HELD if new.held else JobState.QUEUED,
             now,
             deadline,
-            direct=not new.waits,
+            direct=not new.may_wait,
             start=new.start,
-            wanted=wanted,
+            wanted=latency_objective_s,
             any_of=new.any_of,
             batch=None if batch is None else batch.id,
             number=number,
             label=new.label,
         )
-        return job, self.spec_of(job, self._edges(new.after, names))
+        return job, self.spec_of(job, self._dependencies(new.dependencies, job_ids_by_label))
 
     def spec_of(
-        self, job: Job, edges: tuple[Edge, ...], age_ms: float | None = None, sent: bool = False
-    ) -> Spec:
-        return Spec(
+        self, job: Job, dependencies: tuple[Dependency, ...], age_ms: float | None = None, sent: bool = False
+    ) -> JobSpec:
+        return JobSpec(
             job.id,
-            self.classes.get(job.category, 0),
+            self.class_indices.get(job.category, 0),
             max(1.0, job.wanted * 1000.0),
-            edges,
+            dependencies,
             job.any_of,
             None if job.start is None else job.start * 1000.0,
             None if job.deadline == NO_DEADLINE else job.deadline * 1000.0,
@@ -405,127 +440,156 @@
             sent,
         )
 
-    def check_room(self, specs: Sequence[Spec]) -> list[Spec]:
+    def check_and_sort(self, specs: Sequence[JobSpec]) -> list[JobSpec]:
         try:
-            return self.room.check(specs)
-        except room_api.RoomError as error:
-            if error.full:
-                raise JobError(Kind.LATER, str(error), self.drain_ms()) from error
-            raise JobError(Kind.INVALID, str(error)) from error
-
-    def drain_ms(self) -> float:
-        """When there may be room again: about when a hundredth of those that wait have gone."""
-        gaps = [lane.gap_ms for lane in self.room.lanes if lane.gap_ms > 0]
-        return min(60_000.0, max(1000.0, (min(gaps) if gaps else 10.0) * len(self.room) / 100.0))
-
-    def submit(self, submission: str, new: NewJob, crowded: bool = False) -> tuple[Job, bool]:
-        """Take a job: the same key and template are the same job. Its record, and whether it is new.
-
-        JobError: it is not taken, and nothing is left of it.
+            return self.job_queue.check_and_sort(specs)
+        except queue_api.SubmissionError as error:
+            if error.queue_full:
+                raise JobError(JobErrorKind.LATER, str(error), self.estimated_wait_ms()) from error
+            raise JobError(JobErrorKind.INVALID, str(error)) from error
+
+    def estimated_wait_ms(self) -> float:
+        """Estimate when the queue will accept jobs again: after a hundredth of its jobs have been sent."""
+        gaps = [
+            class_queue.mean_gap_ms
+            for class_queue in self.job_queue.class_queues
+            if class_queue.mean_gap_ms > 0
+        ]
+        return min(60_000.0, max(1000.0, (min(gaps) if gaps else 10.0) * len(self.job_queue) / 100.0))
+
+    def submit(self, submission: str, new: NewJob, overloaded: bool = False) -> tuple[Job, bool]:
+        """Accept a job; return its record and whether it is new.
+
+        A repeated key with the same template returns the existing job. With `overloaded`, no new job is
+        accepted.
+
+        Raises
+        ------
+        JobError : the job is not accepted, and nothing of it is stored.
         """
-        earlier = self.store.of_submission(submission)
-        if earlier is not None:
-            if earlier.template != new.template:
-                raise JobError(Kind.CONFLICT, "this key has made another job")
-            return earlier, False
-        if self.store.batch("submission", submission) is not None:
-            raise JobError(Kind.CONFLICT, "this key has made a submission of several jobs")
-        if self.stopping or crowded or (not new.waits and len(self.direct) >= self.limits.most_open):
-            raise JobError(Kind.LATER, "no more jobs are taken now", 1000.0)
+        existing = self.store.find_by_submission(submission)
+        if existing is not None:
+            if existing.template != new.template:
+                raise JobError(JobErrorKind.CONFLICT, "this key was used for another job")
+            return existing, False
+        if self.store.find_batch("submission", submission) is not None:
+            raise JobError(JobErrorKind.CONFLICT, "this key was used for a submission of several jobs")
+        if (
+            self.stopping
+            or overloaded
+            or (not new.may_wait and len(self.direct_jobs) >= self.limits.max_direct)
+        ):
+            raise JobError(JobErrorKind.LATER, "no new jobs are accepted now", 1000.0)
         job, spec = self.make_job(new, uuid.uuid4().hex, submission, {})
-        self.check_room([spec])
+        self.check_and_sort([spec])
         try:
-            self.store.add(job, [(job.id, edge.job, edge.condition, edge.done) for edge in spec.edges])
+            self.store.add(
+                job,
+                [
+                    (job.id, dependency.job, dependency.condition, dependency.done)
+                    for dependency in spec.dependencies
+                ],
+            )
         except sqlite3.Error as error:
             log.error("store_failed", extra={"kv": {"job": job.id, "error": error}})
-            raise JobError(Kind.RESOURCE, "the job could not be recorded", 5000.0) from error
+            raise JobError(JobErrorKind.RESOURCE, "the job could not be recorded", 5000.0) from error
         if job.direct:
-            self.direct.add(job.id)
-            self.fresh[job.id] = job
-        self.feed(room_api.Submitted((spec,)))
-        self.fresh.pop(job.id, None)
-        ticket = self.tickets.get(job.id)
-        if ticket is not None:
-            ticket.acknowledged = True
-            if ticket.deny_ms is not None:
-                del self.tickets[job.id]
-                self.direct.discard(job.id)
-                self.feed(room_api.JobEnded(job.id, False))
+            self.direct_jobs.add(job.id)
+            self.just_submitted[job.id] = job
+        self.handle_event(queue_api.JobsSubmitted((spec,)))
+        self.just_submitted.pop(job.id, None)
+        released_job = self.released_jobs.get(job.id)
+        if released_job is not None:
+            released_job.acknowledged = True
+            if released_job.refusal_retry_after_ms is not None:
+                del self.released_jobs[job.id]
+                self.direct_jobs.discard(job.id)
+                self.handle_event(queue_api.JobEnded(job.id, False))
                 self.store.remove(job.id)
-                raise JobError(Kind.LATER, "refused: it has not run", ticket.deny_ms)
+                raise JobError(
+                    JobErrorKind.LATER, "refused: it has not run", released_job.refusal_retry_after_ms
+                )
         return self.store.get(job.id) or job, True
 
-    # What people want of jobs.
+    # Operations on jobs.
 
     def find(self, job_id: str) -> Job:
-        """The job of an id."""
+        """Return the job with this id; raises JobError if there is none."""
         job = self.store.get(job_id)
         if job is None:
-            raise JobError(Kind.UNKNOWN, f"there is no job {job_id}")
+            raise JobError(JobErrorKind.UNKNOWN, f"there is no job {job_id}")
         return job
 
     def terminate(self, job: Job) -> None:
-        """Have a job cancelled. Its state tells what came of it."""
+        """Start to cancel a job. Whether it worked shows in its final state."""
         if job.state.terminated:
-            raise JobError(Kind.STATE, f"the job is {job.state} already")
+            raise JobError(JobErrorKind.STATE, f"the job is {job.state} already")
         log.info("job_terminate", extra={"kv": {"job": job.id, "state": job.state}})
-        ticket = self.tickets.get(job.id)
-        if ticket is None:
-            self.feed(room_api.Terminated(job.id))
-        elif ticket.session is not None:
-            self.engine.cancel_request(ticket.session)
-        elif ticket.adopted is not None:
-            self.servers.cancel_job(ticket.adopted, job.id, partial(self.recovery.on_cancelled, job.id))
+        released_job = self.released_jobs.get(job.id)
+        if released_job is None:
+            self.handle_event(queue_api.TerminationRequested(job.id))
+        elif released_job.request is not None:
+            self.engine.cancel_request(released_job.request)
+        elif released_job.earlier_worker is not None:
+            self.workers.cancel_job(
+                released_job.earlier_worker, job.id, partial(self.recovery.on_cancelled, job.id)
+            )
 
     def hold(self, job: Job) -> None:
-        """Keep a job that no server has been sent from going on."""
+        """Hold a job that is not sent yet."""
         if job.state in (JobState.QUEUED_HELD, JobState.REQUEUED_HELD):
             return
-        ticket = self.tickets.get(job.id)
-        out = ticket is not None and (ticket.session is None or ticket.session.may_have_run)
+        released_job = self.released_jobs.get(job.id)
+        sent = released_job is not None and (
+            released_job.request is None or released_job.request.may_have_run
+        )
         queued = job.state in (JobState.QUEUED, JobState.REQUEUED)
-        if not queued or out:
-            what = "being sent" if queued else job.state
-            raise JobError(Kind.STATE, f"the job is {what}: only one that is queued can be held")
+        if not queued or sent:
+            state_text = "being sent" if queued else job.state
+            raise JobError(
+                JobErrorKind.STATE, f"the job is {state_text}: only one that is queued can be held"
+            )
         requeued = job.state is JobState.REQUEUED
         self.store.set_state(job.id, JobState.REQUEUED_HELD if requeued else JobState.QUEUED_HELD)
-        self._note_age(job.id, None)
-        self.feed(room_api.Held(job.id, True))
+        self._defer_ready_time(job.id, None)
+        self.handle_event(queue_api.HoldChanged(job.id, True))
         log.info("job_hold", extra={"kv": {"job": job.id}})
 
     def release(self, job: Job) -> None:
-        """Lift a hold."""
+        """Release a held job."""
         if not job.state.held:
-            raise JobError(Kind.STATE, f"the job is {job.state}: it is not held")
+            raise JobError(JobErrorKind.STATE, f"the job is {job.state}: it is not held")
         requeued = job.state is JobState.REQUEUED_HELD
         self.store.set_state(job.id, JobState.REQUEUED if requeued else JobState.QUEUED)
-        self.feed(room_api.Held(job.id, False))
+        self.handle_event(queue_api.HoldChanged(job.id, False))
         log.info("job_release", extra={"kv": {"job": job.id}})
 
-    def why(self, job_id: str) -> str:
-        """Why a job waits, in words; empty for one that does not."""
+    def wait_reason(self, job_id: str) -> str:
+        """Describe why a job waits; empty if it has ended."""
         try:
-            why = self.room.why(job_id)
+            status = self.job_queue.wait_status(job_id)
         except KeyError:
             return ""
-        return in_words(why, self.room.unix_ms)
+        return describe_wait(status, self.job_queue.unix_ms)
 
-    # Submissions of several jobs, and jobs of before a restart.
+    # Batches, and jobs from before a restart.
 
-    def submit_many(
+    def submit_batch(
         self,
         submission: str,
         template: str,
-        news: Sequence[NewJob] | Callable[[int], NewJob],
+        new_jobs: Sequence[NewJob] | Callable[[int], NewJob],
         numbers: range,
-        array: bool,
-        most: int | None,
-        done: Callable[[Batch | JobError], None],
-        crowded: bool = False,
+        is_array: bool,
+        max_parallel: int | None,
+        on_done: Callable[[Batch | JobError], None],
+        overloaded: bool = False,
     ) -> None:
-        """Take several jobs, all or none; see `BatchIntake.submit`."""
-        self.batches.submit(submission, template, news, numbers, array, most, done, crowded)
+        """Accept several jobs, all or none; see `BatchIntake.submit`."""
+        self.batch_intake.submit(
+            submission, template, new_jobs, numbers, is_array, max_parallel, on_done, overloaded
+        )
 
     def restore(self) -> None:
-        """Take up the jobs of before a restart; see `JobRecovery.restore`."""
+        """Restore the jobs from before a restart; see `JobRecovery.restore`."""
         self.recovery.restore()
