--- a/grebestack/program/appliance.py
+++ b/grebestack/program/appliance.py
@@ -15,8 +15,8 @@
 from grebestack.consul.entries import Entries, Reading, networks_of
 from grebestack.consul.source import Asking, ConsulSource, ServiceWatch, Token
 from grebestack.core.api import Settings
+from grebestack.drmaa.api import DrmaaFront
 from grebestack.drmaa.console import Console, Fleet
-from grebestack.drmaa.front import DrmaaFront
 from grebestack.drmaa.template import Templates
 from grebestack.jobs.records import JobLimits
 from grebestack.jobs.service import JobService
