--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -12,7 +12,7 @@
 from grebestack.core import api
 from grebestack.core.api import Outcome
 from grebestack.drmaa.errors import DrmaaError
-from grebestack.drmaa.template import Templates
+from grebestack.drmaa.template import TemplateConverter
 from grebestack.job_queue.interface import JobStage
 from grebestack.jobs import store as store_module
 from grebestack.jobs.records import Batch, Job, JobError, JobErrorKind, JobLimits, JobState
@@ -113,7 +113,7 @@
         self.engine = Engine(self.settings, 1, self.clock, table)
         self.workers = self.engine.workers = FakeWorkers(self.engine)
         self.store = FailingStore(str(self.path / "jobs.sqlite"))
-        self.templates = Templates(self.settings)
+        self.templates = TemplateConverter(self.settings)
         limits = JobLimits(latency_objectives_s=(10.0, 10.0, 10.0), max_direct=10, max_queued=20_000)
         self.service = JobService(
             self.engine,
@@ -494,4 +494,4 @@
 )
 def test_errors_name_the_field_the_value_and_what_is_allowed(raw: Any, message: str) -> None:
     with pytest.raises(DrmaaError, match=message):
-        Templates(SETTINGS).new_job(ORDER | raw)
+        TemplateConverter(SETTINGS).new_job(ORDER | raw)
