--- a/grebestack/job_queue/__init__.py
+++ b/grebestack/job_queue/__init__.py
@@ -1,1 +1,1 @@
-"""The waiting room: which job is let into the engine next, and when. Pure: no I/O, no clock, no threads."""
+"""The job queue: decides which job is released to the engine next, and when; no I/O, no clock, no threads."""
--- a/grebestack/job_queue/interface.py
+++ b/grebestack/job_queue/interface.py
@@ -98,8 +98,7 @@
     """A job as it is submitted to the queue.
 
     After a restart, `age_ms` is how long the job had been ready before and `sent` whether it may have run.
-    A `direct` job asks for no queueing: it is released as soon as nothing blocks it, and a refusal
-    ends it.
+    A `direct` job asks for no queueing: it is released as soon as nothing blocks it, and a refusal ends it.
     """
 
     job: str
@@ -213,7 +212,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The time of a `ScheduleTick` has come."""
+    """The time of a `ScheduleTick` has been reached."""
 
 
 Event = (
@@ -291,9 +290,7 @@
     deadline_unix_ms: float | None = None
     age_ms: float = 0.0  # since it became ready
     latency_objective_ms: float = 0.0
-    jobs_ahead: int | None = (
-        None  # ready jobs of its class that are released before it; None if it is not ready
-    )
+    jobs_ahead: int | None = None  # ready jobs of its class before it; None if it is not ready
     batch_full: bool = False
     class_unavailable: bool = False
     retry_in_ms: float = 0.0  # until it is tried again after a refusal
--- a/grebestack/job_queue/job_queue.py
+++ b/grebestack/job_queue/job_queue.py
@@ -425,7 +425,7 @@
                 self._end_job(node, EndCause.DEPENDENCY, dependency, root_job)
 
     def _process_due_jobs(self) -> None:
-        """Move on the jobs whose time has come; deadlines first, so that no overdue job is released."""
+        """Process the jobs whose time has been reached; deadlines first, to release no overdue job."""
         while self.steps_left > 0 and self._has_been_reached(self.by_deadline.first_key()):
             node = self.by_deadline.pop()
             if node.stage in (JobStage.BLOCKED, JobStage.READY):  # else the engine enforces the deadline
@@ -499,7 +499,7 @@
                     self.actions.append(api.ReleaseJob(node.id, aged))
 
     def _schedule_tick(self) -> None:
-        """Schedule the next tick, unless one is scheduled that comes in time."""
+        """Schedule the next tick, unless an earlier one is scheduled."""
         at = min(
             min(self.by_start.first_key(), self.by_deadline.first_key()) - self.offset_ms,
             self.by_retry_time.first_key(),
--- a/grebestack/jobs/__init__.py
+++ b/grebestack/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""The job service: the life of a job from its record to its one end. It knows neither HTTP nor DRMAA."""
+"""The job service: handles a job from its first record to its final state; independent of HTTP and DRMAA."""
--- a/grebestack/jobs/earlier_attempts.py
+++ b/grebestack/jobs/earlier_attempts.py
@@ -1,7 +1,8 @@
 """Decides whether a job that was sent before a restart may be sent again.
 
 The store records an attempt before its first byte is sent. After a crash, a job may therefore count as sent
-although no worker has received it. It can't be told from a job whose response was lost, and is treated alike.
+although no worker has received it. It can't be distinguished from a job whose response was lost, and is
+treated in the same way.
 """
 
 from __future__ import annotations
