--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -28,7 +28,7 @@
 from harness import conclude, percentile
 
 from grebestack.consul.agents import Agents, AgentSettings
-from grebestack.consul.entries import Entries, Reading
+from grebestack.consul.instances import Entries, Reading
 from grebestack.consul.source import Asking, Query, ServiceWatch, Token
 from grebestack.core import api
 from grebestack.membership.interface import Listed, MembershipSettings, Standing
--- a/grebestack/consul/source.py
+++ b/grebestack/consul/source.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from grebestack.consul.agents import Agents, AgentSettings, Reply, Verdict
-from grebestack.consul.entries import Entries
+from grebestack.consul.instances import Entries
 from grebestack.core.api import ListKind
 from grebestack.routing.interfaces import Clock, Timer, WorkerListReceiver
 from grebestack.routing.worker_table import WorkerEndpoint
--- a/grebestack/program/appliance.py
+++ b/grebestack/program/appliance.py
@@ -12,7 +12,7 @@
 from typing import Any, Literal, cast
 
 from grebestack.consul.agents import AgentSettings
-from grebestack.consul.entries import Entries, Reading, networks_of
+from grebestack.consul.instances import Entries, Reading, networks_of
 from grebestack.consul.source import Asking, ConsulSource, ServiceWatch, Token
 from grebestack.core.api import Settings
 from grebestack.drmaa.api import DrmaaApi
--- a/tests/test_consul_agents.py
+++ b/tests/test_consul_agents.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from grebestack.consul.agents import Agents, AgentSettings, Reply, Verdict
-from grebestack.consul.entries import Entries, Reading, networks_of
+from grebestack.consul.instances import Entries, Reading, networks_of
 from grebestack.consul.source import Asking, Token
 from grebestack.core.api import WorkerEntry, WorkerState
 from grebestack.protocol.snapshot import SnapshotError, load_lists, save_lists
