--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -298,7 +298,7 @@
         began = time.process_time()
         for n in range(rounds):
             changed = (replace(report, state=states[n % 2]),)
-            self.roster.handle_event(SourceUpdated("consul job", changed, is_full=False))
+            self.roster.handle_event(SourceUpdated("consul job", changed, is_complete=False))
         return (time.process_time() - began) / rounds * 1e6
 
     def _note(self, began: float) -> None:
--- a/grebestack/audit/__init__.py
+++ b/grebestack/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Which dispatcher acted on which version: stamps, the record of acts, what records of many come to. Pure."""
+"""The audit log: which dispatcher did what under which versions, and the report merged from many. Pure."""
--- a/grebestack/audit/html_report.py
+++ b/grebestack/audit/html_report.py
@@ -1,4 +1,4 @@
-"""The audit as one page: a lane for each dispatcher, a band for each version that it held. Pure."""
+"""The audit report as an HTML page: a row for each dispatcher, a bar for each period of a version. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from grebestack.audit.merge import COMPARED_FIELDS, MergedAudit, report_lines, version_text
 from grebestack.audit.reading import AuditLog
 
-CHART_WIDTH, ROW_HEIGHT, LABEL_WIDTH = 1000.0, 26.0, 140.0
+CHART_WIDTH, ROW_HEIGHT, LABEL_WIDTH = 1000.0, 26.0, 140.0  # in pixels
 COLOURS = ("#4477aa", "#ee6677", "#228833", "#ccbb44", "#66ccee", "#aa3377", "#bbbbbb")
 STYLE = """body{font:14px sans-serif;margin:2em}svg text{font:12px sans-serif}
 pre{background:#f4f4f4;padding:1em}
@@ -18,7 +18,7 @@
 def _row(
     log: AuditLog, number: int, start: float, span: float, colours: dict[str, str], which: str
 ) -> list[str]:
-    """One dispatcher's lane."""
+    """Return the SVG elements of one dispatcher's row; `start` and `span` in milliseconds."""
     top = 10.0 + number * ROW_HEIGHT
     parts = [f'<text x="0" y="{top + 14:.0f}">{html.escape(log.dispatcher)}</text>']
     for period in log.periods:
@@ -46,7 +46,7 @@
 
 
 def report_page(audit: MergedAudit) -> str:
-    """All of it as HTML that needs nothing else."""
+    """Return the report as one HTML page without external resources."""
     starts = [p.from_ms for log in audit.logs.values() for p in log.periods]
     start = min(starts, default=0.0)
     span = max(1.0, max((log.last_item_ms for log in audit.logs.values()), default=0.0) - start)
@@ -57,7 +57,7 @@
     ]
     for which in COMPARED_FIELDS:
         if len(audit.versions.get(which, {})) < 2 and which != "settings":
-            continue  # one version all the time: the text says which
+            continue  # the version never changed: the text names it
         colours: dict[str, str] = {}
         height = 10.0 + len(names) * ROW_HEIGHT
         rows = [
--- a/grebestack/audit/merge.py
+++ b/grebestack/audit/merge.py
@@ -1,8 +1,7 @@
-"""What the records of many dispatchers come to: who acted on which version, who was behind. Pure.
+"""Merges the audit logs of many dispatchers: who acted under which version, and who was behind. Pure.
 
-Clocks are told apart by their bounds only: of two moments by two dispatchers one is before the other where
-the bounds say so, else their order is not known, and the answer says that. A dispatcher's own moments are in
-order.
+Times at different dispatchers are compared within the maximum errors of their clocks: if one is not earlier
+beyond these errors, the report says that their order is unknown. Times at one dispatcher are in order.
 """
 
 from __future__ import annotations
@@ -22,35 +21,36 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionLag:
-    """A dispatcher that took a version later than another had it; least and most, by the clocks' bounds."""
+    """A dispatcher that adopted a version later than another one. Its fields are named as in the report."""
 
     dispatcher: str
     field: str
     version: str
-    least_ms: float
-    most_ms: float | None  # None: it never took it, as far as is known
-    acts: int  # done meanwhile under what it had instead, as far as is written down
+    least_ms: float  # how much later, at least and at most, by the errors of both clocks
+    most_ms: float | None  # None: it is not known to have adopted it
+    acts: int  # actions recorded meanwhile under its former version
 
 
 @dataclass(slots=True)
 class MergedAudit:
-    """The answers."""
+    """What the audit logs of all dispatchers show."""
 
-    logs: dict[str, AuditLog]
-    # By field and version: who had it first when; and who did how many acts under it.
+    logs: dict[str, AuditLog]  # by dispatcher
+    # By field, version and dispatcher: when the dispatcher first had the version.
     versions: dict[str, dict[str, dict[str, float]]] = field(default_factory=dict)
-    action_counts: dict[str, Counter[str]] = field(default_factory=dict)  # by dispatcher: what was done
+    action_counts: dict[str, Counter[str]] = field(default_factory=dict)  # by dispatcher and kind
+    # By field, version and dispatcher: how many actions the dispatcher took under the version.
     actions_under: dict[str, dict[str, Counter[str]]] = field(default_factory=dict)
     lags: list[VersionLag] = field(default_factory=list)
-    doubts: dict[str, list[str]] = field(default_factory=dict)
+    doubts: dict[str, list[str]] = field(default_factory=dict)  # by dispatcher
 
     def actions_of_call(self, call_id: str) -> list[AuditedAction]:
-        """All that is written down of one job, by time; the order across dispatchers holds within bounds."""
+        """Return all recorded actions for one job by time; across dispatchers the order may be uncertain."""
         found = [action for log in self.logs.values() for action in log.actions if action.call_id == call_id]
         return sorted(found, key=lambda action: action.at_ms)
 
     def is_certainly_before(self, one: AuditedAction, other: AuditedAction) -> bool:
-        """Whether the first is before the second beyond the clocks' bounds."""
+        """Whether the first action is earlier than the second whatever the errors of the clocks."""
         if one.dispatcher == other.dispatcher:
             return one.at_ms < other.at_ms
         error_ms = (
@@ -60,20 +60,20 @@
 
 
 def version_text(versions: VersionSet, name: str) -> str:
-    """A version as a word. A revision counts within its source alone."""
+    """Return one version as text. A revision is prefixed with its source, as it compares within that only."""
     if name == "revision":
         return f"{versions.source or 'none'}@{versions.revision}"
     return str(getattr(versions, name))
 
 
 def _number_of(version: str) -> int | None:
-    """Of a version that has an order of its own."""
+    """Return the number of a version that is ordered."""
     number = version.rpartition("@")[2]
     return int(number) if number.isdigit() else None
 
 
 def merge(logs: Mapping[str, AuditLog]) -> MergedAudit:
-    """Put the records together."""
+    """Merge the logs of dispatchers, given by name."""
     audit = MergedAudit(dict(logs))
     for name, log in logs.items():
         audit.action_counts[name] = Counter(action.kind for action in log.actions)
@@ -100,7 +100,7 @@
 
 
 def _find_lags(audit: MergedAudit, which: str) -> None:
-    """For each version of one kind: who took it later than the first that had it."""
+    """Add the dispatchers that adopted a version of one field later than the first one to have it."""
     for version, since in audit.versions.get(which, {}).items():
         first = min(since, key=lambda name: since[name])
         first_ms, first_error_ms = since[first], audit.logs[first].max_clock_error_ms
@@ -110,7 +110,7 @@
             error_ms = first_error_ms + log.max_clock_error_ms
             periods_after = [p for p in log.periods if p.to_ms is None or p.to_ms > first_ms]
             if not periods_after or (name not in since and log.last_item_ms <= first_ms + error_ms):
-                continue  # it is not known to have been there then
+                continue  # it is not known to have run then
             adopted_ms = since.get(name)
             if adopted_ms is None:
                 adopted_ms = _first_reached_ms(log, which, version)
@@ -130,7 +130,7 @@
 
 
 def _has_reached(versions: VersionSet, which: str, version: str) -> bool:
-    """Whether a stamp is at a version, or past it where versions have an order."""
+    """Whether a version set has a version, or a later one if versions of this field are ordered."""
     own_version = version_text(versions, which)
     if own_version == version:
         return True
@@ -141,12 +141,12 @@
 
 
 def _first_reached_ms(log: AuditLog, which: str, version: str) -> float | None:
-    """When a dispatcher had gone past a version that it never held itself."""
+    """Return when a dispatcher first had a later version than one that it never had itself."""
     return next((p.from_ms for p in log.periods if _has_reached(p.versions, which, version)), None)
 
 
 def report_data(audit: MergedAudit, call_id: str = "") -> dict[str, Any]:
-    """All of it for JSON; what is not known is null."""
+    """Return the report for JSON, with one job's actions if `call_id` is given; null: unknown."""
     result: dict[str, Any] = {
         "dispatchers": {
             name: {
@@ -192,14 +192,14 @@
 
 
 def report_lines(audit: MergedAudit, call_id: str = "") -> Sequence[str]:
-    """For people, a line each."""
+    """Return the lines of the report for people, with one job's actions if `call_id` is given."""
     lines = []
     for name in sorted(audit.logs):
         log = audit.logs[name]
         counts = (
             ", ".join(f"{n} {kind}" for kind, n in sorted(audit.action_counts[name].items())) or "no acts"
         )
-        sampled_out = f", {log.sampled_out} sends left out by the rule of sampling" if log.sampled_out else ""
+        sampled_out = f", {log.sampled_out} sends left out by sampling" if log.sampled_out else ""
         lines.append(f"{name}: {counts}{sampled_out}; clock within {log.max_clock_error_ms:g} ms")
         lines += [f"  NOT VOUCHED FOR: {doubt}" for doubt in audit.doubts.get(name, ())]
     for which in COMPARED_FIELDS:
@@ -208,7 +208,7 @@
             who = ", ".join(f"{n} from {at:.0f} ms ({acts[n]} acts)" for n, at in sorted(since.items()))
             lines.append(f"{which} {version or 'none'}: {who}")
     for lag in audit.lags:
-        span = f"at least {lag.least_ms:.0f} ms; when it took it is unknown"
+        span = f"at least {lag.least_ms:.0f} ms; it is not known to have adopted it"
         if lag.most_ms is not None:
             span = f"{lag.least_ms:.0f} to {lag.most_ms:.0f} ms"
         what = f"{lag.field} {lag.version or 'none'}"
--- a/grebestack/audit/reading.py
+++ b/grebestack/audit/reading.py
@@ -1,4 +1,4 @@
-"""One dispatcher's record as its files have it: its items in order, and why it can't be vouched for. Pure."""
+"""Reads one dispatcher's audit log from its segments, and notes why it may be incomplete. Pure."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditedAction:
-    """An act as the record has it, with the versions that it was done under."""
+    """A recorded action, with the versions it was taken under."""
 
     dispatcher: str
     at_ms: float
     kind: str
-    call_id: str
-    worker: str
+    call_id: str  # or the operator's command
+    worker: str  # or the target of the operator's command
     versions: VersionSet
     process_incarnation: str
-    set_number: int  # the number of the versions within that life
+    set_number: int  # of the version set, within that process incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class VersionPeriod:
-    """From when to when versions were in force at a dispatcher; the end is not known if it did not say."""
+    """When a version set was in force at a dispatcher; without an end if the log does not have it."""
 
     dispatcher: str
     versions: VersionSet
@@ -48,23 +48,23 @@
 
 @dataclass(slots=True)
 class AuditLog:
-    """What one dispatcher's files come to."""
+    """The contents of one dispatcher's segments."""
 
     dispatcher: str
-    max_clock_error_ms: float = 0.0  # its clock is at most so far from true
+    max_clock_error_ms: float = 0.0
     actions: list[AuditedAction] = field(default_factory=list)
     periods: list[VersionPeriod] = field(default_factory=list)
     gaps: list[Gap] = field(default_factory=list)
-    doubts: list[str] = field(default_factory=list)  # why it can't be vouched for
-    last_item_ms: float = 0.0  # the last thing it says
+    doubts: list[str] = field(default_factory=list)  # why it may be incomplete
+    last_item_ms: float = 0.0
 
     @property
     def sampled_out(self) -> int:
-        """Acts that the rule of sampling left out."""
+        """How many actions were left out by sampling."""
         return sum(gap.acts for gap in self.gaps if gap.why == "sampled")
 
     def begin_period(self, at_ms: float, versions: VersionSet) -> None:
-        """From now on it holds these."""
+        """Note that a version set is in force from now on."""
         if self.periods and self.periods[-1].to_ms is None:
             last = self.periods[-1]
             if last.versions == versions:
@@ -73,7 +73,7 @@
         self.periods.append(VersionPeriod(self.dispatcher, versions, at_ms, None))
 
     def end_period(self, at_ms: float) -> None:
-        """It says no more of what it holds."""
+        """Note that the version set in force is not known to be so any longer."""
         if self.periods and self.periods[-1].to_ms is None:
             last = self.periods[-1]
             self.periods[-1] = VersionPeriod(last.dispatcher, last.versions, last.from_ms, at_ms)
@@ -81,20 +81,20 @@
 
 @dataclass(slots=True)
 class _Reader:
-    """What is carried from one segment to the next."""
+    """Reads segments in order, with the state that is carried from one to the next."""
 
     log: AuditLog
-    segment: int | None = None  # the last that was read
+    segment: int | None = None  # the number of the last one read
     process_incarnation: str = ""
-    is_running: bool = False  # that life goes on
-    is_closed: bool = True  # that segment said that it ends
-    version_sets: dict[int, VersionSet] = field(default_factory=dict)  # that the segment has named
+    is_running: bool = False  # that process incarnation has not stopped
+    is_closed: bool = True  # the last segment has its end
+    version_sets: dict[int, VersionSet] = field(default_factory=dict)  # that this segment has defined
 
     def read_segment(self, name: str, data: bytes) -> None:
         """Read one segment."""
         contents, doubts = read_log(data, 1, MAGIC), self.log.doubts
         if contents.corruption:
-            doubts.append(f"{name}: {contents.corruption}; what follows in it is not known")
+            doubts.append(f"{name}: {contents.corruption}; the rest of the segment is unknown")
         self.version_sets = {}
         for payload in contents.payloads:
             try:
@@ -104,11 +104,13 @@
                 break
             for item in items:
                 if isinstance(item, SegmentHeader) and item.version != FORMAT_VERSION:
-                    doubts.append(f"{name}: of version {item.version}; this program reads {FORMAT_VERSION}")
+                    doubts.append(
+                        f"{name}: its format is {item.version}; this program reads {FORMAT_VERSION}"
+                    )
                     return
                 self._on_item(name, item)
         if contents.has_torn_end:
-            doubts.append(f"{name}: its end is torn")
+            doubts.append(f"{name}: its last record is torn")
 
     def _on_item(self, name: str, item: Item) -> None:
         log = self.log
@@ -130,16 +132,19 @@
                 log.end_period(item.at_ms)
 
     def _on_header(self, name: str, header: SegmentHeader) -> None:
-        """Another segment begins: does it follow the one before?"""
+        """Check that a segment follows the one before it."""
         log = self.log
         if self.segment is not None and header.segment != self.segment + 1:
-            log.doubts.append(f"{name}: segment {header.segment} follows {self.segment}: some are gone")
+            log.doubts.append(f"{name}: segment {header.segment} follows {self.segment}: some are missing")
         if self.is_running and self.process_incarnation != header.life:
             until = f"{log.last_item_ms:.0f} ms"
-            log.doubts.append(f"life {self.process_incarnation} ended without a word at {until} or later")
+            log.doubts.append(
+                f"process incarnation {self.process_incarnation} ended without recording its stop,"
+                f" at {until} or later"
+            )
             log.end_period(log.last_item_ms)
         elif not self.is_closed and self.process_incarnation == header.life:
-            log.doubts.append(f"segment {self.segment} was not sealed: its end may be lost")
+            log.doubts.append(f"segment {self.segment} was not closed: its end may be lost")
         log.max_clock_error_ms = max(log.max_clock_error_ms, header.off_ms)
         self.segment, self.process_incarnation, self.is_running, self.is_closed = (
             header.segment,
@@ -151,7 +156,7 @@
     def _on_action(self, name: str, record: ActionRecord) -> None:
         versions = self.version_sets.get(record.stamp)
         if versions is None:
-            self.log.doubts.append(f"{name}: an act under stamp {record.stamp}, which it does not say")
+            self.log.doubts.append(f"{name}: an act under version set {record.stamp}, which is not defined")
             return
         dispatcher = self.log.dispatcher
         action = AuditedAction(
@@ -168,10 +173,9 @@
 
 
 def read_audit_log(dispatcher: str, files: Iterable[tuple[str, bytes]]) -> AuditLog:
-    """Read a dispatcher's files, by name in the order of their segments.
+    """Read a dispatcher's segments, given by name in the order of their numbers.
 
-    A segment whose number is not the next, one without an end, a batch that is not what was written: each is
-    a doubt. What can be read beside it is used.
+    A missing segment, one without an end and a corrupt batch are each noted as a doubt; the rest is used.
     """
     log, found = AuditLog(dispatcher), False
     reader = _Reader(log)
@@ -183,5 +187,6 @@
     elif reader.is_running:
         until = f"{log.last_item_ms:.0f} ms"
         log.doubts.append(f"it has not said that it stopped; nothing is known after {until}")
-    log.actions = list(dict.fromkeys(log.actions))  # operators' may be written twice where the disk failed
+    # Operators' actions are written again after a failure of the disk, and may be there twice.
+    log.actions = list(dict.fromkeys(log.actions))
     return log
--- a/grebestack/audit/recorder.py
+++ b/grebestack/audit/recorder.py
@@ -1,12 +1,12 @@
-"""What of a dispatcher's acts goes into its record, in which batches and segments. Pure.
+"""Decides which actions of a dispatcher are recorded, and in which batches and segments. Pure.
 
-The shell asks for the next batch once the one before is on the disk, so that many acts share one sync, and a
-disk that is slow makes batches longer, up to a bound. Beyond it acts are counted, not kept: the gap is
-written down with its reason as soon as the disk takes it.
+The caller asks for the next batch once the previous one is on the disk, so that many actions share one sync,
+and batches grow, up to a limit, while the disk is slow. Actions beyond that limit are counted, not kept; the
+gap is recorded with its reason in the next batch.
 
-The rule of sampling: of sends and retries under the stamp in force, when more than `full_rate` acts came in
-the second before, those are kept whose job's id hashes into the share that fits. All others are always kept:
-denies, failures, cancels, what operators do, and the first acts of a stamp.
+Sampling applies to sends and retries. If the second before had more than `max_full_rate` actions, only those
+of jobs whose call ids hash into the share that fits are kept. All other actions are always kept: denials,
+failures, cancellations, operators' actions, and the first ones under a version set.
 """
 
 from __future__ import annotations
@@ -28,61 +28,61 @@
 from grebestack.audit.version_sets import VersionSets
 
 SAMPLED_KINDS = frozenset({"send", "retry"})
-UNSAMPLED_ACTIONS = 100  # acts of a stamp that are all kept: what a version does at first matters most
-MAX_BATCH_ITEMS = 2000  # items of one frame: some 200 KB
+UNSAMPLED_ACTIONS = 100  # the first of a version set are all kept: they show how a new version begins
+MAX_BATCH_ITEMS = 2000  # about 200 KB
 
 
 def sampling_position(call_id: str) -> float:
-    """From 0 to under 1, by the job's id: all dispatchers keep or leave out the same jobs."""
+    """Return a number from 0 to below 1 by the call id, so that all dispatchers sample the same jobs."""
     return (crc32(call_id.encode("utf-8", "surrogatepass")) & 0xFFFF) / 65536.0
 
 
 @dataclass(frozen=True, slots=True)
 class RecorderLimits:
-    """What the operator's file says."""
+    """Limits from the operator's file."""
 
-    max_full_rate: float = 2000.0  # acts a second that are all kept
+    max_full_rate: float = 2000.0  # actions per second up to which all are kept
     max_waiting_items: int = 20_000  # items that wait for the disk
     max_segment_bytes: int = 8 * 1024 * 1024
-    max_clock_error_ms: float = 100.0  # how far this machine's clock may be from true
+    max_clock_error_ms: float = 100.0  # of this machine's clock
 
 
 @dataclass(slots=True)
 class Recorder:
-    """One dispatcher's record. Times are Unix milliseconds; they never go back here."""
+    """The audit log of one dispatcher. Times are Unix milliseconds and never decrease here."""
 
-    name: str
+    name: str  # the dispatcher's
     process_incarnation: str
     version_sets: VersionSets
     limits: RecorderLimits
     segment: int  # the number of the next one
     now_ms: float = 0.0
     waiting_items: list[Item] = field(default_factory=list)
-    batch_in_flight: tuple[Item, ...] = ()  # the batch that the disk has now
-    segment_bytes: int = 0  # bytes of the segment
+    batch_in_flight: tuple[Item, ...] = ()  # being written
+    segment_bytes: int = 0
     is_segment_open: bool = False
     stopped: bool = False
-    gaps: dict[str, Gap] = field(default_factory=dict)  # by reason, not yet among what waits
+    gaps: dict[str, Gap] = field(default_factory=dict)  # by reason; not among the waiting items yet
     current_second: int = 0
     actions_in_second: int = 0
     kept_share: float = 1.0
     actions_under_set: int = 0
-    last_change: VersionsChanged | None = None  # the last that was put into a batch
-    change_before_batch: VersionsChanged | None = None  # and the last one before that batch
+    last_change: VersionsChanged | None = None  # the last one put into a batch
+    change_before_batch: VersionsChanged | None = None  # the last one before the batch in flight
 
     def _advance_time(self, at_ms: float) -> float:
         self.now_ms = max(self.now_ms, at_ms)
         return self.now_ms
 
     def on_versions_changed(self, at_ms: float) -> None:
-        """The stamp has changed just now."""
+        """Record that another version set is in force from now on."""
         self.actions_under_set = 0
         self.waiting_items.append(
             VersionsChanged(self._advance_time(at_ms), self.version_sets.number, self.version_sets.current)
         )
 
     def record_action(self, at_ms: float, kind: str, call_id: str, worker: str = "") -> None:
-        """Something is done under the stamp in force."""
+        """Record an action under the version set in force, unless it is sampled out or the disk is slow."""
         now = self._advance_time(at_ms)
         self._count_action(now)
         self.actions_under_set += 1
@@ -124,18 +124,24 @@
         return not self.waiting_items and not self.gaps
 
     def next_batch(self, at_ms: float) -> tuple[bool, bytes] | None:
-        """The next batch, and whether it begins a segment; None while one is out or nothing waits."""
+        """Return whether the next batch begins a segment, and the batch itself.
+
+        None: a batch is in flight, or there is nothing to write.
+        """
         if self.batch_in_flight or self.is_idle:
             return None
         now = self._advance_time(at_ms)
         self.waiting_items += self.gaps.values()
         self.gaps.clear()
-        items, self.waiting_items = self.waiting_items[:MAX_BATCH_ITEMS], self.waiting_items[MAX_BATCH_ITEMS:]
+        items, self.waiting_items = (
+            self.waiting_items[:MAX_BATCH_ITEMS],
+            self.waiting_items[MAX_BATCH_ITEMS:],
+        )
         begins_segment = not self.is_segment_open
         changes = [item for item in items if isinstance(item, VersionsChanged)]
         if self.last_change is None:
             self.last_change = changes[0] if changes else None
-        if begins_segment:  # which stamp held before the first item; the items say when it turned after that
+        if begins_segment:  # the header has the version set in force before the first item
             items.insert(0, self._segment_header(now, items))
         self.change_before_batch, self.last_change = (
             self.last_change,
@@ -169,11 +175,11 @@
         )
 
     def on_written(self) -> None:
-        """The batch is on the disk."""
+        """The batch in flight is on the disk."""
         self.batch_in_flight = ()
 
     def on_write_failed(self, at_ms: float, reason: str) -> None:
-        """The batch may not be on the disk; the segment is left as it is, the next begins another."""
+        """The batch in flight may not be on the disk: abandon its segment; the next batch begins another."""
         now, actions = (
             self._advance_time(at_ms),
             [item for item in self.batch_in_flight if isinstance(item, ActionRecord)],
@@ -186,7 +192,7 @@
         if self.is_segment_open:
             self.is_segment_open = False
             self.segment += 1
-        # Versions that turned meanwhile are said again; operators' acts are few and are kept.
+        # Version changes are written again, and so are operators' actions, which are few.
         again: list[Item] = [
             i for i in self.batch_in_flight if isinstance(i, VersionsChanged) or i in operators_actions
         ]
@@ -194,7 +200,7 @@
         self.last_change, self.batch_in_flight = self.change_before_batch, ()
 
     def stop(self, at_ms: float) -> None:
-        """The dispatcher stops: the last item."""
+        """Add the last item: the dispatcher stops."""
         if not self.stopped:
             self.stopped = True
             self.waiting_items += self.gaps.values()
--- a/grebestack/audit/records.py
+++ b/grebestack/audit/records.py
@@ -1,8 +1,8 @@
-"""The form of the record of acts: segments of frames, each frame a batch of items. By msgspec, versioned.
+"""The format of the audit log: segments of batches of items, encoded by msgspec. The format has a version.
 
-A segment begins with a `Head` and says which stamp holds; it can be read without the one before. What is
-not in the record is in it as a `Gap`: how many acts, from when to when, why. A segment that was not sealed,
-and is not the last, lost its end.
+A segment begins with a `SegmentHeader`, which defines the version set in force: it can be read without the
+segment before it. Actions that are not recorded are counted in a `Gap`, with their time span and the reason.
+A segment without a `SegmentEnd` that is not the last one has lost its end.
 """
 
 from __future__ import annotations
@@ -12,55 +12,55 @@
 from grebestack.audit.version_sets import VersionSet
 
 FORMAT_VERSION = 1
-OPERATOR_ACTION = "operator"  # the kind of acts that people do
+OPERATOR_ACTION = "operator"  # the kind of actions that operators take
 
 
 class SegmentHeader(Struct, frozen=True, array_like=True, tag="head"):
     """The first item of a segment. Times are Unix time in milliseconds, by this dispatcher's clock."""
 
-    version: int
+    version: int  # of the format
     dispatcher: str
-    life: str  # drawn at the start: a restart is another
-    segment: int  # numbers go up by one over all lives
+    life: str  # the process incarnation: a random name, another one after each restart
+    segment: int  # counted on over restarts
     at_ms: float
-    off_ms: float  # the clock is at most so far from true, says the operator
-    stamp: int
+    off_ms: float  # the clock's maximum error, as the operator has configured it
+    stamp: int  # the number of the version set
     versions: VersionSet
 
 
 class VersionsChanged(Struct, frozen=True, array_like=True, tag="turned"):
-    """From now on this stamp holds here."""
+    """Another version set is in force from now on."""
 
     at_ms: float
-    stamp: int
+    stamp: int  # the number of the version set
     versions: VersionSet
 
 
 class ActionRecord(Struct, frozen=True, array_like=True, tag="act"):
-    """Something was done."""
+    """An action of the dispatcher or of an operator."""
 
     at_ms: float
-    what: str  # send, retry, cancel, deny, fail, operator
-    stamp: int
-    call: str = ""  # the id of the job, or what an operator said
-    server: str = ""
+    what: str  # its kind: send, retry, cancel, deny, fail, operator
+    stamp: int  # the number of the version set it was taken under
+    call: str = ""  # the job's call id, or the operator's command
+    server: str = ""  # the worker, or the target of the operator's command
 
 
 class Gap(Struct, frozen=True, array_like=True, tag="gap"):
-    """Acts that are not written down."""
+    """Actions that are not recorded."""
 
     from_ms: float
     to_ms: float
-    acts: int
+    acts: int  # how many
     why: str
-    stamps: tuple[int, ...] = ()  # under which of them; empty: not known
+    stamps: tuple[int, ...] = ()  # numbers of the version sets they were taken under; empty: unknown
 
 
 class SegmentEnd(Struct, frozen=True, array_like=True, tag="sealed"):
-    """The last item of a segment that was ended in order."""
+    """The last item of a segment that was closed properly."""
 
     at_ms: float
-    stop: bool  # the dispatcher stopped; else another segment follows
+    stop: bool  # the dispatcher has stopped; otherwise another segment follows
 
 
 Item = SegmentHeader | VersionsChanged | ActionRecord | Gap | SegmentEnd
@@ -69,10 +69,10 @@
 
 
 def encode(items: tuple[Item, ...]) -> bytes:
-    """A batch as bytes."""
+    """Encode a batch."""
     return _encoder.encode(items)
 
 
 def decode(data: bytes) -> tuple[Item, ...]:
-    """Read a batch; msgspec.DecodeError or ValidationError where it is none."""
+    """Decode a batch. msgspec.DecodeError, which includes ValidationError: it is malformed."""
     return _decoder.decode(data)
--- a/grebestack/consul/__init__.py
+++ b/grebestack/consul/__init__.py
@@ -1,1 +1,1 @@
-"""Consul as a source of servers: which agent is asked and believed, what instances mean, the queries."""
+"""Consul as a source of workers: blocking queries, choice of the agent, and reading of service instances."""
--- a/grebestack/consul/instances.py
+++ b/grebestack/consul/instances.py
@@ -1,4 +1,4 @@
-"""What Consul's instances mean: checks, weights, addresses, and the networks that servers may be in."""
+"""Reads Consul's service instances: health checks, weights, addresses and allowed networks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Check(msgspec.Struct, rename="pascal"):
-    """A check of a node or of an instance."""
+    """A health check of a node or of an instance."""
 
     check_id: str = msgspec.field(default="", name="CheckID")
     name: str = ""
@@ -27,21 +27,21 @@
 
 
 class Weights(msgspec.Struct, rename="pascal"):
-    """How much of the work an instance is to have."""
+    """The weight of an instance while its checks pass, and while one of them warns."""
 
     passing: float = 1.0
     warning: float = 1.0
 
 
 class TaggedAddress(msgspec.Struct, rename="pascal"):
-    """An address of an instance for callers of a kind."""
+    """The address of an instance under one tag, such as `lan` or `wan`."""
 
     address: str = ""
     port: int = 0
 
 
 class Service(msgspec.Struct, rename="pascal"):
-    """An instance."""
+    """The service part of an instance."""
 
     id: str = msgspec.field(name="ID")
     port: int
@@ -53,7 +53,7 @@
 
 
 class Node(msgspec.Struct, rename="pascal"):
-    """The machine that it is on."""
+    """The node that an instance runs on."""
 
     address: str = ""
     node: str = ""
@@ -61,7 +61,7 @@
 
 
 class Instance(msgspec.Struct, rename="pascal"):
-    """A line of the health API."""
+    """An entry of the health API's response."""
 
     node: Node
     service: Service
@@ -69,7 +69,7 @@
 
 
 class CatalogEntry(msgspec.Struct, rename="pascal"):
-    """A line of the catalogue, which knows of no checks."""
+    """An entry of the catalogue API's response, which has no health checks."""
 
     service_id: str = msgspec.field(name="ServiceID")
     service_port: int
@@ -83,7 +83,7 @@
     tagged_addresses: dict[str, str] | None = None
 
     def as_instance(self) -> Instance:
-        """The same as a line of the health API whose checks all pass."""
+        """Return the same instance in the health API's form, without checks, which counts as passing."""
         service = Service(
             self.service_id,
             self.service_port,
@@ -100,8 +100,9 @@
 class ReaderOptions:
     """How instances are read.
 
-    `checks` names those that decide (ids or names); none: all. `warning` says what a warning means: full
-    work, the instance's weight for warnings, or none. `prefer` is a tag of address, `lan` or `wan` as a rule.
+    `deciding_checks` has the ids or names of the checks that count; if empty, all count. `on_warning` decides
+    whether an instance with a warning keeps its weight, gets its weight for warnings, or is drained.
+    `address_tag` selects one of the tagged addresses, usually `lan` or `wan`.
     """
 
     deciding_checks: frozenset[str] = frozenset()
@@ -111,7 +112,7 @@
 
 
 def parse_networks(texts: Iterable[str]) -> IPSet:
-    """A set of networks from their CIDR texts; ValueError names the one that is none."""
+    """Return the set of networks given in CIDR notation. ValueError: one of them is malformed."""
     networks = []
     for text in texts:
         try:
@@ -122,18 +123,21 @@
 
 
 class InstanceReader:
-    """Reads instances into servers. Zone, kind and cell come from the metadata."""
+    """Converts instances to workers. Zone, kind and cell are taken from the service's metadata."""
 
     def __init__(self, options: Mapping[str, Any], reader_options: ReaderOptions) -> None:
         self.places, self.options = PlaceNumbers(options), reader_options
-        self.logged_outside: set[str] = set()  # told of once each
+        self.logged_outside: set[str] = set()  # ids outside the allowed networks, each logged once
         self.health_decoder, self.catalogue_decoder = (
             msgspec.json.Decoder(Instance),
             msgspec.json.Decoder(CatalogEntry),
         )
 
     def read(self, raw: msgspec.Raw | bytes, is_health: bool) -> WorkerEndpoint | None:
-        """One line; None for a server that may not be sent to. msgspec.ValidationError: it can't be read."""
+        """Read one entry of the health API's response, or of the catalogue's if not `is_health`.
+
+        None: the address is outside the allowed networks. msgspec.ValidationError: the entry is malformed.
+        """
         instance = (
             self.health_decoder.decode(raw) if is_health else self.catalogue_decoder.decode(raw).as_instance()
         )
@@ -167,14 +171,17 @@
         try:
             is_allowed = IPAddress(host) in networks
         except (AddrFormatError, ValueError):
-            is_allowed = False  # a name: no look-ups are made here
+            is_allowed = False  # a host name, which is not resolved here
         if not is_allowed and worker_id not in self.logged_outside and len(self.logged_outside) < 10_000:
             self.logged_outside.add(worker_id)
             log.warning("server_outside", extra={"kv": {"server": worker_id, "address": host}})
         return is_allowed
 
     def _state_by_checks(self, checks: list[Check]) -> tuple[WorkerState, str, bool]:
-        """The state, why, and whether some check warns. Maintenance of node or instance always counts."""
+        """Return the state, the reason, and whether a check warns.
+
+        Maintenance of the node or the instance always drains, whichever checks decide.
+        """
         failing, has_warning = [], False
         for check in checks:
             if check.check_id == NODE_MAINTENANCE:
--- a/grebestack/consul/source.py
+++ b/grebestack/consul/source.py
@@ -1,4 +1,7 @@
-"""The queries: one at a time for each service, to the agent that `Agents` names, read in short turns."""
+"""Watches services by blocking queries: one query at a time for each service, to the agent selected.
+
+Long lists are read in several turns of the event loop.
+"""
 
 from __future__ import annotations
 
@@ -21,14 +24,14 @@
 from grebestack.transport.client import ConnectionPools, Exchange, Response
 
 log = logging.getLogger(__name__)
-TIMEOUT_MARGIN_S = 5.0  # an answer that is later than this after the wait is silence
-ENTRIES_PER_TURN = 500  # lines that one turn of the loop reads
+TIMEOUT_MARGIN_S = 5.0  # a query times out this long after the end of its wait
+ENTRIES_PER_TURN = 500  # entries of a list that one turn of the loop reads
 HEALTH, CATALOGUE = "health", "catalog"
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceQuery:
-    """What is asked of Consul; empty words are left out of the query."""
+    """The parameters of the queries for one service; empty ones are left out."""
 
     service: str
     wait_s: float = 30.0
@@ -40,7 +43,7 @@
     consistency: str = "default"  # or "stale", "consistent"
 
     def path(self, api: str, index: int) -> str:
-        """The query's path; with an index it blocks until that has changed."""
+        """Return the path at an API; with an index other than 0 the query blocks until that changes."""
         values = [
             ("dc", self.datacenter),
             ("ns", self.namespace),
@@ -57,13 +60,13 @@
 
 
 class TokenFile:
-    """An ACL token in a file that is read again when it changes; keys are renewed while the program runs."""
+    """A file with an ACL token, read again when it changes, so that a new token needs no restart."""
 
     def __init__(self, path: str) -> None:
         self.path, self.last_stat, self.token = path, (0, 0), ""
 
     def __call__(self) -> str:
-        """The token; the last one that could be read if the file is gone or being written."""
+        """Return the token; the last one read if the file is missing or being written."""
         if not self.path:
             return ""
         try:
@@ -79,7 +82,7 @@
 
 
 class QueryExchange(Exchange):
-    """One query."""
+    """One query and its response."""
 
     def __init__(self, watch: ServiceWatch, agent: int, data: bytes) -> None:
         self.watch, self.agent, self.data = watch, agent, data
@@ -98,7 +101,7 @@
 
 
 class ServiceWatch:
-    """Keeps one query for a service out and tells each list that is believed."""
+    """Keeps one query for a service open and passes each list that is used to a receiver."""
 
     def __init__(
         self,
@@ -108,26 +111,24 @@
         query: ServiceQuery,
         token: TokenFile,
         reader: InstanceReader,
-        listing: WorkerListReceiver,
+        receiver: WorkerListReceiver,
     ) -> None:
         self.pools, self.clock, self.query, self.token = pools, clock, query, token
         self.selector = AgentSelector(settings, random.Random())
-        self.reader, self.listing = reader, listing
+        self.reader, self.receiver = reader, receiver
         self.api = HEALTH
         self.exchange: QueryExchange | None = None
         self.timer: Timer | None = None
         self.stopped = False
-        self.read_time_ms = 0.0  # reading the list that is being read
-        self.workers_by_digest: dict[
-            bytes, WorkerEndpoint | None
-        ] = {}  # lines as they were read last, by digest
+        self.read_time_ms = 0.0  # spent on the list that is being read
+        self.workers_by_digest: dict[bytes, WorkerEndpoint | None] = {}  # of the last list, by entry
 
     def start(self) -> None:
         """Send the first query."""
         self._send_query()
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Send no more queries."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
@@ -141,7 +142,7 @@
                 pool.abort(exchange)
 
     def _send_query(self) -> None:
-        """Ask when the agent that is picked has rested."""
+        """Send the next query, at once or when the selected agent's backoff ends."""
         self.exchange = None
         if self.stopped:
             return
@@ -165,14 +166,14 @@
         pool.submit(exchange)
 
     def _on_timeout(self, exchange: QueryExchange) -> None:
-        # Guards against an agent that is cut off: its connection stays open and says nothing.
+        # An agent behind a network partition leaves its connection open and never responds.
         if exchange is self.exchange:
             self._abort_exchange()
             self.exchange = exchange
             self.on_failure(exchange, "silence")
 
     def on_failure(self, exchange: QueryExchange, reason: str, retry_after_ms: float | None = None) -> None:
-        """A query came to nothing: the list that was told stands, the next query follows."""
+        """A query has failed: the last list stays in use, and the next query follows."""
         if exchange is not self.exchange:
             return
         self.selector.on_failure(self.clock.now_ms(), exchange.agent, reason, retry_after_ms)
@@ -190,11 +191,11 @@
             "source": self.api,
         }
         log.warning("consul_failed", extra={"kv": kv})
-        self.listing.on_silent(f"{address}: {agent.failure_reason}")
+        self.receiver.on_silent(f"{address}: {agent.failure_reason}")
         self._send_query()
 
     def on_response(self, exchange: QueryExchange, response: Response) -> None:
-        """Take an answer."""
+        """Process the response to the query that is open."""
         if exchange is not self.exchange or self.stopped:
             return
         if response.status == 403 and self.api == HEALTH:
@@ -209,8 +210,8 @@
                 msgspec.json.decode(response.body, type=list[msgspec.Raw]) if reply.status == 200 else []
             )
         except (ValueError, msgspec.MsgspecError) as error:
-            # Guards against taking all servers for gone because of one answer that is cut or malformed.
-            self.on_failure(exchange, f"malformed answer: {error}")
+            # A truncated or malformed response must not pass for a list without workers.
+            self.on_failure(exchange, f"malformed response: {error}")
             return
         match self.selector.on_reply(self.clock.now_ms(), exchange.agent, reply):
             case ReplyResult.NEW_LIST:
@@ -218,7 +219,7 @@
                 self._read_entries(exchange, entries, 0, {}, [])
             case ReplyResult.UNCHANGED:
                 self._cancel_timer()
-                self.listing.on_unchanged()
+                self.receiver.on_unchanged()
                 self._send_query()
             case _:
                 self._report_failure(exchange)
@@ -235,7 +236,7 @@
         workers_by_digest: dict[bytes, WorkerEndpoint | None],
         workers: list[WorkerEndpoint],
     ) -> None:
-        """Read some lines and go on at the next turn: ten thousand would stop the loop for too long."""
+        """Read some entries and continue in the next turn: ten thousand would block the loop for too long."""
         if exchange is not self.exchange or self.stopped:
             return
         began = self.clock.now_ms()
@@ -251,7 +252,7 @@
                 if worker is not None:
                     workers.append(worker)
         except (ValueError, msgspec.MsgspecError) as error:
-            self.on_failure(exchange, f"malformed answer: {error}")
+            self.on_failure(exchange, f"malformed response: {error}")
             return
         if first + ENTRIES_PER_TURN < len(entries):
             self.read_time_ms += self.clock.now_ms() - began
@@ -262,24 +263,24 @@
             return
         self.read_time_ms += self.clock.now_ms() - began
         self.workers_by_digest = workers_by_digest
-        if len(entries) > ENTRIES_PER_TURN:  # telling a long list is a turn's work by itself
-            self.clock.call_at(self.clock.now_ms(), partial(self._update_listing, exchange, workers))
+        if len(entries) > ENTRIES_PER_TURN:  # updating the receiver takes a turn of its own
+            self.clock.call_at(self.clock.now_ms(), partial(self._update_receiver, exchange, workers))
         else:
-            self._update_listing(exchange, workers)
+            self._update_receiver(exchange, workers)
 
-    def _update_listing(self, exchange: QueryExchange, workers: list[WorkerEndpoint]) -> None:
+    def _update_receiver(self, exchange: QueryExchange, workers: list[WorkerEndpoint]) -> None:
         if exchange is not self.exchange or self.stopped:
             return
         began = self.clock.now_ms()
         self._cancel_timer()
-        self.listing.update(ListKind.FULL, workers)
+        self.receiver.update(ListKind.FULL, workers)
         now = self.clock.now_ms()
         self.selector.on_list_read(now, exchange.agent, self.read_time_ms + now - began)
         self._send_query()
 
 
 def parse_reply_headers(response: Response) -> ReplyHeaders:
-    """The head of an answer; ValueError if it can't be read."""
+    """Return a response's status and Consul headers. ValueError: a header is malformed."""
     headers: Mapping[bytes, bytes] = response.headers
     retry_after = headers.get(b"retry-after", b"")
     return ReplyHeaders(
@@ -292,7 +293,7 @@
 
 
 class ConsulSource:
-    """All services that one dispatcher takes its servers from."""
+    """All services from which one dispatcher takes its workers."""
 
     def __init__(self, watches: Sequence[ServiceWatch]) -> None:
         self.watches = watches
@@ -303,10 +304,10 @@
             watch.start()
 
     def retire(self) -> None:
-        """Another source follows; the list stays as it is until that one has its first answer."""
+        """Stop because another source follows; the list stays in use until that one's first response."""
         self.stop()
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Send no more queries."""
         for watch in self.watches:
             watch.stop()
--- a/grebestack/membership/__init__.py
+++ b/grebestack/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: what is believed of each server and why, from several sources. Pure: no I/O, no clock."""
+"""Worker membership: merges the workers that several sources report. Pure: no I/O and no clock."""
--- a/grebestack/membership/interface.py
+++ b/grebestack/membership/interface.py
@@ -1,4 +1,4 @@
-"""The types that cross the edge of membership: settings, events and actions.
+"""Settings, events and actions of worker membership.
 
 Times are milliseconds on one monotonic clock.
 """
@@ -14,56 +14,54 @@
 
 
 class ReportedState(IntEnum):
-    """What a source says of a server, the most careful last."""
+    """The state in which a source reports a worker, the most restrictive last."""
 
     READY = 0
-    DRAINING = 1  # nothing new; it finishes what it has
-    CRITICAL = 2  # its checks fail: nothing new; what it has is waited for
+    DRAINING = 1  # gets no new work and finishes what it has
+    CRITICAL = 2  # its health checks fail: gets no new work; running work is still awaited
 
 
 class WorkerStatus(IntEnum):
-    """What is believed of a server."""
+    """The status of a worker, merged from the reports of all sources."""
 
-    JOINING = 0  # ready by its sources, and kept out for a while since it came and went
+    JOINING = 0  # reported ready, but held out of use after it has flapped
     READY = 1
-    SUSPECT = 2  # ready by the last word of sources that are silent now: it is sent work
+    SUSPECT = 2  # last reported ready, by sources that are stale now: it still gets work
     DRAINING = 3
     CRITICAL = 4
     GONE = 5
 
     @property
     def takes_work(self) -> bool:
-        """Whether it is sent new work."""
+        """Whether the worker gets new work."""
         return self in (WorkerStatus.READY, WorkerStatus.SUSPECT)
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """What an operator's file says of membership."""
+    """Membership settings from the operator's file."""
 
-    max_flaps: int = 3  # more falls from ready than this within the window keep a server out
+    max_flaps: int = 3  # a worker that stops being usable more often within the window is held
     flap_window_ms: float = 60_000.0
-    base_hold_ms: float = 2000.0  # then it is kept out for so long, doubled with each further fall
+    base_hold_ms: float = 2000.0  # how long it is held out of use; doubled with each further flap
     max_hold_ms: float = 60_000.0
-    max_removed_share: float = (
-        0.5  # an update that takes away more than this of a source's servers is held back
-    )
-    min_workers: int = 1  # and so is one that leaves fewer than this
-    moved_drain_ms: float = 60_000.0  # work out at an address that was left is waited for so long
+    max_removed_share: float = 0.5  # an update that removes more of a source's workers is held back
+    min_workers: int = 1  # an update that leaves fewer workers is held back too
+    moved_drain_ms: float = 60_000.0  # how long a moved worker's former address drains
 
     def __post_init__(self) -> None:
         if self.max_flaps < 1 or self.min_workers < 0 or not 0 <= self.max_removed_share <= 1:
-            raise ValueError(f"{self} has a figure out of range")
+            raise ValueError(f"a number is out of range in {self}")
         if (
             min(self.flap_window_ms, self.base_hold_ms, self.moved_drain_ms) < 0
             or self.max_hold_ms < self.base_hold_ms
         ):
-            raise ValueError(f"{self} has a time out of range")
+            raise ValueError(f"a time is out of range in {self}")
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """What a source says of one server. The entry's own state counts for nothing here."""
+    """What a source reports about one worker. The state within `entry` is ignored."""
 
     entry: WorkerEntry
     address: Address
@@ -72,15 +70,16 @@
 
     @property
     def worker_id(self) -> str:
-        """The server's id, by which all sources and its own call-backs name it."""
+        """The id under which all sources report the worker, and which its call-backs carry."""
         return self.entry.worker
 
 
 @dataclass(frozen=True, slots=True)
 class SourceAdded:
-    """A source is asked from now on. Of two that disagree on an address the lower rank is believed.
+    """A source is used from now on. If sources disagree on an address, the lowest rank wins.
 
-    Silent for longer than `stale_ms` it is stale: its last word stands, behind that of any fresh source.
+    After `stale_ms` without a response the source is stale: its last reports are used only for workers that
+    no fresh source reports.
     """
 
     source: str
@@ -90,35 +89,35 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceRemoved:
-    """A source is asked no more, and what it said counts no more."""
+    """A source is no longer used; its reports are dropped."""
 
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class SourceUpdated:
-    """A source tells its servers, all or those that changed. `gone` names some that it lists no more.
+    """A source reports all its workers (`is_complete`), or those that changed and the ids it has `removed`.
 
-    `old`: it is what the source said before a restart, and makes it no fresher.
+    `is_cached`: the reports were saved before a restart and do not make the source fresh.
     """
 
     source: str
     reports: tuple[WorkerReport, ...]
-    is_full: bool = True
+    is_complete: bool = True
     removed: tuple[str, ...] = ()
     is_cached: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SourceUnchanged:
-    """A source has answered and nothing has changed."""
+    """A source has responded, and its reports have not changed."""
 
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class SourceFailed:
-    """A source did not answer; the reason is for people."""
+    """A source has not responded. The reason is only displayed."""
 
     source: str
     reason: str
@@ -126,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainChanged:
-    """The operator drains a server, or does no longer."""
+    """The operator starts or stops draining a worker."""
 
     worker_id: str
     is_drained: bool
@@ -141,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time that a `Wake` asked for has come."""
+    """The time requested by `SetTimer` has come."""
 
 
 Event = (
@@ -158,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A line for the server table: `name` is the id, or the id and a number for one that has moved."""
+    """A row of the worker table. `name` is the id, followed by a number if the worker has moved."""
 
     name: str
     worker_id: str
@@ -169,14 +168,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """What has changed, for the server table."""
+    """Rows of the worker table that have changed."""
 
     members: tuple[Member, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Something that people want to know: an event and its pairs."""
+    """An event for the log, with its fields."""
 
     event: str
     fields: tuple[tuple[str, object], ...]
@@ -185,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Feed a `Tick` at or after a time."""
+    """Feed a `TimerFired` at or after `at_ms`."""
 
     at_ms: float
 
@@ -195,24 +194,24 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """What a console shows of a server."""
+    """A worker as the console displays it."""
 
     name: str
     status: WorkerStatus
     reason: str
     since_ms: float
     address: Address
-    reported_states: tuple[tuple[str, str], ...]  # each source that lists it, and its word
+    reported_states: tuple[tuple[str, str], ...]  # name and reported state of each source that lists it
     sources_disagree: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SourceView:
-    """What a console shows of a source."""
+    """A source as the console displays it."""
 
     source: str
     worker_count: int
-    last_update_age_ms: float | None  # since it was last heard
+    last_update_age_ms: float | None  # None: no response since the start
     is_stale: bool
     held_removals: tuple[str, ...]
     failure_reason: str
--- a/grebestack/membership/members.py
+++ b/grebestack/membership/members.py
@@ -1,8 +1,9 @@
-"""What is believed of each server: events in, actions out. The rule is in docs/design-membership.md.
+"""Decides the status of each worker from the reports of all sources.
 
-In short: a server is listed as long as any source lists it. Among the sources that are fresh, or all where
-none is, the most careful word counts; address and kind come from the first of them. Falling from ready counts
-at once; coming back is damped where a server came and went. What one update takes away is bounded.
+A worker is a member while any source lists it. Of the sources that list it only the fresh ones count, or all
+of them if none is fresh: the most restrictive state wins, and address and kind come from the source with the
+lowest rank. A worker that is no longer ready gets no more work at once; one that flaps is held out of use for
+a while before it is ready again. How many workers a single update can remove is limited.
 """
 
 from __future__ import annotations
@@ -24,47 +25,47 @@
 
 @dataclass(slots=True)
 class Source:
-    """One source and what it says."""
+    """A source and its latest reports."""
 
     name: str
     rank: int
     stale_ms: float
-    last_update_ms: float | None = None  # when it was last heard; None: never since the start
+    last_update_ms: float | None = None  # time of its last response; None: none since the start
     reports: dict[str, WorkerReport] = field(default_factory=dict)
-    held_removals: set[str] = field(default_factory=set)  # it lists these no more, and that is held back
-    failure_reason: str = ""  # it is silent
+    held_removals: set[str] = field(default_factory=set)  # no longer listed, but kept for now
+    failure_reason: str = ""  # why it does not respond
     is_stale: bool = True
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """One server."""
+    """A worker and its merged status."""
 
     worker_id: str
     name: str
-    report: WorkerReport  # the one that address and kind come from
+    report: WorkerReport  # the one that address and kind are taken from
     status: WorkerStatus = WorkerStatus.GONE
     reason: str = ""
     since_ms: float = 0.0
-    flap_times_ms: list[float] = field(default_factory=list)
-    held_until_ms: float = 0.0  # kept out
+    flap_times_ms: list[float] = field(default_factory=list)  # when it stopped being usable
+    held_until_ms: float = 0.0
     move_count: int = 0
     published: api.Member | None = None
 
 
 class Membership:
-    """All servers of all sources. Feed it events, carry out the actions it returns."""
+    """All workers of all sources. Takes events and returns the actions to carry out."""
 
     def __init__(self, settings: api.MembershipSettings) -> None:
         self.settings = settings
         self.sources: dict[str, Source] = {}
         self.workers: dict[str, Worker] = {}
-        self.former: dict[str, tuple[float, api.Member]] = {}  # addresses that were left, until when
-        self.drained: set[str] = set()
-        self.deadlines: SortedList[tuple[float, str, str]] = SortedList()  # when, what, of whom
+        self.former: dict[str, tuple[float, api.Member]] = {}  # former addresses, and when they are dropped
+        self.drained: set[str] = set()  # by the operator
+        self.deadlines: SortedList[tuple[float, str, str]] = SortedList()  # time, kind, source or worker
         self.now, self.timer_ms = 0.0, NEVER
         self.actions: list[api.Action] = []
-        self.changed: dict[str, None] = {}  # servers to look at, in order
+        self.changed: dict[str, None] = {}  # workers to evaluate again, in order
         self.handlers: dict[type, Callable[..., None]] = {
             api.SourceAdded: self._on_source_added,
             api.SourceRemoved: self._on_source_removed,
@@ -77,7 +78,7 @@
         }
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Take one event; return the actions to carry out, in order. KeyError: an unknown source."""
+        """Process one event and return the actions to carry out, in order. KeyError: an unknown source."""
         self.now = max(self.now, now_ms)
         self.handlers[type(event)](event)
         self._process_deadlines()
@@ -94,10 +95,10 @@
         actions, self.actions = self.actions, []
         return actions
 
-    # What is seen from outside.
+    # Views for the console.
 
     def member_views(self) -> list[api.MemberView]:
-        """Every server that is believed in, by name."""
+        """Return every worker that is a member or was one lately, by id."""
         views = []
         for worker_id, worker in sorted(self.workers.items()):
             states = [
@@ -126,7 +127,7 @@
         return views
 
     def source_views(self) -> list[api.SourceView]:
-        """Every source, by rank."""
+        """Return every source, by rank."""
         return [
             api.SourceView(
                 s.name,
@@ -156,7 +157,7 @@
         self.changed.update(dict.fromkeys(worker_ids))
 
     def _mark_fresh(self, source: Source) -> None:
-        """A source was heard: its word counts as of now."""
+        """Record that a source has responded just now."""
         source.last_update_ms, source.failure_reason = self.now, ""
         if source.is_stale:
             source.is_stale = False
@@ -175,9 +176,9 @@
         if not event.is_cached:
             self._mark_fresh(source)
         elif source.last_update_ms is not None:
-            return  # what it said before a restart is nothing against what it has said since
+            return  # the source has responded since the start, so its reports from before it are outdated
         reports, named = source.reports, set[str]()
-        for report in event.reports:  # ten thousand at a time: most are the very same objects
+        for report in event.reports:  # an update can have ten thousand, most of them the very same objects
             worker_id = report.entry.worker
             named.add(worker_id)
             known = reports.get(worker_id)
@@ -187,19 +188,20 @@
                 reports[worker_id] = report
         source.held_removals -= named
         missing = set(event.removed) & reports.keys()
-        if event.is_full and len(named) < len(reports):
+        if event.is_complete and len(named) < len(reports):
             missing |= reports.keys() - named
-        self._remove_reports(source, missing, event.is_full, first)
+        self._remove_reports(source, missing, event.is_complete, first)
 
-    def _remove_reports(self, source: Source, missing: set[str], is_full: bool, first: bool) -> None:
-        """Guards the fleet against a list that an ill catalogue has emptied or cut.
+    def _remove_reports(self, source: Source, missing: set[str], is_complete: bool, first: bool) -> None:
+        """Remove the workers that an update no longer lists, or hold the removals back if there are too many.
 
-        The first list after a start may differ as it likes from one of before: much may have happened.
+        A faulty catalogue that sends an empty or truncated list must not remove the whole fleet. The first
+        list after a start can remove any number of workers: much may have changed since the cached list.
         """
         if not missing:
             return
         count = len(source.reports)
-        if not is_full:
+        if not is_complete:
             missing = missing | source.held_removals
         left, s = count - len(missing), self.settings
         too_many = not first and len(missing) > 1 and len(missing) > s.max_removed_share * count
@@ -239,7 +241,7 @@
         self.timer_ms = NEVER
 
     def _process_deadlines(self) -> None:
-        """Sources fall stale, holds end, addresses that were left are given up."""
+        """Process what is due: holds that end, sources that become stale, workers and addresses to drop."""
         while self.deadlines and self.deadlines[0][0] <= self.now:
             _, kind, name = self.deadlines.pop(0)
             if kind == "held":
@@ -273,10 +275,10 @@
                         why=source.failure_reason,
                     )
 
-    # What is believed.
+    # The status of a worker.
 
     def _update_worker(self, worker_id: str, members: list[api.Member]) -> None:
-        """Believe anew what a server is, and tell it if that has changed."""
+        """Evaluate a worker's status again and add its row to `members` if that has changed."""
         reports = [
             (source, report)
             for source in self._sources_by_rank()
@@ -287,7 +289,8 @@
             if worker is not None and worker.status is not WorkerStatus.GONE:
                 self._set_status(worker, WorkerStatus.GONE, "no source lists it")
                 self._publish(worker, members)
-                # Remembered for a while: one that comes back at once has fallen, and its old names are taken.
+                # Kept for a while: if the worker comes back at once, that was a flap, and the names it had
+                # are in use.
                 self.deadlines.add((self.now + self._retention_ms(), "forget", worker_id))
             return
         counted = [(s, r) for s, r in reports if not s.is_stale] or reports
@@ -308,21 +311,15 @@
         if worst.state is not ReportedState.READY:
             return UNREADY_STATUS[worst.state], f"{source.name}: {worst.reason or worst.state.name.lower()}"
         if worker_id in self.drained:
-            return WorkerStatus.DRAINING, "the operator drains it"
+            return WorkerStatus.DRAINING, "drained by the operator"
         if self.now < worker.held_until_ms:
-            return (
-                WorkerStatus.JOINING,
-                f"it fell {len(worker.flap_times_ms)} times lately: kept out for a while",
-            )
+            return WorkerStatus.JOINING, f"held out of use: {len(worker.flap_times_ms)} flaps lately"
         if source.is_stale and source.last_update_ms is not None:
-            return WorkerStatus.SUSPECT, f"{source.name} is silent: its last word stands"
+            return WorkerStatus.SUSPECT, f"{source.name} does not respond: its last report is used"
         if source.is_stale:
-            return (
-                WorkerStatus.SUSPECT,
-                f"{source.name} has not been heard: its word of before the start stands",
-            )
+            return WorkerStatus.SUSPECT, f"no response from {source.name} yet: its cached report is used"
         if worker_id in source.held_removals:
-            return WorkerStatus.SUSPECT, f"{source.name} lists it no more: held back"
+            return WorkerStatus.SUSPECT, f"{source.name} no longer lists it: the removal is held back"
         return WorkerStatus.READY, f"{source.name}: {worst.reason or 'ready'}"
 
     def _set_status(self, worker: Worker, status: WorkerStatus, reason: str) -> None:
@@ -342,7 +339,7 @@
         worker.status, worker.since_ms = status, self.now
 
     def _record_flap(self, worker: Worker) -> None:
-        """Guards against a server that comes and goes: each return is cold, and each fall costs its jobs."""
+        """Hold a worker that flaps out of use: each return starts cold, and each loss costs its jobs."""
         s = self.settings
         worker.flap_times_ms = [at for at in worker.flap_times_ms if at > self.now - s.flap_window_ms] + [
             self.now
@@ -357,7 +354,7 @@
         return max(self.settings.flap_window_ms, self.settings.moved_drain_ms)
 
     def _on_address_changed(self, worker: Worker, report: WorkerReport) -> None:
-        """The same id at another address is another server; what is out at the old one is waited for."""
+        """Treat an id at another address as another worker; the former address drains."""
         if worker.published is not None and worker.published.status is not WorkerStatus.GONE:
             former = replace(worker.published, status=WorkerStatus.DRAINING)
             until = self.now + self.settings.moved_drain_ms
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit: what a record holds, what it says it does not hold, and what records of many come to."""
+"""The audit log: what it holds, how it reports what is missing, and the report merged from many."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class MemoryDisk:
-    """Segments in memory, as the writer makes them, with what a disk may do to them."""
+    """Keeps segments in memory as the writer makes them, and can fail."""
 
     def __init__(self, name: str = "n0", **limits: Any) -> None:
         self.files: dict[str, bytes] = {}
@@ -63,7 +63,7 @@
 
 
 def test_each_action_has_the_versions_it_was_taken_under_over_segments_and_failures() -> None:
-    # Drawn acts, turns, batches and failures: what is written down is right, what is not is counted.
+    # Random actions, version changes, batches and failures: what is recorded is right, the rest is counted.
     for seed in range(60):
         drawn = random.Random(seed)
         disk = MemoryDisk(
@@ -85,7 +85,7 @@
         disk.recorder.stop(now + 1.0)
         disk.write(now + 1.0)
         log = disk.log()
-        assert not [d for d in log.doubts if "stamp" in d or "read" in d], (seed, log.doubts)
+        assert not [d for d in log.doubts if "version set" in d or "read" in d], (seed, log.doubts)
         assert len({action.call_id for action in log.actions}) == len(log.actions), seed
         assert all(expected[action.call_id] == action.versions for action in log.actions), seed
         assert len(log.actions) + sum(gap.acts for gap in log.gaps) == 400, seed
@@ -98,7 +98,7 @@
         kind = ("send", "retry", "deny", "cancel", OPERATOR_ACTION)[n % 5]
         disk.recorder.record_action(n * 1.0, kind, f"c{n}")
         if n == 3000:
-            disk.change_versions(3000.5, revision=9)  # its first acts are all kept
+            disk.change_versions(3000.5, revision=9)  # the first actions under it are all kept
         if n % 50 == 0:
             disk.write(n * 1.0)
     disk.recorder.stop(5000.0)
@@ -138,7 +138,7 @@
     ("damage", "doubt"),
     [
         (lambda f: f | {"acts-0002.log": f["acts-0002.log"][:-7]}, "torn"),
-        (lambda f: {k: v for k, v in f.items() if k != "acts-0002.log"}, "some are gone"),
+        (lambda f: {k: v for k, v in f.items() if k != "acts-0002.log"}, "some are missing"),
         (
             lambda f: f | {"acts-0002.log": with_flipped_bit(f["acts-0002.log"], 60)},
             "is not what was written",
@@ -164,7 +164,7 @@
 
 
 def three_logs(max_clock_error_ms: float = 10.0) -> dict[str, AuditLog]:
-    """n0 takes s2 at 1,000 ms, n1 at 1,400, n2 never; n2's list goes on."""
+    """n0 adopts settings s2 at 1,000 ms, n1 at 1,400 ms, n2 never; n2 alone gets another worker list."""
     logs = {}
     for name, adopted_ms in (("n0", 1000.0), ("n1", 1400.0), ("n2", None)):
         disk = MemoryDisk(name, max_clock_error_ms=max_clock_error_ms)
@@ -220,8 +220,8 @@
             from_file(str(path))
 
 
-class AuditedYard(DispatcherGroup):
-    """Dispatchers by an operator's file, each with a record of its acts."""
+class AuditedGroup(DispatcherGroup):
+    """Dispatchers with an operator's file, each of which writes an audit log."""
 
     def write_config(self, name: str) -> Path:
         path = self.folder / f"{name}.toml"
@@ -241,41 +241,41 @@
 
 
 def test_the_merged_audit_agrees_with_the_attempts_that_workers_saw(tmp_path: Path) -> None:
-    yard = AuditedYard(tmp_path, dispatchers=3, workers=4)
+    group = AuditedGroup(tmp_path, dispatchers=3, workers=4)
     try:
-        for name in yard.names:
-            yard.start(name)
-        yard.send_traffic(0.02)
-        wait_until(lambda: all(yard.is_serving(name) for name in yard.names))
-        yard.extra = APPLIANCE_SETTINGS.replace("aimMs = 400.0", "aimMs = 300.0")
-        for name in ("n0", "n1"):  # n2 is not told: a straggler
-            yard.write_config(name)
-            yard.processes[name].send_signal(signal.SIGHUP)
-        yard.drain_busiest_workers()
+        for name in group.names:
+            group.start(name)
+        group.send_traffic(0.02)
+        wait_until(lambda: all(group.is_serving(name) for name in group.names))
+        group.extra = APPLIANCE_SETTINGS.replace("aimMs = 400.0", "aimMs = 300.0")
+        for name in ("n0", "n1"):  # n2 is not reloaded and stays behind
+            group.write_config(name)
+            group.processes[name].send_signal(signal.SIGHUP)
+        group.drain_busiest_workers()
         logs = [tmp_path / "n0.log", tmp_path / "n1.log"]
         wait_until(lambda: all("settings_changed" in log.read_text() for log in logs))
         time.sleep(1.0)
-        yard.kill("n1")  # in the middle of whatever it did
-        yard.start("n1")
+        group.kill("n1")  # while it is busy
+        group.start("n1")
         # The process that was killed may have sent something within the time that `serving` looks back.
-        wait_until(lambda: logs[1].read_text().count("event=ready") == 2 and yard.is_serving("n1"))
+        wait_until(lambda: logs[1].read_text().count("event=ready") == 2 and group.is_serving("n1"))
         time.sleep(0.5)
-        yard.stopped = True
+        group.stopped = True
         time.sleep(0.5)
-        for name in yard.names:
-            yard.processes[name].terminate()
-        for name in yard.names:
-            yard.processes[name].wait(20)
+        for name in group.names:
+            group.processes[name].terminate()
+        for name in group.names:
+            group.processes[name].wait(20)
     finally:
-        yard.close()
-    folders = [str(tmp_path / f"audit-{name}") for name in yard.names]
+        group.close()
+    folders = [str(tmp_path / f"audit-{name}") for name in group.names]
     named = [f"n{n}={folder}" for n, folder in enumerate(folders)]
     command = [sys.executable, "-m", "grebestack", "audit", "--json", *named]
     result = subprocess.run(command, capture_output=True, text=True, timeout=60)
     data = json.loads(result.stdout)
-    assert result.returncode == 1, "n1 was killed: what it did last can't be vouched for"
+    assert result.returncode == 1, "n1 was killed: its last actions are not recorded"
     assert data["dispatchers"]["n0"]["vouched_for"] and data["dispatchers"]["n2"]["vouched_for"]
-    assert any("ended without a word" in doubt for doubt in data["dispatchers"]["n1"]["doubts"])
+    assert any("ended without recording its stop" in doubt for doubt in data["dispatchers"]["n1"]["doubts"])
     logs_by_name = {
         f"n{n}": read_audit_log(f"n{n}", [(p.name, p.read_bytes()) for p in sorted(Path(f).glob("acts-*"))])
         for n, f in enumerate(folders)
@@ -290,8 +290,8 @@
         for action in log.actions
         if action.kind in ("send", "retry")
     }
-    seen = set(yard.stamps)
-    assert len(seen) > 50 and recorded <= seen, "an act that no runner saw"
+    seen = set(group.stamps)
+    assert len(seen) > 50 and recorded <= seen, "an attempt that no worker saw"
     missing = seen - recorded
     assert all(call_id.startswith("n1-") for call_id, _, _ in missing) and len(missing) < len(seen) / 10
     behind = [b for b in data["behind"] if b["of"] == "settings" and b["dispatcher"] == "n2"]
@@ -313,26 +313,26 @@
         "from grebestack.__main__ import main\n"
         "sys.exit(main())\n"
     )
-    yard = AuditedYard(tmp_path, dispatchers=1, workers=2)
-    yard.code = code
+    group = AuditedGroup(tmp_path, dispatchers=1, workers=2)
+    group.code = code
     try:
-        yard.start("n0")
-        yard.send_traffic(0.02)
+        group.start("n0")
+        group.send_traffic(0.02)
         wait_until(lambda: "audit_failed" in (tmp_path / "n0.log").read_text())
-        before = len(yard.sends)
-        wait_until(lambda: len(yard.sends) > before + 150)
-        yard.stopped = True
+        before = len(group.sends)
+        wait_until(lambda: len(group.sends) > before + 150)
+        group.stopped = True
         time.sleep(0.3)
-        yard.processes["n0"].terminate()
-        assert yard.processes["n0"].wait(20) == 0
+        group.processes["n0"].terminate()
+        assert group.processes["n0"].wait(20) == 0
     finally:
-        yard.close()
+        group.close()
     files = [(p.name, p.read_bytes()) for p in sorted((tmp_path / "audit-n0").glob("acts-*"))]
     log = read_audit_log("n0", files)
     assert any(f"[Errno {errno.EIO}]" in gap.why and gap.acts for gap in log.gaps), log.gaps
     sent = [action for action in log.actions if action.kind in ("send", "retry")]
-    assert {action.call_id for action in sent} <= {sent.call_id for sent in yard.sends}
-    assert len(sent) + sum(gap.acts for gap in log.gaps) >= len(yard.sends)
+    assert {action.call_id for action in sent} <= {sent.call_id for sent in group.sends}
+    assert len(sent) + sum(gap.acts for gap in log.gaps) >= len(group.sends)
 
 
 def test_a_batch_is_decoded_as_it_was_encoded() -> None:
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -1,4 +1,4 @@
-"""Consul as a source of the server table, against a stand-in written from its public specification."""
+"""Consul as a source of workers, against a stand-in written from its public specification."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Consul(StandIn):
-    """Blocking queries on one service's health and catalogue."""
+    """A Consul agent that answers blocking queries for one service, by the health and the catalogue API."""
 
     def __init__(self, world: World) -> None:
         self.world, self.index = world, 7
-        self.status: dict[str, str] = {}  # of each runner's check; "passing" if not here
+        self.status: dict[str, str] = {}  # of each worker's check; "passing" by default
         self.unresponsive = self.truncates = False
         self.forbidden = self.stopped = False
         self.queries: list[dict[str, list[str]]] = []
@@ -34,7 +34,7 @@
             self.changed.notify_all()
 
     def kill(self) -> None:
-        """As an agent that is killed: connections end, new ones are refused."""
+        """Stop as a killed agent does: connections end, and new ones are refused."""
         self.stopped = True
         self.close()
 
@@ -98,7 +98,7 @@
     client = Client(world)
     assert client.wait(client.run("k1"))[1]["jobState"] == "DONE"
     assert (len(good.jobs), len(bad.jobs)) == (1, 0)
-    # What turns critical, or into maintenance, takes no new work; what passes again does.
+    # A worker that turns critical gets no new work; one whose checks pass again does.
     consul.status = {"s-1": "critical"}
     consul.change()
     wait_until(lambda: worker_states(world) == {"s-1": "critical", "s-2": "ready"})
@@ -120,7 +120,7 @@
 def test_missing_and_truncated_responses_leave_the_worker_table_unchanged(
     world: World, consul: Consul, tmp_path: Path
 ) -> None:
-    # Guards against taking every server for gone when Consul is ill.
+    # While Consul fails, its workers must not be taken for gone.
     world.runner("s-1")
     world.start_appliance("consul", consul_wait="wait_s = 0.2")
     wait_until(lambda: worker_states(world) == {"s-1": "ready"})
@@ -130,12 +130,12 @@
     assert worker_states(world) == {"s-1": "ready"}
     consul.truncates, consul.unresponsive = False, True
     before = len(consul.queries)
-    wait_until(lambda: len(consul.queries) > before + 1, 40)  # it was asked again, on another connection
+    wait_until(lambda: len(consul.queries) > before + 1, 40)  # another query came, on another connection
     assert worker_states(world) == {"s-1": "ready"}
     world.runners.clear()
     consul.unresponsive = False
     consul.change()
-    # An empty list may be an ill catalogue's: it is held back until the operator accepts it.
+    # An empty list may come from a faulty catalogue: it is held back until the operator accepts it.
     wait_until(lambda: worker_states(world) == {"s-1": "suspect"}, 40)
     shown = json.loads(console(world, "--json", "membership").stdout)
     (source,) = shown["sources"]
@@ -181,10 +181,10 @@
     world.start_appliance("consul", consul_wait=more)
     assert worker_states(world) == {"s-1": "suspect"}
     shown = console(world, "membership").stdout
-    assert "of before the start" in shown
+    assert "its cached report is used" in shown
     assert client.wait(client.run("k2"))[1]["jobState"] == "DONE"
     assert len(runner.jobs) == 2
-    # A torn file is refused, and said.
+    # A damaged snapshot is refused.
     world.kill()
     (world.folder / "servers.json").write_text("{")
     world.start_appliance("consul", consul_wait=more)
--- a/tests/test_consul_agents.py
+++ b/tests/test_consul_agents.py
@@ -1,4 +1,4 @@
-"""Which Consul agent is asked and believed, what instances mean, and the last good lists on disk."""
+"""Choice of the Consul agent, use of its replies, reading of instances, and snapshots of worker lists."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
     s.on_failure(0.0, 0, "no connection")
     assert s.select(0.0)[0] == 1
     assert s.on_reply(1.0, 1, ReplyHeaders(200, 7)) is ReplyResult.NEW_LIST
-    assert (s.select(1.0), s.wait_index) == ((1, 51.0), 7)  # it stays, and is not hurried
+    assert (s.select(1.0), s.wait_index) == ((1, 51.0), 7)  # the same agent, after the minimum interval
     s.on_failure(60.0, 1, "the connection broke")
     number, at = s.select(60.0)
     assert number == 0 and s.wait_index == 0 and at <= 60.0 + 8000.0
 
 
 def test_a_lagging_agents_list_is_not_used_unless_the_index_was_reset() -> None:
-    # Guards against servers that are gone and come back by an agent that was cut off.
+    # An agent that was cut off would bring back workers that are gone.
     s = selector(A, B, index_reset_ms=5000.0)
     assert s.on_reply(0.0, 0, ReplyHeaders(200, 100)) is ReplyResult.NEW_LIST
     s.on_failure(10.0, 0, "reset")
     assert s.on_reply(20.0, 1, ReplyHeaders(200, 90)) is ReplyResult.OUTDATED
     assert s.on_reply(1000.0, 0, ReplyHeaders(200, 101)) is ReplyResult.NEW_LIST
-    # The same agent goes back: its state was restored, and it is believed.
+    # A lower index from the same agent means that its state was restored: the list is used.
     assert s.on_reply(2000.0, 0, ReplyHeaders(200, 5)) is ReplyResult.NEW_LIST and s.wait_index == 0
     assert s.on_reply(2100.0, 0, ReplyHeaders(200, 6)) is ReplyResult.NEW_LIST and s.wait_index == 6
     s.on_failure(2200.0, 0, "gone for good")
@@ -58,8 +58,8 @@
     ("reply", "reason"),
     [
         (ReplyHeaders(500), "status 500"),
-        (ReplyHeaders(200, 7, has_known_leader=False), "it knows no leader"),
-        (ReplyHeaders(200, 7, last_contact_ms=3000.0), "it is 3000 ms behind"),
+        (ReplyHeaders(200, 7, has_known_leader=False), "the agent knows no leader"),
+        (ReplyHeaders(200, 7, last_contact_ms=3000.0), "the agent is 3000 ms behind"),
     ],
 )
 def test_replies_that_count_as_failures(reply: ReplyHeaders, reason: str) -> None:
@@ -179,7 +179,7 @@
     assert reader.read(health_entry(), True) is not None
     for address in ("192.0.2.1", "2001:db8::1", "metadata.internal"):
         assert reader.read(health_entry(service={"Address": address}), True) is None
-    assert [record.message for record in caplog.records] == ["server_outside"]  # told once
+    assert [record.message for record in caplog.records] == ["server_outside"]  # logged once
     assert reader.read(health_entry(service={"Address": "fd00::1"}), True) is not None
     with pytest.raises(ValueError, match="'10.0.0.0/99' is no network"):
         parse_networks(["10.0.0.0/99"])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership against a model of random sources, faults and times, and the hard cases one by one."""
+"""Membership against a model with random sources, failures and times, and single cases."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Driver:
-    """Feeds a membership, keeps the table that it tells, and wakes it as it asks."""
+    """Feeds a membership, keeps the table of members that it publishes, and fires its timers."""
 
     def __init__(self, **changes: Any) -> None:
         self.membership = Membership(api.MembershipSettings(**changes))
@@ -32,9 +32,9 @@
                 case api.MembersChanged(members):
                     for member in members:
                         if member.status is WorkerStatus.GONE:
-                            assert self.table.pop(member.name, None) is not None, "gone, and was never told"
+                            assert self.table.pop(member.name, None) is not None, "gone, but never published"
                         else:
-                            assert self.table.get(member.name) != member, "told twice"
+                            assert self.table.get(member.name) != member, "published twice"
                             self.table[member.name] = member
                 case api.LogEvent():
                     self.log_events.append(action)
@@ -122,7 +122,7 @@
     assert {m.status for m in d.table.values()} == {WorkerStatus.SUSPECT}
     d.update("a", report("s0"), report("s1", CRITICAL), report("s2"), report("s3"))
     assert d.takes_work() == {"s0", "s2", "s3"} and not d.membership.sources["a"].held_removals
-    d.update("a", report("s0"), report("s2"))  # half: that may be
+    d.update("a", report("s0"), report("s2"))  # half of them, which is the limit
     assert set(d.table) == {"s0", "s2"}
     d.update("a")
     d.feed(api.RemovalsAccepted("a"))
@@ -134,7 +134,7 @@
     holds = []
     for _ in range(6):
         d.update("a", report("x", CRITICAL))
-        assert not d.takes_work()  # a fall counts at once
+        assert not d.takes_work()  # at once
         d.update("a", report("x"))
         began = d.now
         while not d.takes_work():
@@ -142,7 +142,7 @@
             d.advance(100.0)
         holds.append(round(d.now - began, -2))
         d.advance(100.0)
-    # The first claim was of a critical server: no fall. The others fell from ready.
+    # The first report was of a critical worker, which is no flap; the others were of one that had been ready.
     assert holds == [0, 0, 0, 1000, 2000, 4000]
     d.advance(120_000.0)
     d.update("a", report("x", CRITICAL))
@@ -173,10 +173,10 @@
 
 
 class Model(RuleBasedStateMachine):
-    """No work for a server that a fresh source calls critical or draining, or that no source lists.
+    """No work for a worker that a fresh source reports critical or draining, or that no source lists.
 
-    None lost that all sources list; the table and the beliefs are the same; once sources agree and time has
-    passed, so do the beliefs.
+    No worker that a source lists is lost, and the published table agrees with the membership's own state.
+    Once all sources report the same and time has passed, every worker is ready.
     """
 
     names = ("p", "q", "r", "s")
@@ -189,35 +189,33 @@
 
     @rule(
         source=st.sampled_from("ab"),
-        whole_list=st.booleans(),
-        worker_states=st.dictionaries(st.sampled_from(names), st.sampled_from(ReportedState), max_size=4),
+        is_complete=st.booleans(),
+        states=st.dictionaries(st.sampled_from(names), st.sampled_from(ReportedState), max_size=4),
         port=st.integers(1, 2),
     )
-    def update(
-        self, source: str, whole_list: bool, worker_states: dict[str, ReportedState], port: int
-    ) -> None:
-        reports = tuple(report(name, state, port) for name, state in worker_states.items())
-        self.reports[source] = ({} if whole_list else self.reports[source]) | {
+    def update(self, source: str, is_complete: bool, states: dict[str, ReportedState], port: int) -> None:
+        reports = tuple(report(name, state, port) for name, state in states.items())
+        self.reports[source] = ({} if is_complete else self.reports[source]) | {
             r.worker_id: r for r in reports
         }
         self.updated_ms[source] = self.d.now
-        self.d.update(source, *reports, is_full=whole_list)
+        self.d.update(source, *reports, is_complete=is_complete)
 
     @rule(source=st.sampled_from("ab"))
-    def respond_without_change(self, source: str) -> None:
+    def unchanged(self, source: str) -> None:
         self.updated_ms[source] = self.d.now
         self.d.feed(api.SourceUnchanged(source))
 
-    @rule(name=st.sampled_from(names), starts=st.booleans())
-    def drain(self, name: str, starts: bool) -> None:
-        self.d.feed(api.DrainChanged(name, starts))
+    @rule(name=st.sampled_from(names), is_drained=st.booleans())
+    def drain(self, name: str, is_drained: bool) -> None:
+        self.d.feed(api.DrainChanged(name, is_drained))
 
     @rule(source=st.sampled_from("ab"))
     def accept(self, source: str) -> None:
         self.d.feed(api.RemovalsAccepted(source))
 
     @rule(ms=st.sampled_from([10.0, 600.0, 3000.0, 6000.0]))
-    def wait(self, ms: float) -> None:
+    def time_passes(self, ms: float) -> None:
         self.d.advance(ms)
 
     def fresh(self) -> list[str]:
