--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -129,6 +129,15 @@
     assert not d.table
 
 
+def test_a_worker_that_is_listed_again_after_a_held_back_removal_does_not_stay_suspect() -> None:
+    # Its report is the same as before, so its status is not evaluated again when the removal is dropped.
+    d = two_sources()
+    d.update("a", report("p"))
+    d.update("a")
+    d.update("a", report("p"))
+    assert {m.worker_id for m in d.table.values() if m.status is WorkerStatus.READY} == {"p"}
+
+
 def test_a_flapping_worker_is_held_out_of_use_for_twice_as_long_each_time() -> None:
     d = two_sources(max_flaps=2, base_hold_ms=1000.0, max_hold_ms=4000.0, flap_window_ms=60_000.0)
     holds = []
