--- a/grebestack/audit/recorder.py
+++ b/grebestack/audit/recorder.py
@@ -5,7 +5,7 @@
 gap is recorded with its reason in the next batch.
 
 Sampling applies to sends and retries. If the second before had more than `max_full_rate` actions, only those
-of jobs whose call ids hash into the share that fits are kept. All other actions are always kept: denials,
+of jobs whose call ids hash into the share that fits are kept. Other actions are never sampled out: denials,
 failures, cancellations, operators' actions, and the first ones under a version set.
 """
 
--- a/grebestack/audit/version_sets.py
+++ b/grebestack/audit/version_sets.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct, structs
 
-MAX_NUMBERED_SETS = 10_000  # beyond it the set out of force the longest loses its number
+MAX_NUMBERED_SETS = 10_000  # with more, the set unused for longest loses its number
 
 
 class VersionSet(Struct, frozen=True, array_like=True):
--- a/grebestack/consul/agents.py
+++ b/grebestack/consul/agents.py
@@ -32,9 +32,7 @@
     base_backoff_ms: float = 250.0
     max_backoff_ms: float = 8000.0
     min_interval_ms: float = 50.0  # between queries, so that a service that changes constantly costs little
-    pause_per_read_time: float = (
-        12.0  # for a large service: a pause of this many times the reading of its list
-    )
+    pause_per_read_time: float = 12.0  # times the reading of a list, so that a large service costs little
     max_pause_ms: float = 1000.0
     max_stale_ms: float | None = None  # a reply whose X-Consul-LastContact is longer ago is not used
     index_reset_ms: float = 10_000.0  # if all agents have lower indexes for this long, the index was reset
@@ -110,7 +108,7 @@
         agent, s = self.agents[number], self.settings
         max_delay_ms = min(s.max_backoff_ms, s.base_backoff_ms * 2.0 ** min(agent.failures, 20))
         delay_ms = self.random.uniform(0.0, max_delay_ms)
-        if retry_after_ms is not None:  # the random delay is added, lest all watchers return at that moment
+        if retry_after_ms is not None:  # randomised too, so that not all watchers return at once
             delay_ms = retry_after_ms + delay_ms
         agent.failures += 1
         agent.not_before_ms, agent.failure_reason = now_ms + delay_ms, reason
--- a/grebestack/membership/interface.py
+++ b/grebestack/membership/interface.py
@@ -26,7 +26,7 @@
 
     JOINING = 0  # reported ready, but held out of use after it has flapped
     READY = 1
-    SUSPECT = 2  # last reported ready, by sources that are stale now: it still gets work
+    SUSPECT = 2  # last reported ready, but the source is stale or no longer lists it: it still gets work
     DRAINING = 3
     CRITICAL = 4
     GONE = 5
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -257,7 +257,7 @@
         time.sleep(1.0)
         group.kill("n1")  # while it is busy
         group.start("n1")
-        # The process that was killed may have sent something within the time that `serving` looks back.
+        # The process that was killed may have sent something within the time that `is_serving` looks back.
         wait_until(lambda: logs[1].read_text().count("event=ready") == 2 and group.is_serving("n1"))
         time.sleep(0.5)
         group.stopped = True
