--- a/grebestack/core/workers.py
+++ b/grebestack/core/workers.py
@@ -100,7 +100,7 @@
         """Apply its entry of the endpoint list; return whether readiness or start time changed."""
         former = (self.is_ready, self.entry.started_ms)
         self.entry, self.is_ready = entry, entry.state is WorkerState.READY
-        self.is_reinstated = self.is_reinstated or entry.reinstated
+        self.is_reinstated = self.is_reinstated or entry.put_back
         if self.is_ready and not former[0]:
             # With little traffic, nothing would ever correct what was learned before it became unready.
             self.consecutive_overloads, self.backoff_until_ms = 0, 0.0
--- a/grebestack/routing/worker_table.py
+++ b/grebestack/routing/worker_table.py
@@ -99,7 +99,7 @@
         if (name in self.cordoned) != on:
             (self.cordoned.add if on else self.cordoned.discard)(name)
             if (worker := self.reported.get(name)) is not None:
-                entry = replace(worker.entry, reinstated=not on)
+                entry = replace(worker.entry, put_back=not on)
                 self._apply(ListKind.CHANGES, (replace(worker, entry=entry),))
 
     def callback_id(self, name: str) -> str:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -97,7 +97,7 @@
     listed(ListKind.CHANGES, ("a", WorkerState.READY))
     assert not table.accepts_work("a") and table.accepts_work("b")
     told: list[bool] = []
-    table.on_change = lambda kind, entries: told.extend(entry.reinstated for entry in entries)
+    table.on_change = lambda kind, entries: told.extend(entry.put_back for entry in entries)
     table.set_cordoned("a", False)
     listed(ListKind.CHANGES, ("a", WorkerState.READY))
     assert table.accepts_work("a") and told == [True, False]
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -90,6 +90,6 @@
     golden = load("handover.json")
     welcome, job = (Unpacker().feed(golden[name][0].encode()) for name in ("welcome", "job"))
     assert welcome is not None and job is not None
-    listed = replace(SERVER.entry, reinstated=False)
+    listed = replace(SERVER.entry, put_back=False)
     assert [worker_from_wire(raw) for raw in welcome["servers"]] == [WorkerEndpoint(listed, SERVER.address)]
     assert request_from_wire(job) == replace(REQUEST, keep_alive=True)
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -486,7 +486,7 @@
     for name in ("w0", "w1", "w2"):  # at any position on the ring
         d.update_list(entry(name, state=api.WorkerState.DRAINING), kind=api.ListKind.CHANGES)
         d.advance(2100)
-        reinstated = entry(name, started_ms=d.now_ms - 500, reinstated=True)
+        reinstated = entry(name, started_ms=d.now_ms - 500, put_back=True)
         d.update_list(reinstated, kind=api.ListKind.CHANGES)
         d.update_list(entry(name, started_ms=d.now_ms - 500), kind=api.ListKind.CHANGES)  # listed once more
         used = []
