--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -60,8 +60,8 @@
         )
         self.relay: LocalRelay | None = None
         self.settled: Callable[[], None] = lambda: None  # called when a version or a confirmation has come
-        self.tickets = 0
-        self.asked: dict[int, Callable[[ProposalResult], None]] = {}  # by ticket
+        self.last_proposal_id = 0
+        self.asked: dict[int, Callable[[ProposalResult], None]] = {}  # by proposal id
         self.counted = dict.fromkeys(("messages_in", "messages_out", "bytes_in", "bytes_out"), 0)
         self.performers = self._performers()
         self.turns: ActionRunner[ConfigurationAction] = ActionRunner(
@@ -84,7 +84,7 @@
 
     def shown(self) -> list[str]:
         """Describe the newest decided version, and who has it, to operators."""
-        return self.voter.shown(self.clock())
+        return self.voter.status_lines(self.clock())
 
     def start(self) -> None:
         """Begin to take messages, from what the disk holds."""
@@ -98,10 +98,12 @@
 
     def propose(self, contents: bytes, ended: Callable[[ProposalResult], None]) -> None:
         """Propose contents; `ended` is called once with the result."""
-        self.tickets += 1
-        self.asked[self.tickets] = ended
-        since_ms = time.time_ns() // 1_000_000
-        self.turns.run(self.voter.propose(self.clock(), self.tickets, contents, since_ms, self._view()))
+        self.last_proposal_id += 1
+        self.asked[self.last_proposal_id] = ended
+        proposed_at_ms = time.time_ns() // 1_000_000
+        self.turns.run(
+            self.voter.propose(self.clock(), self.last_proposal_id, contents, proposed_at_ms, self._view())
+        )
 
     def on_status_report(self, report: StatusReport) -> None:
         """Take a relay's status report."""
@@ -160,7 +162,7 @@
 
     def _store(self, action: Store) -> None:
         stored = partial(self._stored, action.version.number)
-        self.contents.store(action.version, action.contents, action.beside, stored, action.also)
+        self.contents.store(action.version, action.contents, action.keep_number, stored, action.also_keep)
 
     def _apply(self, action: Apply) -> None:
         why = self.take(action.version, action.contents)
@@ -180,7 +182,7 @@
         self.node.propose(REGISTER, register_change(action.version), self._registered)
 
     def _report_result(self, action: ProposalResult) -> None:
-        ended = self.asked.pop(action.ticket, None)
+        ended = self.asked.pop(action.proposal_id, None)
         if ended is not None:
             ended(action)
 
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -146,7 +146,7 @@
 
     def shown(self) -> str:
         """Its version, by which relay, and for how long it has heard nothing."""
-        return self.follower.shown(self.clock())
+        return self.follower.status_line(self.clock())
 
     def start(self) -> None:
         """Follow from now on."""
@@ -229,4 +229,4 @@
         if self.contents is None:
             done("")
         else:
-            self.contents.store(action.version, action.contents, action.beside, done, action.also)
+            self.contents.store(action.version, action.contents, action.keep_number, done, action.also_keep)
--- a/grebestack/cluster_io/relay_server.py
+++ b/grebestack/cluster_io/relay_server.py
@@ -92,7 +92,7 @@
 
     def on_connected(self, link: RelayConnection) -> None:
         """A follower's connection is up; the follower sends the first message."""
-        if self.turns.stopped or len(self.links) >= self.relay.most + SPARE_CONNECTIONS:
+        if self.turns.stopped or len(self.links) >= self.relay.max_followers + SPARE_CONNECTIONS:
             link.close("too many connections")
         else:
             self.links[link.number] = link
--- a/grebestack/config_distribution/actions.py
+++ b/grebestack/config_distribution/actions.py
@@ -40,14 +40,14 @@
 class Store:
     """Write and sync a version with its contents, then call `on_stored`.
 
-    The disk keeps this one, the one with number `beside` (in force until this one is) and the numbers `also`
-    (what it held at a start, until something is in force), no others.
+    The disk keeps this version, the one with `keep_number` (in force until this one is) and those with the
+    numbers `also_keep` (on the disk at the start, until a version is in force), and no others.
     """
 
     version: Version
     contents: bytes
-    beside: int
-    also: tuple[int, ...] = ()
+    keep_number: int
+    also_keep: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,13 +121,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalResult:
-    """How the proposal with this ticket ended."""
+    """How a proposal ended."""
 
-    ticket: int
+    proposal_id: int
     won: bool
     version: Version  # in force as far as is known: the proposal, or the one that won
     why: str  # why it did not win, or empty
-    held_by: tuple[str, ...] = ()  # voters that have the contents
+    holders: tuple[str, ...] = ()  # voters that have the contents
 
 
 FollowerAction = Connect | Send | Close | Store | Apply | PublishVersion | MajorityConfirmed | LogMessage
--- a/grebestack/config_distribution/activation.py
+++ b/grebestack/config_distribution/activation.py
@@ -82,6 +82,6 @@
                 return [event, Apply(*self.pending)]
         else:
             self.in_force, self.disk = version, ()
-            kv = {"number": number, "digest": version.digest, "by": version.by, "relay": ""}
+            kv = {"number": number, "digest": version.digest, "by": version.proposed_by, "relay": ""}
             event = LogMessage("configuration_in_force", kv)
         return [event, *self.begin()]
--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -125,12 +125,12 @@
                 self.announced = 0
         else:
             self.version, self.contents, self.disk = version, contents, ()
-            self.floor = max(self.floor, number)
+            self.min_number = max(self.min_number, number)
             if number >= self.announced:
                 self.announced = 0
             if self.refused <= number:
                 self.refused, self.refused_why = 0, ""
-            kv = {"number": number, "digest": version.digest, "by": version.by, "relay": self.relay}
+            kv = {"number": number, "digest": version.digest, "by": version.proposed_by, "relay": self.relay}
             actions.append(LogMessage("configuration_in_force", kv))
         if self.state == LINKED:
             actions += self._send_poll(now_ms)
@@ -182,13 +182,13 @@
 
     def _on_accepted(self, now_ms: float, message: SubscribeAccepted) -> list[FollowerAction]:
         for field, value, allowed in (
-            ("form", message.form, PROTOCOL_VERSION),
+            ("form", message.protocol_version, PROTOCOL_VERSION),
             ("fleet", message.cluster, self.cluster),
             ("relay", message.relay, self.relay),
         ):
             if value != allowed:
                 return self._reject_message(now_ms, invalid_value(field, value, repr(allowed)))
-        self.floor = max(self.floor, message.floor)
+        self.min_number = max(self.min_number, message.acknowledged_number)
         self.state, self.deadline_ms, self.announced = LINKED, now_ms + timeouts.RESPONSE_TIMEOUT_MS, 0
         self.preferred_retry_ms = (
             inf
@@ -257,11 +257,13 @@
             why = invalid_value("digest", version.digest, f"{self.version.digest} in version {number}")
             return self._reject_message(now_ms, why)
         on_disk = bool(self.disk) and self.disk[0][0] == version
-        if number <= top or number == self.refused or number < max(self.floor, former) or on_disk:
+        if number <= top or number == self.refused or number < max(self.min_number, former) or on_disk:
             noted = []
-            if number < self.floor and number > top:
+            if number < self.min_number and number > top:
                 why = invalid_value(
-                    "number", number, f"{self.floor} and more, which this follower had acknowledged"
+                    "number",
+                    number,
+                    f"{self.min_number} and more, which this follower had acknowledged",
                 )
                 noted = self._log_invalid_once(f"floor/{self.relay}", why)
             return noted + self._on_relay_number(now_ms, number, update.confirmed_age_ms)
@@ -341,9 +343,8 @@
         if self.disk and now_ms >= self.start_ms:
             actions += self._apply_from_disk()
         if now_ms >= self.deadline_ms:
-            if (
-                now_ms - self.deadline_ms > timeouts.STALL_THRESHOLD_MS
-            ):  # the process stood still: the response may be unread
+            # A tick this late means that the process was suspended: the response may be unread.
+            if now_ms - self.deadline_ms > timeouts.STALL_THRESHOLD_MS:
                 self.deadline_ms = now_ms + timeouts.STALL_THRESHOLD_MS
             else:
                 return actions + self._leave_relay(now_ms, _TIMEOUT_REASONS[self.state])
@@ -371,12 +372,12 @@
             due = min(due, self.start_ms)
         return max(due, now_ms + 1.0)
 
-    def shown(self, now_ms: float) -> str:
+    def status_line(self, now_ms: float) -> str:
         """Describe the follower to operators in one line."""
         heard = self.began_ms if self.heard_ms is None else self.heard_ms
         parts = [f"version {self.version.number}" if self.version.number else "no version"]
         if self.version.number:
-            parts.append(f"digest {self.version.digest[:12]} by {self.version.by}")
+            parts.append(f"digest {self.version.digest[:12]} by {self.version.proposed_by}")
         parts.append(f"relay {self.relay}" if self.state == LINKED else "no relay")
         parts.append(f"heard nothing for {(now_ms - heard) / 1000.0:.1f} s")
         if self.confirmed_ms is None:
--- a/grebestack/config_distribution/follower_versions.py
+++ b/grebestack/config_distribution/follower_versions.py
@@ -36,7 +36,7 @@
         self.next_version: VersionContents | None = None  # checked, waits for `pending`
         self.bases: dict[str, bytes] = {}  # contents by digest that the relay may base a delta on
         self.refused, self.refused_why = 0, ""
-        self.floor = 0  # acknowledged before the start, as a relay says
+        self.min_number = 0  # acknowledged before the start, as a relay says
 
     def _load_disk(self, disk: Sequence[VersionContents]) -> list[FollowerAction]:
         """Take what the disk holds at a start; versions that are not valid are ignored."""
@@ -97,8 +97,10 @@
         if not self.disk or self.pending is not None or self.next_version is not None:
             return []
         number = self.disk[0][0].number
-        if number < self.floor:
-            why = invalid_value("number", number, f"{self.floor} and more, which was acknowledged before")
+        if number < self.min_number:
+            why = invalid_value(
+                "number", number, f"{self.min_number} and more, which was acknowledged before"
+            )
             return self._log_invalid_once("old disk", why)
         self.pending, self.disk, self.step = self.disk[0], self.disk[1:], APPLYING
         return [Apply(*self.pending)]
--- a/grebestack/config_distribution/learning.py
+++ b/grebestack/config_distribution/learning.py
@@ -126,9 +126,9 @@
         times = [
             report.sent_ms
             for name, report in self.others.items()
-            if name in view.names and report.epoch == view.epoch and 0 <= report.accepted <= held
+            if name in view.members and report.epoch == view.epoch and 0 <= report.accepted <= held
         ]
-        if self.state.name in view.names and 0 <= view.accepted <= held:
+        if self.state.name in view.members and 0 <= view.accepted <= held:
             times.append(now_ms)
         times.sort(reverse=True)
         if not view.epoch or len(times) < view.majority:
--- a/grebestack/config_distribution/messages.py
+++ b/grebestack/config_distribution/messages.py
@@ -18,7 +18,7 @@
 class Subscribe(Struct, frozen=True, array_like=True, tag="greeting"):
     """The follower's first message: its identity and what it has in force."""
 
-    form: int
+    protocol_version: int
     cluster: str
     name: str
     incarnation: int  # process incarnation: a later start has a higher number
@@ -30,11 +30,11 @@
 class SubscribeAccepted(Struct, frozen=True, array_like=True, tag="welcome"):
     """The relay's response to `Subscribe`; `ConfigUpdate` or `NotModified` follows at once."""
 
-    form: int
+    protocol_version: int
     cluster: str
     relay: str
-    most: int  # followers that it serves at most
-    floor: int = 0  # the highest number that this follower has acknowledged, in any incarnation
+    max_followers: int  # followers that it serves at most
+    acknowledged_number: int = 0  # the highest number that this follower has acknowledged, in any incarnation
 
 
 class SubscribeRejected(Struct, frozen=True, array_like=True, tag="full"):
@@ -80,8 +80,8 @@
     name: str
     incarnation: int
     number: int  # in force at its last message
-    heard_age_ms: int  # since its last message
-    linked: bool
+    last_message_age_ms: int  # since its last message
+    connected: bool
     behind_age_ms: int = 0  # since the relay has had a newer version; 0: it is not behind
     refused: int = 0
     why: str = ""
--- a/grebestack/config_distribution/proposing.py
+++ b/grebestack/config_distribution/proposing.py
@@ -28,16 +28,16 @@
         self.state, self.undecided, self.register = state, undecided, register
 
     def propose(
-        self, now_ms: float, ticket: int, contents: bytes, since_ms: int, view: VoterView
+        self, now_ms: float, proposal_id: int, contents: bytes, proposed_at_ms: int, view: VoterView
     ) -> list[ConfigurationAction]:
         """Begin a proposal, or reject it."""
         state = self.state
         state.view = view
         if why := self._why_rejected(contents, view):
-            return [ProposalResult(ticket, False, state.decided, why)]
+            return [ProposalResult(proposal_id, False, state.decided, why)]
         digest = digest_of(contents)
-        version = Version(state.decided.number + 1, digest, len(contents), state.name, since_ms)
-        proposal = Proposal(ticket, version, contents, now_ms + timeouts.PROPOSAL_TIMEOUT_MS)
+        version = Version(state.decided.number + 1, digest, len(contents), state.name, proposed_at_ms)
+        proposal = Proposal(proposal_id, version, contents, now_ms + timeouts.PROPOSAL_TIMEOUT_MS)
         state.proposal = proposal
         store: list[ConfigurationAction] = []
         if digest in self.undecided.on_disk:
@@ -51,7 +51,7 @@
     def _why_rejected(self, contents: bytes, view: VoterView) -> str:
         """Say why contents can't be proposed here now; empty where they can."""
         name = self.state.name
-        reached = len(view.linked & view.names | {name})
+        reached = len(view.connected & view.members | {name})
         if len(contents) > MAX_CONTENTS_BYTES:
             return invalid_value("contents", f"{len(contents)} bytes", f"up to {MAX_CONTENTS_BYTES}")
         if self.state.proposal is not None:
@@ -59,7 +59,7 @@
         if view.accepted < 0:
             return f"the vote of {name} does not count now"
         if reached < view.majority:
-            return f"{reached} of {len(view.names)} voters are connected; needed: {view.majority}"
+            return f"{reached} of {len(view.members)} voters are connected; needed: {view.majority}"
         return ""
 
     def advance(self, now_ms: float, view: VoterView) -> list[ConfigurationAction]:
@@ -69,7 +69,7 @@
             return []
         if now_ms >= proposal.until_ms:
             return self._end(False, self._why_timed_out(proposal, view))
-        enough = len(proposal.holders & view.names) >= view.majority
+        enough = len(proposal.holders & view.members) >= view.majority
         if enough and self.state.name in proposal.holders:
             return self._change_register(now_ms, proposal)
         if now_ms < proposal.again_ms:
@@ -78,7 +78,7 @@
         message = Propose(proposal.version.digest, proposal.contents)
         return [
             self.state.send(name, message)
-            for name in sorted((view.names & view.linked) - proposal.holders)
+            for name in sorted((view.members & view.connected) - proposal.holders)
             if name != self.state.name
         ]
 
@@ -130,7 +130,7 @@
             return []
         if decided == proposal.version:
             return self._end(True, "")
-        why = f"{decided.by or 'another voter'} won with number {decided.number}"
+        why = f"{decided.proposed_by or 'another voter'} won with number {decided.number}"
         if decided.number > proposal.version.number and proposal.asked:
             why += "; whether this one was in force before is not known"
         return self._end(False, why)
@@ -140,4 +140,4 @@
         if proposal is None:
             return []
         version = proposal.version if won else self.state.decided
-        return [ProposalResult(proposal.ticket, won, version, why, tuple(sorted(proposal.holders)))]
+        return [ProposalResult(proposal.proposal_id, won, version, why, tuple(sorted(proposal.holders)))]
--- a/grebestack/config_distribution/relay.py
+++ b/grebestack/config_distribution/relay.py
@@ -61,7 +61,7 @@
     why: str = ""
     sent: int = 0  # the number that was pushed last
     sent_ms: float = -inf
-    linked: bool = True
+    connected: bool = True
 
 
 class Relay(PublishedVersion):
@@ -73,9 +73,9 @@
     ----------
     incarnation
         Process incarnation: a later start has a higher number.
-    most
+    max_followers
         Followers that it serves at most.
-    floor
+    acknowledged_number
         Returns the highest number that a follower has acknowledged to any relay, 0 for none.
     """
 
@@ -85,13 +85,18 @@
         cluster: str,
         incarnation: int,
         random: Random,
-        most: int = MAX_FOLLOWERS,
-        floor: Callable[[str], int] = lambda name: 0,
+        max_followers: int = MAX_FOLLOWERS,
+        acknowledged_number: Callable[[str], int] = lambda name: 0,
     ) -> None:
         """Begin without followers."""
         super().__init__()
-        self.name, self.cluster, self.incarnation, self.most = name, cluster, incarnation, most
-        self.random, self.floor = random, floor
+        self.name, self.cluster, self.incarnation, self.max_followers = (
+            name,
+            cluster,
+            incarnation,
+            max_followers,
+        )
+        self.random, self.acknowledged_number = random, acknowledged_number
         self.followers: dict[int, FollowerState] = {}
         self.link_by_name: dict[str, int] = {}
         self.disconnected: dict[str, FollowerState] = {}  # the last one at the end
@@ -210,8 +215,8 @@
         if other is not None:
             self._remove(now_ms, other)
             actions.append(Close(other, f"{name} has connected again"))
-        if len(self.followers) >= self.most:
-            why = f"{len(self.followers)} followers; allowed: {self.most}"
+        if len(self.followers) >= self.max_followers:
+            why = f"{len(self.followers)} followers; allowed: {self.max_followers}"
             actions += self._log_invalid_once("full", name, why)
             return [*actions, Send(link, SubscribeRejected(why)), Close(link, why)]
         self.disconnected.pop(name, None)
@@ -221,9 +226,11 @@
         )
         self.link_by_name[name] = link
         self.changed_names.add(name)
-        floor = max(self.floor(name), known.number if known is not None else 0)
-        welcome = SubscribeAccepted(PROTOCOL_VERSION, self.cluster, self.name, self.most, floor)
-        return [*actions, Send(link, welcome), *self._respond(now_ms, link)]
+        acknowledged = max(self.acknowledged_number(name), known.number if known is not None else 0)
+        accepted = SubscribeAccepted(
+            PROTOCOL_VERSION, self.cluster, self.name, self.max_followers, acknowledged
+        )
+        return [*actions, Send(link, accepted), *self._respond(now_ms, link)]
 
     def _on_poll(self, now_ms: float, link: int, follower: FollowerState, poll: Poll) -> list[RelayAction]:
         if why := held_version_problem(poll.number, poll.digest):
@@ -275,9 +282,9 @@
         if follower is not None:
             self.link_by_name.pop(follower.name, None)
             self.disconnected.pop(follower.name, None)
-            self.disconnected[follower.name] = replace(follower, linked=False)
+            self.disconnected[follower.name] = replace(follower, connected=False)
             self.changed_names.add(follower.name)
-            while len(self.disconnected) > self.most:
+            while len(self.disconnected) > self.max_followers:
                 del self.disconnected[next(iter(self.disconnected))]
         return follower
 
@@ -309,7 +316,7 @@
             follower.incarnation,
             follower.number,
             heard,
-            follower.linked,
+            follower.connected,
             behind,
             follower.refused,
             follower.why,
@@ -374,7 +381,7 @@
             )
         return max(due, now_ms + 1.0)
 
-    def shown(self, now_ms: float) -> str:
+    def status_line(self, now_ms: float) -> str:
         """Describe the relay and the followers behind, also those that refused the version, in one line."""
         behind = sorted(
             follower.name for follower in self.followers.values() if follower.behind_ms is not None
--- a/grebestack/config_distribution/status.py
+++ b/grebestack/config_distribution/status.py
@@ -83,7 +83,7 @@
         relay = RelayEntry(report.incarnation, 0, 0, now_ms, now_ms, False)
         self.relays[report.relay] = relay
         for name, entry in (former.followers if former is not None else {}).items():
-            away = msgspec.structs.replace(entry.status, linked=False)
+            away = msgspec.structs.replace(entry.status, connected=False)
             relay.followers[name] = FollowerEntry(away, entry.heard_ms, None)
         return relay
 
@@ -117,7 +117,7 @@
         behind = now_ms - status.behind_age_ms if status.behind_age_ms else None
         if former is not None and former.behind_ms is not None and behind is not None:
             behind = min(behind, former.behind_ms) if status.number == former.status.number else behind
-        relay.followers[name] = FollowerEntry(status, now_ms - status.heard_age_ms, behind)
+        relay.followers[name] = FollowerEntry(status, now_ms - status.last_message_age_ms, behind)
         if status.number > self.acknowledged.get(name, 0):
             self.acknowledged.pop(name, None)
             self.acknowledged[name] = status.number
@@ -125,7 +125,7 @@
                 del self.acknowledged[next(iter(self.acknowledged))]
         return []
 
-    def floor(self, name: str) -> int:
+    def acknowledged_number(self, name: str) -> int:
         """Return the highest number that a follower has acknowledged to any relay, 0 for none."""
         return self.acknowledged.get(name, 0)
 
@@ -135,20 +135,20 @@
         for relay in self.relays.values():
             silent = now_ms - relay.heard_ms > timeouts.RELAY_SILENT_MS
             for name, entry in relay.followers.items():
-                linked = entry.status.linked and not silent
+                connected = entry.status.connected and not silent
                 other = best.get(name)
-                if other is None or _rank(entry, linked) > _rank(other[0], other[2]):
-                    best[name] = entry, relay, linked
+                if other is None or _rank(entry, connected) > _rank(other[0], other[2]):
+                    best[name] = entry, relay, connected
         return best
 
     def counts(self, now_ms: float) -> FollowerCounts:
         """Count what is in force, and who is behind, has refused, or is unknown."""
         counts = FollowerCounts()
-        for name, (entry, relay, linked) in self._best(now_ms).items():
+        for name, (entry, relay, connected) in self._best(now_ms).items():
             status = entry.status
-            if status.refused and linked:
+            if status.refused and connected:
                 counts.refused[name] = status.refused, status.why
-            if not linked:
+            if not connected:
                 counts.unknown[name] = status.number, entry.heard_ms
                 continue
             counts.in_force[status.number] = counts.in_force.get(status.number, 0) + 1
@@ -157,7 +157,7 @@
                 counts.behind[name] = status.number, since_ms
         return counts
 
-    def shown(self, now_ms: float) -> list[str]:
+    def status_lines(self, now_ms: float) -> list[str]:
         """Describe the counts to operators, a line for each."""
         counts = self.counts(now_ms)
         lines = []
@@ -172,6 +172,6 @@
         return lines
 
 
-def _rank(entry: FollowerEntry, linked: bool) -> tuple[bool, int, float]:
+def _rank(entry: FollowerEntry, connected: bool) -> tuple[bool, int, float]:
     """Of several relays' entries for one follower the highest rank counts."""
-    return linked, entry.status.incarnation, entry.heard_ms
+    return connected, entry.status.incarnation, entry.heard_ms
--- a/grebestack/config_distribution/subscription.py
+++ b/grebestack/config_distribution/subscription.py
@@ -11,8 +11,8 @@
 def subscribe_problem(request: Subscribe, cluster: str) -> str:
     """Say why a relay of this cluster can't accept a request: field, value and what is allowed; or empty."""
     name = request.name
-    if request.form != PROTOCOL_VERSION:
-        return invalid_value("form", request.form, PROTOCOL_VERSION)
+    if request.protocol_version != PROTOCOL_VERSION:
+        return invalid_value("form", request.protocol_version, PROTOCOL_VERSION)
     if request.cluster != cluster:
         return invalid_value("fleet", request.cluster, repr(cluster))
     if not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable() or " " in name:
--- a/grebestack/config_distribution/versions.py
+++ b/grebestack/config_distribution/versions.py
@@ -25,8 +25,8 @@
     number: int
     digest: str  # SHA-256, hexadecimal
     size: int  # bytes
-    by: str  # the voter where it was proposed; for people only
-    since_ms: int  # Unix time in milliseconds of the proposal; for people only
+    proposed_by: str  # the voter where it was proposed; for people only
+    proposed_at_ms: int  # Unix time in milliseconds of the proposal; for people only
 
 
 NO_VERSION = Version(0, "", 0, "", 0)
--- a/grebestack/config_distribution/voter.py
+++ b/grebestack/config_distribution/voter.py
@@ -105,13 +105,13 @@
         return self.activation.on_applied(number, why)
 
     def propose(
-        self, now_ms: float, ticket: int, contents: bytes, since_ms: int, view: VoterView
+        self, now_ms: float, proposal_id: int, contents: bytes, proposed_at_ms: int, view: VoterView
     ) -> list[ConfigurationAction]:
-        """Propose contents; a `ProposalResult` with this ticket reports how it ended.
+        """Propose contents; a `ProposalResult` with this `proposal_id` reports how it ended.
 
-        `since_ms` is Unix time in milliseconds, for people only.
+        `proposed_at_ms` is Unix time in milliseconds, for people only.
         """
-        return self.proposing.propose(now_ms, ticket, contents, since_ms, view)
+        return self.proposing.propose(now_ms, proposal_id, contents, proposed_at_ms, view)
 
     def on_register_result(
         self, now_ms: float, known: bool, value: Value, view: VoterView
@@ -203,19 +203,21 @@
         sent = [self.state.send(name, report) for name in self.state.peers(view)]
         return [*sent, *self.status.receive(now_ms, report)]
 
-    def floor(self, name: str) -> int:
+    def acknowledged_number(self, name: str) -> int:
         """Return the highest number that a follower has acknowledged to any relay, 0 for none."""
-        return self.status.floor(name)
+        return self.status.acknowledged_number(name)
 
     def counts(self, now_ms: float) -> FollowerCounts:
         """Count what is in force, and who is behind, has refused, or is unknown."""
         return self.status.counts(now_ms)
 
-    def shown(self, now_ms: float) -> list[str]:
+    def status_lines(self, now_ms: float) -> list[str]:
         """Describe the newest decided version and the followers to operators, in a few lines."""
         state, version = self.state, self.state.decided
         if version.number:
-            first = f"version {version.number} decided, digest {version.digest[:12]}, by {version.by}"
+            first = (
+                f"version {version.number} decided, digest {version.digest[:12]}, by {version.proposed_by}"
+            )
         else:
             first = "no version decided"
         if self.majority.confirmed_ms is None:
@@ -227,7 +229,7 @@
         lines = [first]
         if self.activation.refused:
             lines.append(f"refused here: {self.activation.refused}: {self.activation.refused_why}")
-        return lines + self.status.shown(now_ms)
+        return lines + self.status.status_lines(now_ms)
 
     # Time.
 
--- a/grebestack/config_distribution/voter_state.py
+++ b/grebestack/config_distribution/voter_state.py
@@ -20,16 +20,16 @@
 
     accepted: int  # number in its own slot of the register, 0 for none; -1 while its vote does not count
     epoch: int
-    names: frozenset[str]  # all members, this one included
+    members: frozenset[str]  # all members, this one included
     majority: int
-    linked: frozenset[str]  # members that are connected
+    connected: frozenset[str]  # members that are connected
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
     """A change that was requested at this voter."""
 
-    ticket: int
+    proposal_id: int
     version: Version
     contents: bytes
     until_ms: float
@@ -62,7 +62,7 @@
 
     def peers(self, view: VoterView) -> list[str]:
         """List the other members that are connected, in order of name."""
-        return sorted((view.names & view.linked) - {self.name})
+        return sorted((view.members & view.connected) - {self.name})
 
     def send(self, to: str, message: VoterMessage) -> SendToVoter:
         """Send a message to another voter."""
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -144,7 +144,11 @@
         # Log what the dispatcher holds now, not what it was given.
         now = self.host.config
         # since_ms is Unix time, at_ms this machine's clock since its boot.
-        kv |= {"by": version.by, "since_ms": version.since_ms, "at_ms": round(monotonic_ms(), 1)}
+        kv |= {
+            "by": version.proposed_by,
+            "since_ms": version.proposed_at_ms,
+            "at_ms": round(monotonic_ms(), 1),
+        }
         kv |= {"settings": digest(now.options), "servers": digest([*map(dict, now.worker_source.entries)])}
         log.info("configuration_laid", extra={"kv": kv})
         return ""
@@ -206,7 +210,13 @@
             return None
         fleet, address, random = self.config.cluster, self.config.relays[self.name].address, Random()
         if self.voter is not None:
-            pure = Relay(self.name, fleet, self.voter.voter.incarnation, random, floor=self.voter.voter.floor)
+            pure = Relay(
+                self.name,
+                fleet,
+                self.voter.voter.incarnation,
+                random,
+                acknowledged_number=self.voter.voter.acknowledged_number,
+            )
             relay = self.voter.relay = RelayServer(
                 self.loop, pure, address, self.voter.on_status_report, CLOCK
             )
@@ -247,7 +257,7 @@
         if self.follower is not None:
             lines.append(self.follower.shown())
         if self.relay is not None:
-            lines.append(self.relay.relay.shown(CLOCK()))
+            lines.append(self.relay.relay.status_line(CLOCK()))
         return lines
 
     def shown(self) -> str:
@@ -271,7 +281,7 @@
         def ended(outcome: ProposalResult) -> None:
             version = outcome.version
             if outcome.won:
-                held = ", ".join(outcome.held_by)
+                held = ", ".join(outcome.holders)
                 text = f"version {version.number} is in force, digest {version.digest[:16]}, held by {held}"
             else:
                 text = outcome.why
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -203,7 +203,7 @@
         random = Random(self.random.getrandbits(32))
         if name in VOTERS:
             p.voter = voter(name, FLEET, p.life, random, self.now)
-            p.relay = relay(name, FLEET, p.life, random, floor=p.voter.floor)
+            p.relay = relay(name, FLEET, p.life, random, acknowledged_number=p.voter.acknowledged_number)
             self.do(p, p.voter.start(self.now, list(p.disk.values()), dict(p.kept)))
         else:
             relays = name in RELAY
@@ -302,7 +302,7 @@
                 other = connection.client if connection.server == p.name else connection.server
                 self.after(p.name, connection, partial(self.ended, connection, other))
         elif isinstance(action, act.Store):
-            kept = {action.beside, *action.also}
+            kept = {action.keep_number, *action.also_keep}
             self.write(p, partial(self._stored, p, action, kept))
         elif isinstance(action, act.Apply):
             self.apply(p, action)
@@ -326,7 +326,7 @@
         elif isinstance(action, act.ChangeRegister):
             self.ask(p, action.version)
         elif isinstance(action, act.ProposalResult):
-            self.outcomes[action.ticket] = action
+            self.outcomes[action.proposal_id] = action
         elif isinstance(action, LogMessage):
             self.told.append((self.now, p.name, action))
         else:
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -553,7 +553,7 @@
                 )
             elif isinstance(action, act.Store):
                 disk = world.disks[index]._replace(
-                    writing=(action.version.number, (action.beside, *action.also))
+                    writing=(action.version.number, (action.keep_number, *action.also_keep))
                 )
                 world = world._replace(disks=put(world.disks, index, disk))
             elif isinstance(action, act.Apply):
--- a/tests/test_config_distribution.py
+++ b/tests/test_config_distribution.py
@@ -109,10 +109,10 @@
         won = [o for o in world.outcomes.values() if o.won]
         lost = [o for o in world.outcomes.values() if not o.won]
         if len(lost) == 1:
-            assert lost[0].why == f"{won[0].version.by} won with number 1"
+            assert lost[0].why == f"{won[0].version.proposed_by} won with number 1"
             assert lost[0].version == won[0].version
             both += 1
-        assert {v.by for v in world.in_force().values()} == {world.chosen[-1].version.by}
+        assert {v.proposed_by for v in world.in_force().values()} == {world.chosen[-1].version.proposed_by}
     assert both >= 8
 
 
@@ -152,7 +152,9 @@
     assert not world.outcomes[2].won and world.outcomes[3].won
     far = world.processes["f5"].follower
     assert far is not None and far.version.number == 1
-    assert "a majority known 60" in far.shown(world.now) or "a majority known 59" in far.shown(world.now)
+    assert "a majority known 60" in far.status_line(world.now) or "a majority known 59" in far.status_line(
+        world.now
+    )
     world.heal(ways)
     world.run(66_000.0 + timeouts.PROPAGATION_BOUND_MS)
     assert {v.number for v in world.in_force().values()} == {2}
@@ -195,7 +197,7 @@
         assert voter is not None
         counts = voter.counts(world.now)
         assert set(counts.unknown) == {"f2", "f4"} and counts.in_force == {1: 5}
-        assert any(line.startswith("not known: f2: 1 ") for line in voter.shown(world.now))
+        assert any(line.startswith("not known: f2: 1 ") for line in voter.status_lines(world.now))
 
 
 @pytest.mark.parametrize(("fault", "waited"), list(timeouts.FAULTS.items()))
@@ -288,9 +290,9 @@
     """It offers what it has only proposed."""
 
     def propose(
-        self, now_ms: float, ticket: int, contents: bytes, since_ms: int, view: VoterView
+        self, now_ms: float, proposal_id: int, contents: bytes, proposed_at_ms: int, view: VoterView
     ) -> list[act.ConfigurationAction]:
-        actions = super().propose(now_ms, ticket, contents, since_ms, view)
+        actions = super().propose(now_ms, proposal_id, contents, proposed_at_ms, view)
         if self.state.proposal is not None:
             actions.append(act.PublishVersion(self.state.proposal.version, contents))
         return actions
--- a/tests/test_configuration_voter.py
+++ b/tests/test_configuration_voter.py
@@ -149,7 +149,7 @@
     [
         (bytes(MAX_CONTENTS_BYTES + 1), VIEW, "contents is '524289 bytes'; allowed: up to 524288"),
         (b"x", VIEW._replace(accepted=-1), "the vote of v1 does not count now"),
-        (b"x", VIEW._replace(linked=frozenset()), "1 of 3 voters are connected; needed: 2"),
+        (b"x", VIEW._replace(connected=frozenset()), "1 of 3 voters are connected; needed: 2"),
     ],
 )
 def test_what_can_not_be_proposed_is_said(data: bytes, view: VoterView, why: str) -> None:
@@ -290,7 +290,7 @@
     made.on_status_report(6000.0, StatusReport("a", 1, 3, False, 2, (standing("d2", 1, 100, False),)), VIEW)
     counts = made.counts(6100.0)
     assert counts.in_force == {2: 1} and counts.unknown == {"d2": (1, 5900.0)} and not counts.behind
-    assert made.floor("d1") == 2 and made.floor("d9") == 0
+    assert made.acknowledged_number("d1") == 2 and made.acknowledged_number("d9") == 0
 
 
 def test_of_two_starts_of_a_follower_the_later_counts_and_one_that_is_connected_before_all() -> None:
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -191,7 +191,7 @@
     actions = list(fed.follower.on_applied(fed.now, 2, why))
     assert said(actions) == [Poll(1, version(1).digest, 2, why)] and fed.follower.version == version(1)
     assert kinds(fed.hear(whole(2))) == [] and not fed.follower.announced
-    assert f"version 2 refused: {why}" in fed.follower.shown(fed.now)
+    assert f"version 2 refused: {why}" in fed.follower.status_line(fed.now)
     fed.bring(3)
     assert fed.follower.version == version(3) and fed.follower.refused == 0
 
@@ -290,7 +290,9 @@
     fed = Fed(relays=True)
     actions = fed.hear(NotModified(0, age_ms))
     assert [a.why for a in actions if isinstance(a, Close)] == ["it has never known a majority"]
-    assert "MajorityConfirmed" not in kinds(actions) and "no majority known" in fed.follower.shown(fed.now)
+    assert "MajorityConfirmed" not in kinds(actions) and "no majority known" in fed.follower.status_line(
+        fed.now
+    )
 
 
 def test_an_event_of_a_former_link_is_passed_over() -> None:
--- a/tests/test_golden_fields.py
+++ b/tests/test_golden_fields.py
@@ -23,8 +23,8 @@
         67,
     )
     version = decoded("members", "accept of a version").value
-    assert (version.number, version.size, version.since_ms) == (17, 1234, 1_700_000_000_123)
-    assert (version.digest, version.by) == ("ab" * 32, "m-2")
+    assert (version.number, version.size, version.proposed_at_ms) == (17, 1234, 1_700_000_000_123)
+    assert (version.digest, version.proposed_by) == ("ab" * 32, "m-2")
     plan = decoded("members", "accept of a plan").value
     assert (plan.number, plan.process_incarnation, plan.members, plan.restarted) == (
         4,
@@ -80,10 +80,10 @@
 
 def test_places_in_messages_of_followers() -> None:
     greeting = decoded("feed", "greeting")
-    assert (greeting.form, greeting.incarnation, greeting.number) == (1, 14, 16)
+    assert (greeting.protocol_version, greeting.incarnation, greeting.number) == (1, 14, 16)
     assert (greeting.cluster, greeting.name, greeting.place) == ("fleet-a", "d-1", "east/e1")
     welcome = decoded("feed", "welcome")
-    assert (welcome.form, welcome.most, welcome.floor) == (1, 500, 15)
+    assert (welcome.protocol_version, welcome.max_followers, welcome.acknowledged_number) == (1, 500, 15)
     assert (welcome.cluster, welcome.relay) == ("fleet-a", "m-2")
     poll = decoded("feed", "poll")
     assert (poll.number, poll.refused, poll.why) == (16, 17, "names no class")
@@ -94,7 +94,7 @@
     tally = decoded("feed", "tally")
     assert (tally.incarnation, tally.sequence, tally.number) == (3, 41, 17)
     standing = tally.statuses[0]
-    assert (standing.incarnation, standing.number, standing.heard_age_ms) == (14, 16, 250)
+    assert (standing.incarnation, standing.number, standing.last_message_age_ms) == (14, 16, 250)
     assert (standing.behind_age_ms, standing.refused) == (350, 15)
     assert (standing.name, standing.why) == ("d-1", "names no class")
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -182,4 +182,4 @@
             if isinstance(action, StatusReceived) and action.report.statuses:
                 statuses = action.report.statuses
     assert [c.link for c in closed] == [1]
-    assert [(s.name, s.number, s.linked) for s in statuses] == [("d1", 1, False)]
+    assert [(s.name, s.number, s.connected) for s in statuses] == [("d1", 1, False)]
