--- a/grebestack/__main__.py
+++ b/grebestack/__main__.py
@@ -35,7 +35,7 @@
         print(f"grebestack: {error}", file=sys.stderr)
         return _EXIT_BAD_CONFIG
     try:
-        run(config, lambda: _load(options.config, again=True), reload_signal.has_come)
+        run(config, lambda: _load(options.config, again=True), reload_signal.sighup_received)
     except (OSError, StartError) as error:
         print(f"grebestack: {error}", file=sys.stderr)
         return _EXIT_START_FAILED
--- a/grebestack/drmaa/console.py
+++ b/grebestack/drmaa/console.py
@@ -29,7 +29,7 @@
     def members(self) -> dict[str, Any]:
         """The set in force, and each member with its state."""
 
-    def tasks_held(self) -> dict[str, Any]:
+    def leases(self) -> dict[str, Any]:
         """Each task with its holder and token."""
 
 
@@ -62,7 +62,7 @@
             case ("GET", "fleet") if self.fleet is not None:
                 return self.fleet.members()
             case ("GET", "leases") if self.fleet is not None:
-                return self.fleet.tasks_held()
+                return self.fleet.leases()
             case ("POST", "accept") if self.roster is not None and isinstance(raw, dict):
                 self.roster.accept_removals(str(raw.get("source")))
                 return {"source": raw.get("source")}
--- a/grebestack/program/admin_operations.py
+++ b/grebestack/program/admin_operations.py
@@ -45,17 +45,17 @@
 class ConfigUpdates(Protocol):
     """The configuration of all dispatchers."""
 
-    def shown(self) -> str:
+    def describe(self) -> str:
         """The version in force, for operators."""
 
-    def configure(self, path: str, reply: Respond, /) -> None:
+    def propose_file(self, path: str, reply: Respond, /) -> None:
         """Propose the configuration in a file."""
 
 
 class AuditRecorder(Protocol):
     """The record of what operators do."""
 
-    def operated(self, command: Command, /) -> None:
+    def on_command(self, command: Command, /) -> None:
         """Record a command."""
 
 
@@ -66,15 +66,15 @@
     table: WorkerTable
 
     @property
-    def fleet(self) -> ClusterMember | None:
+    def cluster_member(self) -> ClusterMember | None:
         """The cluster, if the dispatcher is a member of one."""
 
     @property
-    def configuring(self) -> ConfigUpdates | None:
+    def config_updates(self) -> ConfigUpdates | None:
         """The configuration of all dispatchers, if there is one."""
 
     @property
-    def auditor(self) -> AuditRecorder | None:
+    def audit_recorder(self) -> AuditRecorder | None:
         """The audit, if it is kept."""
 
     @property
@@ -95,14 +95,14 @@
     def run(self, command: Command, respond: Respond) -> None:
         """Record and run a command; those of several members may respond later."""
         dispatcher, verb = self.dispatcher, command.verb
-        if dispatcher.auditor is not None and verb.changes_state:
-            dispatcher.auditor.operated(command)
-        if verb is Verb.RESTART and dispatcher.fleet is not None:
-            dispatcher.fleet.rolling_restart.begin(respond)
-        elif verb is Verb.HALT and dispatcher.fleet is not None:
-            dispatcher.fleet.rolling_restart.halt(respond)
-        elif verb is Verb.CONFIGURE and dispatcher.configuring is not None:
-            dispatcher.configuring.configure(command.target, respond)
+        if dispatcher.audit_recorder is not None and verb.changes_state:
+            dispatcher.audit_recorder.on_command(command)
+        if verb is Verb.RESTART and dispatcher.cluster_member is not None:
+            dispatcher.cluster_member.rolling_restart.begin(respond)
+        elif verb is Verb.HALT and dispatcher.cluster_member is not None:
+            dispatcher.cluster_member.rolling_restart.halt(respond)
+        elif verb is Verb.CONFIGURE and dispatcher.config_updates is not None:
+            dispatcher.config_updates.propose_file(command.target, respond)
         else:
             respond(self.execute(command))
 
@@ -130,14 +130,14 @@
         return CommandResponse(True, life.stage.value)
 
     def _execute_for_cluster(self, command: Command) -> CommandResponse:
-        cluster, updates = self.dispatcher.fleet, self.dispatcher.configuring
+        cluster, updates = self.dispatcher.cluster_member, self.dispatcher.config_updates
         if command.verb is Verb.CONFIGURE:
             return CommandResponse(
                 False, "no configuration goes through a fleet here; the file needs [fleet.relays]"
             )
         if command.verb is Verb.FLEET and updates is not None:
             members = f"{cluster.describe()}; " if cluster is not None else ""
-            return CommandResponse(True, members + updates.shown())
+            return CommandResponse(True, members + updates.describe())
         if cluster is None:
             return CommandResponse(False, "this dispatcher is a member of no fleet")
         if command.verb is Verb.DROP:
--- a/grebestack/program/appliance.py
+++ b/grebestack/program/appliance.py
@@ -35,7 +35,7 @@
 _SECONDS_PER_DAY = 86_400.0
 
 
-def build_roster(config: WorkerMembershipConfig, engine: Engine) -> MembershipAdapter:
+def build_membership_adapter(config: WorkerMembershipConfig, engine: Engine) -> MembershipAdapter:
     """Return what decides which workers are members, between their sources and the worker table."""
     settings = MembershipSettings(
         max_flaps=config.flaps,
@@ -49,7 +49,7 @@
     return MembershipAdapter(settings, engine.clock, engine.table)
 
 
-def consul_source(
+def build_consul_source(
     config: ConsulConfig,
     pools: ConnectionPools,
     clock: Clock,
@@ -88,11 +88,11 @@
 
 def start_job_service(
     engine: Engine,
-    runners: HttpWorkers,
+    http_workers: HttpWorkers,
     config: Config,
     drmaa: DrmaaConfig,
-    roster: MembershipAdapter | None,
-    fleet: Cluster | None = None,
+    membership_adapter: MembershipAdapter | None,
+    cluster: Cluster | None = None,
 ) -> tuple[JobService, DrmaaApi]:
     """Open the store and restore its jobs, which is done before a call-back of a worker can arrive.
 
@@ -103,18 +103,18 @@
     try:
         store = JobStore(drmaa.store_path)
         _remove_old_jobs(store, drmaa.retention_days, engine.clock)
-        if roster is not None:
+        if membership_adapter is not None:
             for worker in store.drained_workers():
-                roster.handle_event(DrainChanged(worker, True))
+                membership_adapter.handle_event(DrainChanged(worker, True))
         templates = TemplateConverter(config.settings, drmaa.jobs.queued_classes)
         limits = _job_limits(drmaa, config.settings)
-        service = JobService(engine, runners, config.settings, store, templates, limits)
-        console = Console(config.name, engine, service, roster, fleet)
-        front = DrmaaApi(service, templates, engine.clock, config.name, console.serve)
+        service = JobService(engine, http_workers, config.settings, store, templates, limits)
+        console = Console(config.name, engine, service, membership_adapter, cluster)
+        api = DrmaaApi(service, templates, engine.clock, config.name, console.serve)
         service.restore()
     except (sqlite3.Error, StoreError) as error:
         raise StartError(str(error)) from error
-    return service, front
+    return service, api
 
 
 def _job_limits(drmaa: DrmaaConfig, settings: Settings) -> JobLimits:
@@ -126,9 +126,9 @@
         ),
         max_direct=drmaa.max_open_jobs,
         max_queued=jobs.max_queued,
-        max_dependencies=jobs.max_conditions,
+        max_dependencies=jobs.max_dependencies,
         lookahead=jobs.lookahead,
-        aged_share=jobs.ripe,
+        aged_share=jobs.aged_share,
     )
 
 
--- a/grebestack/program/audit_command.py
+++ b/grebestack/program/audit_command.py
@@ -16,7 +16,7 @@
 _EXIT_COMPLETE, _EXIT_DOUBTFUL, _EXIT_BAD_ARGUMENTS = 0, 1, 2
 
 
-def record_of(name: str, folder: str) -> AuditLog:
+def read_record(name: str, folder: str) -> AuditLog:
     """Read one dispatcher's folder; what can't be read is among the record's doubts."""
     files, doubts = [], []
     try:
@@ -42,7 +42,7 @@
         if name in records:
             print(f"grebestack audit: two folders are named {name!r}; say NAME=FOLDER", file=sys.stderr)
             return _EXIT_BAD_ARGUMENTS
-        records[name] = record_of(name, folder)
+        records[name] = read_record(name, folder)
     audit = merge(records)
     if options.json:
         print(json.dumps(report_data(audit, options.call)))
--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -55,13 +55,13 @@
     config: Config
     loop: asyncio.AbstractEventLoop
     engine: Engine
-    runners: HttpWorkers
+    http_workers: HttpWorkers
     table: WorkerTable
     worker_source: Source | None
-    fleet: ClusterMember | None
+    cluster_member: ClusterMember | None
 
 
-class Auditor:
+class AuditRecorder:
     """Records what one dispatcher does, and under which versions."""
 
     def __init__(self, dispatcher: AuditedDispatcher, config: AuditConfig) -> None:
@@ -74,13 +74,19 @@
             why = f"{config.folder} can't be used, or is another's: {error}"
             raise StartError(f"[audit] folder: {why}") from error
         options = dispatcher.config.options
-        self.stamps = VersionSets(VersionSet(program_version(), digest(options), self._source_name(), 1))
+        self.version_sets = VersionSets(
+            VersionSet(program_version(), digest(options), self._source_name(), 1)
+        )
         limits = RecorderLimits(
             max_full_rate=config.max_full_rate, max_clock_error_ms=config.max_clock_error_ms
         )
         process_incarnation = os.urandom(6).hex()
         self.recorder = Recorder(
-            dispatcher.config.name, process_incarnation, self.stamps, limits, next_segment_number(segments)
+            dispatcher.config.name,
+            process_incarnation,
+            self.version_sets,
+            limits,
+            next_segment_number(segments),
         )
         ascii_name = self.recorder.name.encode("ascii", "replace")
         self._header = b"X-Act-Stamp: %s %s " % (ascii_name, process_incarnation.encode())
@@ -98,7 +104,10 @@
 
     def _subscribe(self) -> None:
         engine, table = self.dispatcher.engine, self.dispatcher.table
-        engine.on_audited_action, self.dispatcher.runners.audit_header = self._on_decision, self._stamp_header
+        engine.on_audited_action, self.dispatcher.http_workers.audit_header = (
+            self._on_decision,
+            self._version_header,
+        )
         self._feed_engine = table.on_change
         table.on_change = self._on_workers_listed
 
@@ -113,41 +122,41 @@
 
     # Changes of the stamp: each is called before anything is decided under it.
 
-    def _change_stamp(self, **changes: str | int) -> None:
-        if self.stamps.change(**changes):
+    def _change_version_set(self, **changes: str | int) -> None:
+        if self.version_sets.change(**changes):
             self.recorder.on_versions_changed(self._now_ms())
 
     def _on_workers_listed(self, kind: ListKind, entries: tuple[WorkerEntry, ...]) -> None:
         self._list_changes += 1
         revision = getattr(self.dispatcher.worker_source, "version", self._list_changes)
         cordoned = self.dispatcher.table.cordoned
-        self._change_stamp(revision=revision, bans=digest(sorted(cordoned)) if cordoned else "")
+        self._change_version_set(revision=revision, bans=digest(sorted(cordoned)) if cordoned else "")
         self._feed_engine(kind, entries)
 
     def on_settings_changed(self, options: Any) -> None:
         """Other settings are about to be in force."""
-        self._change_stamp(settings=digest(options))
+        self._change_version_set(settings=digest(options))
 
     def on_source_changed(self) -> None:
         """Another worker source is read from now on."""
-        generation = self.stamps.current.generation + 1
-        self._change_stamp(source=self._source_name(), generation=generation)
+        generation = self.version_sets.current.generation + 1
+        self._change_version_set(source=self._source_name(), generation=generation)
 
     # Events that are recorded.
 
     def _on_decision(self, what: str, session: Request, worker: str) -> None:
-        fleet = self.dispatcher.fleet
-        if fleet is not None and fleet.node.replica.config.epoch != self.stamps.current.epoch:
-            self._change_stamp(epoch=fleet.node.replica.config.epoch)
+        member = self.dispatcher.cluster_member
+        if member is not None and member.node.replica.config.epoch != self.version_sets.current.epoch:
+            self._change_version_set(epoch=member.node.replica.config.epoch)
         self.recorder.record_action(self._now_ms(), what, session.call_id[:_MAX_CALL_ID_LENGTH], worker)
 
-    def operated(self, command: Command) -> None:
+    def on_command(self, command: Command) -> None:
         """An operator's command is about to change something."""
         self.recorder.record_action(self._now_ms(), OPERATOR_ACTION, command.verb.value, command.target)
 
-    def _stamp_header(self) -> bytes:
+    def _version_header(self) -> bytes:
         """Return the header line that names the stamp, for requests to workers that read it."""
-        return b"%s%d\r\n" % (self._header, self.stamps.number)
+        return b"%s%d\r\n" % (self._header, self.version_sets.number)
 
     # The disk.
 
--- a/grebestack/program/bootstrap_command.py
+++ b/grebestack/program/bootstrap_command.py
@@ -20,10 +20,12 @@
     )
     parser.add_argument("--config", metavar="FILE", required=True, help="the operator's file, with a [fleet]")
     options = parser.parse_args(arguments)
-    from grebestack.program.cluster_member import form  # slow to import, and needless where parsing fails
+    from grebestack.program.cluster_member import (
+        found_cluster,
+    )  # slow to import, and needless where parsing fails
 
     try:
-        print(form(from_file(options.config)))
+        print(found_cluster(from_file(options.config)))
     except ConfigError as error:
         print(f"grebestack form: {error}")
         return _EXIT_BAD_CONFIG
--- a/grebestack/program/cluster_member.py
+++ b/grebestack/program/cluster_member.py
@@ -41,13 +41,13 @@
 EXPORT_TASKS: tuple[str, ...] = ("tallies",)
 
 
-class ClusterDispatcher(rolling_restart.Host, Protocol):
+class ClusterDispatcher(rolling_restart.RestartedDispatcher, Protocol):
     """What a cluster member uses of its dispatcher."""
 
     config: Config
     loop: asyncio.AbstractEventLoop
     engine: Engine
-    configuring: ConfigUpdates | None
+    config_updates: ConfigUpdates | None
 
 
 class ClusterMember:
@@ -127,18 +127,18 @@
     def members(self) -> dict[str, Any]:
         """Return the membership and the state of all members, as this member sees them."""
         replica, now_ms = self.node.replica, self.node.clock()
-        names, configuring = replica.config.names(), self.dispatcher.configuring
+        names, updates = replica.config.names(), self.dispatcher.config_updates
         return {
             "epoch": replica.config.epoch,
             "majority_heard": replica.has_quorum(now_ms),
-            "configuration": [] if configuring is None else configuring.lines(),
+            "configuration": [] if updates is None else updates.describe_lines(),
             "members": [
                 {"member": name, "state": state, "in_set": name in names}
                 for name, state in replica.describe(now_ms).items()
             ],
         }
 
-    def tasks_held(self) -> dict[str, Any]:
+    def leases(self) -> dict[str, Any]:
         """Return the tasks and their lease holders; without a quorum this may be out of date."""
         now_ms, holders = self.node.clock(), self.node.replica.leases.holders
         rows = [self._lease_row(task, holder, now_ms) for task, holder in sorted(holders.items())]
@@ -169,7 +169,7 @@
 
     def describe_leases(self) -> str:
         """Return the tasks and their lease holders as one line for operators."""
-        known = self.tasks_held()
+        known = self.leases()
         return "; ".join([*map(_describe_lease, known["tasks"]), known["restart"]])
 
 
@@ -181,7 +181,7 @@
     return f"{row['task']}: {row['holder']}, token {row['token']}, seen {row['seen_s_ago']} s ago"
 
 
-def form(config: Config) -> str:
+def found_cluster(config: Config) -> str:
     """Write the first log of a member that founds a cluster; return a line that says where.
 
     To be run once for each founding member, before its first start. A member whose disk was lost starts with
--- a/grebestack/program/config/jobs.py
+++ b/grebestack/program/config/jobs.py
@@ -29,9 +29,9 @@
     return JobsConfig(
         latency_objective_s=read_number(raw, "wanted_s", 60.0, _MIN_OBJECTIVE_S, _MAX_OBJECTIVE_S),
         max_queued=read_integer(raw, "most_waiting", 100_000, 1),
-        max_conditions=read_integer(raw, "most_conditions", 500, 0),
+        max_dependencies=read_integer(raw, "most_conditions", 500, 0),
         lookahead=read_integer(raw, "ahead", 16, 1),
-        ripe=read_number(raw, "ripe", 0.5, 0.0, 1.0),
+        aged_share=read_number(raw, "ripe", 0.5, 0.0, 1.0),
         latency_objective_s_by_class=objectives,
         queued_classes=frozenset(queued),
     )
--- a/grebestack/program/config/model.py
+++ b/grebestack/program/config/model.py
@@ -64,9 +64,9 @@
 
     latency_objective_s: float = 60.0
     max_queued: int = 100_000
-    max_conditions: int = 500
+    max_dependencies: int = 500
     lookahead: int = 16
-    ripe: float = 0.5
+    aged_share: float = 0.5
     latency_objective_s_by_class: Mapping[str, float] = field(default_factory=dict)
     queued_classes: frozenset[str] = frozenset()  # jobs of these queue by default
 
@@ -150,7 +150,7 @@
     settings: Settings
     seed: int = 0
     max_sockets: int = 1024
-    known_workers: Mapping[str, Any] = field(default_factory=dict)
+    cached_list: Mapping[str, Any] = field(default_factory=dict)
     worker_source: WorkerSource = field(default_factory=WorkerSource)
     drmaa: DrmaaConfig | None = None
     accepts_requests: bool = True  # at `listen`, besides call-backs of workers
--- a/grebestack/program/config_reload.py
+++ b/grebestack/program/config_reload.py
@@ -14,7 +14,7 @@
 from grebestack.protocol.settings import changed_restart_fields, merge_settings
 
 if TYPE_CHECKING:
-    from grebestack.program.audit_recording import Auditor
+    from grebestack.program.audit_recording import AuditRecorder
     from grebestack.program.shared_discovery import Source
     from grebestack.program.worker_sources import WorkerSources
     from grebestack.protocol.platform import PlatformApi
@@ -45,9 +45,9 @@
     worker_sources: WorkerSources
     read_config: Callable[[], Config]
     engine: Engine
-    front: PlatformApi
+    platform_api: PlatformApi
     pools: ConnectionPools
-    auditor: Auditor | None
+    audit_recorder: AuditRecorder | None
     is_stopped: bool
 
 
@@ -135,8 +135,8 @@
         if dispatcher.worker_source is not None:
             dispatcher.worker_source.retire()
         dispatcher.config, dispatcher.worker_source = self._with_source_of(config), source
-        if dispatcher.auditor is not None:
-            dispatcher.auditor.on_source_changed()
+        if dispatcher.audit_recorder is not None:
+            dispatcher.audit_recorder.on_source_changed()
         if source is not None:
             source.start()
 
@@ -146,10 +146,10 @@
         dispatcher.config = replace(
             dispatcher.config, options=config.options, settings=settings, key_paths=config.key_paths
         )
-        if dispatcher.auditor is not None:  # first: decisions from now on belong to the new settings
-            dispatcher.auditor.on_settings_changed(config.options)
+        if dispatcher.audit_recorder is not None:  # first: decisions from now on belong to the new settings
+            dispatcher.audit_recorder.on_settings_changed(config.options)
         dispatcher.engine.update_settings(settings)
-        dispatcher.front.update_settings(settings)
+        dispatcher.platform_api.update_settings(settings)
         dispatcher.pools.connect_timeout_s = settings.connect_timeout_ms / 1000.0
         names = [c.name for number, c in enumerate(settings.classes) if number not in settings.retired]
         kv = {"classes": ",".join(names), "attempts": settings.max_attempts}
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -33,7 +33,7 @@
 from grebestack.program.config.platform import check_reload
 
 log = logging.getLogger(__name__)
-PROPOSAL_ANSWER_S = 0.7  # shorter than admin.server.RESPONSE_TIMEOUT_S
+PROPOSAL_TIMEOUT_S = 0.7  # shorter than admin.server.RESPONSE_TIMEOUT_S
 START_MARGIN_S = 0.3  # a start waits this long beyond the follower's own wait
 FOLDER = "configuration"  # within the cluster's folder
 # Replaced in tests only.
@@ -41,7 +41,7 @@
 CLOCK: Callable[[], float] = monotonic_ms
 
 
-class Host(Protocol):
+class ConfiguredDispatcher(Protocol):
     """The dispatcher, as far as its configuration goes."""
 
     @property
@@ -55,8 +55,8 @@
         """Apply a validated configuration, all of it or nothing; return why not, or empty."""
 
 
-def value_of(config: Config, name: str) -> object:
-    """Return the value of a field that `Host.fields_requiring_restart` has named."""
+def config_value(config: Config, name: str) -> object:
+    """Return the value of a field that `ConfiguredDispatcher.fields_requiring_restart` has named."""
     found: Any = config.options
     for part in name.split("."):
         found = found.get(part) if isinstance(found, Mapping) else None
@@ -87,13 +87,13 @@
 class AppliedConfig:
     """What is in force here: the local file as it was last read, merged with a version."""
 
-    def __init__(self, host: Host) -> None:
+    def __init__(self, dispatcher: ConfiguredDispatcher) -> None:
         """Begin with the local file alone."""
-        self.host = host
-        self.path = host.config.path
+        self.dispatcher = dispatcher
+        self.path = dispatcher.config.path
         self.text = read(self.path)
         self.contents: bytes | None = None  # of the version in force, if any
-        self.merged = host.config  # merged; the host has not applied what needs a restart
+        self.merged = dispatcher.config  # merged; the host has not applied what needs a restart
 
     def reread(self) -> Config:
         """Read the local file again and merge it with the version in force.
@@ -116,13 +116,13 @@
         ConfigError
             The version can't be put in force.
         """
-        config = merge(self.path, self.text, contents, self.host.config)
-        before = self.host.fields_requiring_restart(self.merged)
-        for name in self.host.fields_requiring_restart(config):
+        config = merge(self.path, self.text, contents, self.dispatcher.config)
+        before = self.dispatcher.fields_requiring_restart(self.merged)
+        for name in self.dispatcher.fields_requiring_restart(config):
             if name not in before:
                 if name == "options":
                     raise ConfigError("settings can't change without a restart where there is a [drmaa]")
-                shown, allowed = value_of(config, name), value_of(self.host.config, name)
+                shown, allowed = config_value(config, name), config_value(self.dispatcher.config, name)
                 raise ConfigError(
                     f"settings.{name} is {shown!r:.80}, which can't change without a restart;"
                     f" allowed: {allowed!r:.80}"
@@ -136,13 +136,13 @@
         except ConfigError as error:
             why = str(error).removeprefix(f"{self.path}: ")
         else:
-            why = self.host.apply_config(config)
+            why = self.dispatcher.apply_config(config)
         kv: dict[str, object] = {"number": version.number, "digest": version.digest}
         if why:
             return why
         self.contents, self.merged = contents, config
         # Log what the dispatcher holds now, not what it was given.
-        now = self.host.config
+        now = self.dispatcher.config
         # since_ms is Unix time, at_ms this machine's clock since its boot.
         kv |= {"by": version.by, "since_ms": version.since_ms, "at_ms": round(monotonic_ms(), 1)}
         kv |= {"settings": digest(now.options), "servers": digest([*map(dict, now.worker_source.entries)])}
@@ -162,14 +162,14 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        host: Host,
+        dispatcher: ConfiguredDispatcher,
         config: DistributionConfig,
         name: str,
         node: Node | None,
     ) -> None:
         """Open the folder and build the parts; `start` begins their work."""
         self.loop, self.config, self.name = loop, config, name
-        self.applied = AppliedConfig(host)
+        self.applied = AppliedConfig(dispatcher)
         self.reread = self.applied.reread
         folder = os.path.join(config.folder, FOLDER)
         self.voter: ConfigurationNode | None = None
@@ -189,7 +189,7 @@
         except (OSError, FolderTakenError) as error:
             raise StartError(f"[fleet] folder {config.folder!r} can't be used: {error}") from error
         self.relay = self._make_relay()
-        self.started: asyncio.Future[None] = loop.create_future()
+        self.start_finished: asyncio.Future[None] = loop.create_future()
 
     def _settings(self, folder: str) -> FollowerSettings:
         config = self.config
@@ -224,14 +224,14 @@
             await self.relay.start()
         part = self.voter or self.follower
         assert part is not None
-        part.settled = self._settled
-        self.loop.call_later(STARTUP_GRACE_MS / 1000.0 + START_MARGIN_S, self._settled)
+        part.settled = self._finish_start
+        self.loop.call_later(STARTUP_GRACE_MS / 1000.0 + START_MARGIN_S, self._finish_start)
         part.start()
-        await self.started
+        await self.start_finished
 
-    def _settled(self) -> None:
-        if not self.started.done():
-            self.started.set_result(None)
+    def _finish_start(self) -> None:
+        if not self.start_finished.done():
+            self.start_finished.set_result(None)
 
     def stop(self) -> None:
         """Stop."""
@@ -241,7 +241,7 @@
 
     # Admin commands.
 
-    def lines(self) -> list[str]:
+    def describe_lines(self) -> list[str]:
         """Describe the version in force and what is known of other dispatchers, in lines."""
         lines = self.voter.shown() if self.voter is not None else []
         if self.follower is not None:
@@ -250,11 +250,11 @@
             lines.append(self.relay.relay.shown(CLOCK()))
         return lines
 
-    def shown(self) -> str:
+    def describe(self) -> str:
         """Return `lines` as one line."""
-        return "; ".join(self.lines())
+        return "; ".join(self.describe_lines())
 
-    def configure(self, path: str, reply: Callable[[CommandResponse], None]) -> None:
+    def propose_file(self, path: str, reply: Callable[[CommandResponse], None]) -> None:
         """Propose a file's contents as the next version; `reply` gets the result."""
         if self.voter is None:
             voters = ", ".join(sorted(self.config.voters)) or "a member of the fleet"
@@ -281,7 +281,7 @@
             text = "no majority has decided it yet; it may still come into force: look with `fleet`"
             reply(CommandResponse(False, text))
 
-        self.loop.call_later(PROPOSAL_ANSWER_S, late)
+        self.loop.call_later(PROPOSAL_TIMEOUT_S, late)
         self.voter.propose(contents, ended)
 
 
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -44,7 +44,7 @@
 
 if TYPE_CHECKING:
     from grebestack.jobs.service import JobService
-    from grebestack.program.audit_recording import Auditor
+    from grebestack.program.audit_recording import AuditRecorder
     from grebestack.program.cluster_member import ClusterMember
     from grebestack.program.config_updates import ConfigUpdates
     from grebestack.program.hot_restart import HotRestartRunner
@@ -67,38 +67,40 @@
     ) -> None:
         """Build the parts; `read_config` reads the configuration again. StartError: a part can't be built."""
         self.config, self.loop, self.read_config = config, loop, read_config
-        self.reader = WorkerListReader(config.options)
+        self.list_reader = WorkerListReader(config.options)
         self.table = WorkerTable()
         self.engine = Engine(config.settings, config.seed, LoopClock(loop), self.table)
         limits = connection_limits(config)
         self.pools = _worker_pools(loop, config, limits.workers)
         reports = LoadReportReader(report_names(config.options.get("extra") or {}))
-        self.runners = self.engine.workers = HttpWorkers(self.engine, self.pools, reports)
-        self.front = PlatformApi(
-            self.engine, config.settings, self.runners.on_callback, config.accepts_requests
+        self.http_workers = self.engine.workers = HttpWorkers(self.engine, self.pools, reports)
+        self.platform_api = PlatformApi(
+            self.engine, config.settings, self.http_workers.on_callback, config.accepts_requests
         )
-        self.acceptor = Acceptor(self.front, limits.clients)
+        self.acceptor = Acceptor(self.platform_api, limits.clients)
         self.listener = ClientListener(loop, config, self.acceptor)
         self.lifecycle = Lifecycle()
-        self.jobs: JobService | None = None
-        self.upgrade: HotRestartRunner | None = None
+        self.job_service: JobService | None = None
+        self.hot_restart: HotRestartRunner | None = None
         self.is_stopped = False
-        self.roster = self._build_roster()
-        self.fleet = self._build_cluster_member()
-        self.configuring = self._build_config_updates()
-        self.auditor = self._build_auditor()
-        self.worker_sources = WorkerSources(loop, self.engine, self.reader, self.roster, self.fleet)
+        self.membership_adapter = self._build_membership_adapter()
+        self.cluster_member = self._build_cluster_member()
+        self.config_updates = self._build_config_updates()
+        self.audit_recorder = self._build_audit_recorder()
+        self.worker_sources = WorkerSources(
+            loop, self.engine, self.list_reader, self.membership_adapter, self.cluster_member
+        )
         self.worker_source: Source | None = self.worker_sources.create(config)
         self.reloader = ConfigReloader(self)
         self.lifecycle_control = LifecycleControl(self)
         self.traffic_log = TrafficLog(loop, self.engine, self.pools, self.acceptor, self._list_calls)
 
-    def _build_roster(self) -> MembershipAdapter | None:
+    def _build_membership_adapter(self) -> MembershipAdapter | None:
         if self.config.membership is None:
             return None
         from grebestack.program import appliance
 
-        return appliance.build_roster(self.config.membership, self.engine)
+        return appliance.build_membership_adapter(self.config.membership, self.engine)
 
     def _build_cluster_member(self) -> ClusterMember | None:
         if self.config.cluster is None:
@@ -112,19 +114,19 @@
             return None
         from grebestack.program import config_updates
 
-        node = self.fleet.node if self.fleet is not None else None
-        configuring = config_updates.ConfigUpdates(
+        node = self.cluster_member.node if self.cluster_member is not None else None
+        updates = config_updates.ConfigUpdates(
             self.loop, self, self.config.distribution, self.config.name, node
         )
-        self.read_config = configuring.reread
-        return configuring
+        self.read_config = updates.reread
+        return updates
 
-    def _build_auditor(self) -> Auditor | None:
+    def _build_audit_recorder(self) -> AuditRecorder | None:
         if self.config.audit is None:
             return None
         from grebestack.program import audit_recording
 
-        return audit_recording.Auditor(self, self.config.audit)
+        return audit_recording.AuditRecorder(self, self.config.audit)
 
     def _list_calls(self) -> int:
         return self.worker_source.request_count if isinstance(self.worker_source, DiscoveryWatcher) else 0
@@ -164,12 +166,12 @@
 
     # The run.
 
-    async def run(self, has_hung_up: Callable[[], bool] = lambda: False) -> None:
+    async def run(self, sighup_received: Callable[[], bool] = lambda: False) -> None:
         """Serve until SIGTERM or SIGINT has come and all requests are answered.
 
-        `has_hung_up` returns whether a SIGHUP came before its handler was there.
+        `sighup_received` returns whether a SIGHUP came before its handler was there.
         """
-        self._handle_signals(has_hung_up)
+        self._handle_signals(sighup_received)
         if self.config.listen_fd is not None:
             await self._begin_hot_restart()
         self._start_worker_source()
@@ -183,11 +185,11 @@
         self.is_stopped = True
         self._close_parts()
 
-    def _handle_signals(self, has_hung_up: Callable[[], bool]) -> None:
+    def _handle_signals(self, sighup_received: Callable[[], bool]) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
-        if has_hung_up():  # perhaps after the configuration was read
+        if sighup_received():  # perhaps after the configuration was read
             self.loop.call_soon(self.reloader.reload)
 
     async def _begin_hot_restart(self) -> None:
@@ -197,41 +199,41 @@
         if not folder:
             log.warning("no_upgrades", extra={"kv": {"why": "TMPDIR is not set"}})
             return
-        self.upgrade = HotRestartRunner(self, folder)
-        await self.upgrade.begin()
+        self.hot_restart = HotRestartRunner(self, folder)
+        await self.hot_restart.begin()
 
     def _start_worker_source(self) -> None:
-        known = self.config.known_workers
+        known = self.config.cached_list
         if known and isinstance(self.worker_source, DiscoveryWatcher) and not self.table.workers:
             self.worker_source.load_cached_list(known)
-        self.config = replace(self.config, known_workers={})  # may be large, and is for the start only
+        self.config = replace(self.config, cached_list={})  # may be large, and is for the start only
         if self.worker_source is not None:
             self.worker_source.start()
 
     async def _start_servers(self) -> None:
-        if self.configuring is not None:  # first, so that no client is served under an older version
+        if self.config_updates is not None:  # first, so that no client is served under an older version
             await self._start_cluster()
-            await self.configuring.start()
+            await self.config_updates.start()
         if self.config.drmaa is not None:
             await self._start_drmaa(self.config.drmaa)
-        if self.upgrade is None or self.upgrade.state_machine.predecessor is None:
+        if self.hot_restart is None or self.hot_restart.state_machine.predecessor is None:
             await self.listener.open()
-        if self.configuring is None:
+        if self.config_updates is None:
             await self._start_cluster()
 
     async def _start_cluster(self) -> None:
-        if self.fleet is not None:
-            await self.fleet.start()
+        if self.cluster_member is not None:
+            await self.cluster_member.start()
         if self.config.control is not None:
             await self._start_admin_server(self.config.control)
 
     async def _start_drmaa(self, config: DrmaaConfig) -> None:
         from grebestack.program import appliance
 
-        self.jobs, front = appliance.start_job_service(
-            self.engine, self.runners, self.config, config, self.roster, self.fleet
+        self.job_service, api = appliance.start_job_service(
+            self.engine, self.http_workers, self.config, config, self.membership_adapter, self.cluster_member
         )
-        acceptor = Acceptor(front, self.acceptor.max_connections, config.max_body_bytes)
+        acceptor = Acceptor(api, self.acceptor.max_connections, config.max_body_bytes)
         sweep_periodically(self.loop, acceptor)
         await self.loop.create_server(acceptor, *config.listen, backlog=BACKLOG)
         log.info("drmaa_listening", extra={"kv": {"address": ":".join(map(str, config.listen))}})
@@ -240,8 +242,8 @@
         from grebestack.admin.server import AdminServer
         from grebestack.program.admin_operations import LocalOperations
 
-        operations = LocalOperations(self) if self.upgrade is None else self.upgrade
-        reuse_port = True if self.upgrade is not None else None  # for both processes of a hot restart
+        operations = LocalOperations(self) if self.hot_restart is None else self.hot_restart
+        reuse_port = True if self.hot_restart is not None else None  # for both processes of a hot restart
         await self.loop.create_server(
             AdminServer(self.loop, operations), *address, backlog=_ADMIN_BACKLOG, reuse_port=reuse_port
         )
@@ -256,10 +258,10 @@
             return
         if isinstance(self.worker_source, DiscoveryWatcher):
             self.worker_source.use_cached_list()
-        if self.upgrade is None:
+        if self.hot_restart is None:
             self._serve()
         else:
-            self.upgrade.started()
+            self.hot_restart.started()
 
     async def accept_and_serve(self) -> None:
         """Accept clients and become ready: when the start is over, or again when the successor is lost."""
@@ -277,12 +279,12 @@
 
     def _close_parts(self) -> None:
         self.listener.close()
-        for part in (self.configuring, self.fleet, self.worker_source, self.auditor):
+        for part in (self.config_updates, self.cluster_member, self.worker_source, self.audit_recorder):
             if part is not None:
                 part.stop()
-        if self.jobs is not None:
-            self.jobs.record_deferred()
-            self.jobs.store.close()
+        if self.job_service is not None:
+            self.job_service.record_deferred()
+            self.job_service.store.close()
 
 
 def _worker_pools(loop: asyncio.AbstractEventLoop, config: Config, connections: int) -> ConnectionPools:
@@ -297,7 +299,7 @@
 
 
 def run(
-    config: Config, read_config: Callable[[], Config], has_hung_up: Callable[[], bool] = lambda: False
+    config: Config, read_config: Callable[[], Config], sighup_received: Callable[[], bool] = lambda: False
 ) -> None:
     """Run one dispatcher on uvloop; `read_config` reads its configuration again.
 
@@ -307,6 +309,6 @@
     """
 
     async def main() -> None:
-        await Dispatcher(config, asyncio.get_running_loop(), read_config).run(has_hung_up)
+        await Dispatcher(config, asyncio.get_running_loop(), read_config).run(sighup_received)
 
     uvloop.run(main())
--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -57,8 +57,8 @@
         self.local_operations = LocalOperations(dispatcher)
         self.predecessor_attempts = checkpoint.InheritedAttempts(dispatcher.engine.policy)
         self._executors = self._action_table()
-        dispatcher.front.query_other_process = self.called_back
-        dispatcher.front.is_open_elsewhere = self._is_open_elsewhere
+        dispatcher.platform_api.query_other_process = self.called_back
+        dispatcher.platform_api.is_open_elsewhere = self._is_open_elsewhere
         dispatcher.engine.on_request_closed = self._on_request_closed
 
     def _action_table(self) -> dict[type[state_machine.Action], Callable[[Any], None]]:
@@ -213,7 +213,7 @@
         self.channels.send(action.peer, messages.command_result(action.number, response.succeeded))
 
     def _deliver_callback(self, action: state_machine.DeliverCallback) -> None:
-        result = self.dispatcher.runners.on_callback(action.body.encode("utf-8", "surrogateescape"))
+        result = self.dispatcher.http_workers.on_callback(action.body.encode("utf-8", "surrogateescape"))
         message = messages.callback_result(action.number, result is CallbackResult.ACCEPTED)
         self.channels.send(action.peer, message)
 
@@ -267,7 +267,7 @@
 
         def complete(accepted: bool | None) -> None:
             if accepted is False:  # the request may have been handed over to this process meanwhile
-                accepted = self.dispatcher.runners.on_callback(body) is CallbackResult.ACCEPTED
+                accepted = self.dispatcher.http_workers.on_callback(body) is CallbackResult.ACCEPTED
             reply(accepted)
 
         query = self.state_machine.query_callback(body.decode("utf-8", "surrogateescape"))
--- a/grebestack/program/hot_restart_adoption.py
+++ b/grebestack/program/hot_restart_adoption.py
@@ -64,7 +64,7 @@
             str(message["server"]),
             float(message["deadline_ms"]),
         )
-        runners, answer = self.dispatcher.runners, PendingAnswer()
+        runners, answer = self.dispatcher.http_workers, PendingAnswer()
 
         def on_ended(outcome: Outcome, result: bytes) -> None:
             timer.cancel()
--- a/grebestack/program/hot_restart_handover.py
+++ b/grebestack/program/hot_restart_handover.py
@@ -58,7 +58,7 @@
             attempt = self.dispatcher.engine.hand_over(session)
             if attempt is None:
                 continue
-            worker = self.dispatcher.runners.hand_over(attempt)
+            worker = self.dispatcher.http_workers.hand_over(attempt)
             message = messages.in_flight_request(session.arrival.deadline_ms, worker, session.call_id)
             self._send_request(successor, answer, message)
 
--- a/grebestack/program/hot_restart_interface.py
+++ b/grebestack/program/hot_restart_interface.py
@@ -20,10 +20,10 @@
     """A dispatcher that can be taken over, and can take over."""
 
     loop: asyncio.AbstractEventLoop
-    reader: WorkerListReader
+    list_reader: WorkerListReader
     engine: Engine
-    runners: HttpWorkers
-    front: PlatformApi
+    http_workers: HttpWorkers
+    platform_api: PlatformApi
     acceptor: Acceptor
 
     def limit_connections(self, processes: int) -> None:
--- a/grebestack/program/hot_restart_state.py
+++ b/grebestack/program/hot_restart_state.py
@@ -24,7 +24,7 @@
         "quiesced": dispatcher.lifecycle.quiesced,
         "names": list(table.known_names)[-MAX_INHERITED_NAMES:],
         "servers": [worker_to_wire(worker) for worker in table.reported.values()],
-        "clock": dispatcher.reader.unix_to_clock_ms,
+        "clock": dispatcher.list_reader.unix_to_clock_ms,
         "learned": checkpoint.save_checkpoint(dispatcher.engine.policy),
     }
 
@@ -33,7 +33,7 @@
     """Take the state of the predecessor. Of a malformed one, the parts before the fault are taken."""
     cordoned = set[str]()
     try:
-        dispatcher.reader.unix_to_clock_ms = float(state["clock"])
+        dispatcher.list_reader.unix_to_clock_ms = float(state["clock"])
         dispatcher.table.remember_names({str(name) for name in state["names"]})
         cordoned = {str(name) for name in state["bans"]}
         _replace_cordoned(dispatcher.table, cordoned)
--- a/grebestack/program/lifecycle_control.py
+++ b/grebestack/program/lifecycle_control.py
@@ -33,11 +33,11 @@
     loop: asyncio.AbstractEventLoop
     lifecycle: Lifecycle
     engine: Engine
-    front: PlatformApi
+    platform_api: PlatformApi
     acceptor: Acceptor
-    jobs: JobService | None
-    upgrade: HotRestartRunner | None
-    fleet: ClusterMember | None
+    job_service: JobService | None
+    hot_restart: HotRestartRunner | None
+    cluster_member: ClusterMember | None
 
 
 class LifecycleControl:
@@ -59,8 +59,8 @@
         now_ms = dispatcher.engine.clock.now_ms()
         handling, change_ms = lifecycle.client_handling(now_ms, self._longest_deadline_ms())
         is_stopping = lifecycle.stage is Stage.STOPPING
-        dispatcher.front.ready, dispatcher.front.stopping = lifecycle.is_ready, is_stopping
-        dispatcher.front.rejecting = handling is ClientHandling.REJECT
+        dispatcher.platform_api.ready, dispatcher.platform_api.stopping = lifecycle.is_ready, is_stopping
+        dispatcher.platform_api.rejecting = handling is ClientHandling.REJECT
         dispatcher.acceptor.drain(_connections_to_close(handling, is_stopping))
         if self._next_change is not None:
             self._next_change.cancel()
@@ -78,20 +78,20 @@
         now_ms = dispatcher.engine.clock.now_ms()
         if not dispatcher.lifecycle.stop(now_ms):
             return
-        if dispatcher.jobs is not None:
-            dispatcher.jobs.stop()
-        if dispatcher.upgrade is not None:
-            dispatcher.upgrade.stop()
-        if dispatcher.fleet is not None:
-            dispatcher.fleet.release_leases()
+        if dispatcher.job_service is not None:
+            dispatcher.job_service.stop()
+        if dispatcher.hot_restart is not None:
+            dispatcher.hot_restart.stop()
+        if dispatcher.cluster_member is not None:
+            dispatcher.cluster_member.release_leases()
         log.info("stopping", extra={"kv": {"open": len(dispatcher.engine.open_by_call_id)}})
         longest_ms = self._longest_deadline_ms()
         deadline_ms = dispatcher.lifecycle.late_answer_deadline_ms(longest_ms)
-        dispatcher.front.answer_before_kill(dispatcher.lifecycle.kill_ms(longest_ms), deadline_ms)
-        dispatcher.loop.call_later(LATE_MS / 1000.0, dispatcher.front.limit_deadlines, deadline_ms)
-        if dispatcher.upgrade is not None:
+        dispatcher.platform_api.answer_before_kill(dispatcher.lifecycle.kill_ms(longest_ms), deadline_ms)
+        dispatcher.loop.call_later(LATE_MS / 1000.0, dispatcher.platform_api.limit_deadlines, deadline_ms)
+        if dispatcher.hot_restart is not None:
             handover_s = max(0.0, (deadline_ms - now_ms) / 1000.0 - _HANDOVER_BEFORE_DEADLINE_S)
-            dispatcher.loop.call_later(handover_s, dispatcher.upgrade.let_go)
+            dispatcher.loop.call_later(handover_s, dispatcher.hot_restart.let_go)
         self.apply()
 
     def _end_when_idle(self) -> None:
--- a/grebestack/program/reload_signal.py
+++ b/grebestack/program/reload_signal.py
@@ -7,17 +7,17 @@
 
 import signal
 
-_has_come = False
+_sighup_received = False
 
 
 def _keep(number: int, frame: object) -> None:
-    global _has_come
-    _has_come = True
+    global _sighup_received
+    _sighup_received = True
 
 
 signal.signal(signal.SIGHUP, _keep)
 
 
-def has_come() -> bool:
+def sighup_received() -> bool:
     """Return whether a SIGHUP has arrived so far."""
-    return _has_come
+    return _sighup_received
--- a/grebestack/program/rolling_restart.py
+++ b/grebestack/program/rolling_restart.py
@@ -44,7 +44,7 @@
 NO_QUORUM = "no majority has answered; look with `fleet`, then call again"
 
 
-class Host(Protocol):
+class RestartedDispatcher(Protocol):
     """The dispatcher that is restarted."""
 
     lifecycle: Lifecycle
@@ -63,7 +63,7 @@
 class RollingRestart:
     """One member's part in rolling restarts."""
 
-    def __init__(self, dispatcher: Host, node: Node, times: RestartTimes) -> None:
+    def __init__(self, dispatcher: RestartedDispatcher, node: Node, times: RestartTimes) -> None:
         """Begin stopped."""
         self.dispatcher, self.node, self.clock = dispatcher, node, dispatcher.clock
         self.coordinator = RestartCoordinator(node.settings.name, times, self.clock.now_ms())
--- a/grebestack/program/worker_sources.py
+++ b/grebestack/program/worker_sources.py
@@ -35,12 +35,12 @@
         loop: asyncio.AbstractEventLoop,
         engine: Engine,
         reader: WorkerListReader,
-        roster: MembershipAdapter | None,
-        fleet: ClusterMember | None,
+        membership_adapter: MembershipAdapter | None,
+        cluster_member: ClusterMember | None,
     ) -> None:
-        """Parameters: `roster` checks what sources report, `fleet` may share one member's source."""
-        self.loop, self.engine, self.reader = loop, engine, reader
-        self.roster, self.fleet = roster, fleet
+        """Parameters: `membership_adapter` checks what sources report, `cluster_member` may share one."""
+        self.loop, self.engine, self.list_reader = loop, engine, reader
+        self.membership_adapter, self.cluster_member = membership_adapter, cluster_member
 
     def create(self, config: Config, previous: DiscoveryWatcher | None = None) -> Source | None:
         """Return a source that is not started; None where the file lists the workers.
@@ -56,20 +56,20 @@
         """
         is_list = config.worker_source.kind == "list"
         entries = config.worker_source.entries if is_list else ()
-        workers = [self.reader.read_worker(raw, strict=True) for raw in entries]
+        workers = [self.list_reader.read_worker(raw, strict=True) for raw in entries]
         listings = self._listings(config)
         if is_list:
             self.loop.call_soon(listings[0].update, ListKind.FULL, workers)
             return None
-        if self.fleet is not None and self.fleet.config.share_worker_source:
-            return self.fleet.share(
+        if self.cluster_member is not None and self.cluster_member.config.share_worker_source:
+            return self.cluster_member.share(
                 listings, lambda shared_listings: self._own_source(config, shared_listings, None)
             )
         return self._own_source(config, listings, previous)
 
     def _listings(self, config: Config) -> Sequence[WorkerListReceiver]:
-        """Return what the source feeds: the worker table, or one listing of the roster for each service."""
-        if self.roster is None or config.membership is None:
+        """Return what the source updates: the worker table, or one listing for each service."""
+        if self.membership_adapter is None or config.membership is None:
             return [self.engine.table]
         source = config.worker_source
         stale_s = float("inf") if source.kind == "list" else config.membership.stale_s
@@ -77,7 +77,7 @@
         names = [f"{source.kind}{address}"]
         if source.consul is not None:
             names = [f"consul {service}" for service in source.consul.services]
-        return [*self.roster.replace_sources(names, stale_s * 1000.0, source.snapshot_path)]
+        return [*self.membership_adapter.replace_sources(names, stale_s * 1000.0, source.snapshot_path)]
 
     def _own_source(
         self, config: Config, listings: Sequence[WorkerListReceiver], previous: DiscoveryWatcher | None
@@ -93,7 +93,9 @@
                 _CONSUL_IDLE_TIMEOUT_S,
                 max_body_bytes=_CONSUL_MAX_BODY_BYTES,
             )
-            return appliance.consul_source(consul, pools, self.engine.clock, config.options, listings)
+            return appliance.build_consul_source(consul, pools, self.engine.clock, config.options, listings)
         warn_unknown_discovery(config.options)
         settings = watch_settings(config.settings)
-        return DiscoveryWatcher(self.loop, config.discovery, self.reader, listings[0], previous, settings)
+        return DiscoveryWatcher(
+            self.loop, config.discovery, self.list_reader, listings[0], previous, settings
+        )
--- a/tests/golden_control.py
+++ b/tests/golden_control.py
@@ -59,7 +59,11 @@
 def operated() -> dict[str, str]:
     """What a dispatcher that belongs to no fleet answers, one call after the other."""
     dispatcher = MagicMock(
-        fleet=None, configuring=None, auditor=None, lifecycle=Lifecycle(), table=WorkerTable()
+        cluster_member=None,
+        config_updates=None,
+        audit_recorder=None,
+        lifecycle=Lifecycle(),
+        table=WorkerTable(),
     )
     dispatcher.clock.now_ms.return_value = 1000.0
     dispatcher.table.update(ListKind.FULL, [SERVER])
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -23,7 +23,7 @@
 from grebestack.jobs.records import Batch, Job, JobState
 from grebestack.jobs.store import DependencyRow, JobStore
 from grebestack.program.audit_segments import RecordBatch, SegmentWriter
-from grebestack.program.cluster_member import form
+from grebestack.program.cluster_member import found_cluster
 from grebestack.program.config.operator_file import from_text
 from grebestack.protocol.snapshot import save_lists
 from tests.golden_samples import FOLDER, RECORDS, SERVER, STAMP, encoded_record
@@ -125,7 +125,7 @@
 def _founding_files(folder: str) -> dict[str, str]:
     """What an operator's file with a fleet founds."""
     text = (FOLDER / "operator_voter.toml").read_text(encoding="utf-8")
-    form(from_text(os.path.join(folder, "operator.toml"), text))
+    found_cluster(from_text(os.path.join(folder, "operator.toml"), text))
     return contents_of(os.path.join(folder, "fleet"))
 
 
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -89,9 +89,9 @@
     session = Request("job-1", asked, Payload(b"head", b"body"), answer)
     session.attempts.append(Attempt(session, 3, "runner-1", 4000.25))
     dispatcher.table, dispatcher.lifecycle.quiesced, dispatcher.lifecycle.retired = table, True, True
-    dispatcher.reader.unix_to_clock_ms = -123.5
-    dispatcher.runners.on_callback.return_value = CallbackResult.ACCEPTED
-    dispatcher.runners.hand_over.return_value = "runner-1"
+    dispatcher.list_reader.unix_to_clock_ms = -123.5
+    dispatcher.http_workers.on_callback.return_value = CallbackResult.ACCEPTED
+    dispatcher.http_workers.hand_over.return_value = "runner-1"
     engine = dispatcher.engine
     engine.policy, engine.settings = taught_policy(), BASE
     engine.requests, engine.open_by_call_id = {41: session}, {"job-1": session}
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -471,8 +471,8 @@
     applied = applied_config(tmp_path)
     assert applied.apply(version(1, TWO), TWO) == ""
     assert (
-        applied.host.config.options["limits"]["mostTries"] == 6
-        and len(applied.host.config.worker_source.entries) == 1
+        applied.dispatcher.config.options["limits"]["mostTries"] == 6
+        and len(applied.dispatcher.config.worker_source.entries) == 1
     )
     (tmp_path / "a.toml").write_text(
         f'sockets = 2000\n{HEAD}[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}{APPLIANCE_SETTINGS}'
@@ -504,9 +504,9 @@
 ) -> None:
     applied = applied_config(tmp_path, waits=("zones",))
     assert applied.apply(version(1, TWO), TWO) == ""
-    former = applied.host.config
+    former = applied.dispatcher.config
     assert why in applied.apply(version(2, data), data)
-    assert applied.host.config is former and applied.contents == TWO
+    assert applied.dispatcher.config is former and applied.contents == TWO
 
 
 def test_what_waits_for_a_restart_by_the_local_file_is_not_held_against_a_version(
--- a/tests/test_follower_cluster.py
+++ b/tests/test_follower_cluster.py
@@ -16,7 +16,7 @@
 
 from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.config_distribution.versions import MAX_CONTENTS_BYTES
-from grebestack.program.audit_command import record_of
+from grebestack.program.audit_command import read_record
 from tests.follower_cluster import LATE_MS, FollowerCluster, Lateness, contents
 from tests.standins import wait_until
 
@@ -344,7 +344,7 @@
         for name in ("m0", "f0"):
             cluster.signal(name, signal.SIGTERM)
         for name in ("m0", "f0"):
-            record = record_of(name, str(cluster.members[name].folder / "audit"))
+            record = read_record(name, str(cluster.members[name].folder / "audit"))
             stamps = [period.versions.settings for period in record.periods]
             laid = [line.settings for line in cluster.laid(name)]
             assert not record.doubts and [one for one in stamps if one in laid] and laid[-1] == stamps[-1]
