--- a/grebestack/core/estimates.py
+++ b/grebestack/core/estimates.py
@@ -10,7 +10,7 @@
 
 LEARNING_RATE = 0.02  # share of each sample in a moving average
 START_DELAY_DECREASE = 0.2  # at each sample not above the estimate; others raise it by LEARNING_RATE / 4
-LOAD_MAX_AGE_MS = 2000.0  # older knowledge of the load of other dispatchers is not used
+LOAD_MAX_AGE_MS = 2000.0  # within this, a known load of other dispatchers loses its influence
 MAX_HINT_RATIO = 8.0  # a running time counts as at most this multiple of its hint
 
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -16,7 +16,7 @@
 
 
 class CheckedPolicy:
-    """Derives events from numbers, legal ones under the settings, and checks what a policy does on them."""
+    """Drives a policy with events that are derived from numbers and legal, and checks its actions."""
 
     def __init__(self, configured: api.Settings, workers: int) -> None:
         self.policy, self.checker = Policy(configured, 3), RuleChecker(configured)
