--- a/grebestack/core/events.py
+++ b/grebestack/core/events.py
@@ -60,7 +60,7 @@
     state: WorkerState = WorkerState.READY
     weight: float = 1.0
     started_ms: float | None = None  # None: long ago
-    put_back: bool = False  # the operators have just put it back into use; the name is a key on the wire
+    put_back: bool = False  # the operators have just reinstated it; a key in the lists of members
 
 
 @dataclass(frozen=True, slots=True)
