--- a/grebestack/cluster_io/runtime.py
+++ b/grebestack/cluster_io/runtime.py
@@ -21,5 +21,5 @@
 
 def write_log(message: LogMessage) -> None:
     """Write a line to the process's log."""
-    level = logging.DEBUG if message.detail else logging.INFO
+    level = logging.DEBUG if message.is_debug else logging.INFO
     log.log(level, message.event, extra={"kv": message.kv})
--- a/grebestack/cluster_tasks/rolling_restart.py
+++ b/grebestack/cluster_tasks/rolling_restart.py
@@ -90,7 +90,7 @@
 
     Parameters
     ----------
-    return_ms
+    return_timeout_ms
         For how long a step may take, or a member that is away be awaited.
     pause_ms
         Between two members.
@@ -98,7 +98,7 @@
         The age at which a member's report expires.
     """
 
-    return_ms: float = 60_000.0
+    return_timeout_ms: float = 60_000.0
     pause_ms: float = 5_000.0
     state_ttl_ms: float = 3_000.0
 
@@ -220,9 +220,9 @@
         return stop or [RequestRestart(name, request)]
 
     def _stop_if_late(self, now_ms: float, plan: RestartPlan, reason: str) -> list[Action]:
-        if now_ms - self.waiting_since_ms < self.times.return_ms:
+        if now_ms - self.waiting_since_ms < self.times.return_timeout_ms:
             return []
-        late = f"{reason} within {self.times.return_ms / 1000.0:g} s"
+        late = f"{reason} within {self.times.return_timeout_ms / 1000.0:g} s"
         return self._propose(stop_restart(late, plan.number))
 
     def _propose(self, change: Change) -> list[Action]:
--- a/grebestack/cluster_tasks/shared_discovery.py
+++ b/grebestack/cluster_tasks/shared_discovery.py
@@ -131,7 +131,7 @@
     """One member's part in the task, for the lists of all its sources."""
 
     source_count: int
-    holder_heard_ms: float  # when the holder was last heard, or since when one is awaited
+    holder_last_seen_ms: float  # when the holder was last heard, or since when one is awaited
     times: SharingTimes = field(default_factory=SharingTimes)
     rank: int = 0
     reads_source: bool = False
@@ -155,7 +155,7 @@
         times = self.times
         timeout_ms = times.holder_timeout_ms if self.holder else times.first_holder_timeout_ms
         timeout_ms += self.rank * FALLBACK_STAGGER_MS
-        if self.reads_source or now_ms - self.holder_heard_ms <= timeout_ms:
+        if self.reads_source or now_ms - self.holder_last_seen_ms <= timeout_ms:
             return []
         self.holder, self.is_current = "", False
         return self._read_source(True)
@@ -258,7 +258,7 @@
             self.holder = name
         if isinstance(message, Heartbeat):
             return self._on_heartbeat(now_ms, name, message)
-        self.holder_heard_ms = now_ms
+        self.holder_last_seen_ms = now_ms
         return self._on_list_part(name, message)
 
     def _on_resync_request(self, name: str) -> list[Action]:
@@ -273,7 +273,7 @@
         if not heartbeat.is_healthy:
             self.holder, self.is_current = "", False
             return self._read_source(True)
-        self.holder_heard_ms = now_ms
+        self.holder_last_seen_ms = now_ms
         if self.is_current and heartbeat.number == self.number:
             return [ConfirmLists(), *self._read_source(False)]
         return [_send(name, ResyncRequest())]
--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -195,7 +195,7 @@
             if self.relay == self.order[0]
             else now_ms + self.random.uniform(*timeouts.PREFERRED_RELAY_RETRY_MS)
         )
-        return [LogMessage("configuration_linked", {"relay": self.relay}, detail=True)]
+        return [LogMessage("configuration_linked", {"relay": self.relay}, is_debug=True)]
 
     def _on_relay_number(self, now_ms: float, number: int, confirmed_ms: int) -> list[FollowerAction]:
         """Take the number that the relay has, and how long ago, in ms, it was confirmed to be the newest."""
@@ -317,7 +317,7 @@
     def _leave_relay(self, now_ms: float, why: str, closed: bool = False) -> list[FollowerAction]:
         """Leave the relay; connect to another after a backoff."""
         kv = {"relay": self.relay, "why": why}
-        event = LogMessage("configuration_link_ended", kv, detail=self.state != LINKED)
+        event = LogMessage("configuration_link_ended", kv, is_debug=self.state != LINKED)
         actions: list[FollowerAction] = [event] if closed else [event, Close(self.link, why)]
         self.tried |= {self.relay}
         most = min(
--- a/grebestack/config_distribution/relay.py
+++ b/grebestack/config_distribution/relay.py
@@ -267,7 +267,7 @@
         if follower is None:
             return []
         return [
-            LogMessage("configuration_follower_lost", {"follower": follower.name, "why": why}, detail=True)
+            LogMessage("configuration_follower_lost", {"follower": follower.name, "why": why}, is_debug=True)
         ]
 
     def _remove(self, now_ms: float, link: int) -> FollowerState | None:
--- a/grebestack/consensus/acceptor.py
+++ b/grebestack/consensus/acceptor.py
@@ -57,7 +57,7 @@
     record: int
     to: str
     message: Message
-    witness_count: int  # others than its receiver that must have heard of the record
+    required_witnesses: int  # others than its receiver that must have heard of the record
 
     def is_superseded_by(self, newer: _PendingResponse) -> bool:
         """Whether the receiver has no use for this response once there is a newer one."""
@@ -118,7 +118,7 @@
         """
         config = self.state.config
         others = config.names() - {self.name}
-        return self.is_new_disk or len(self.confirming_peers & others) >= config.confirmation_count
+        return self.is_new_disk or len(self.confirming_peers & others) >= config.required_confirmations
 
     @property
     def reported_record(self) -> int:
@@ -150,11 +150,11 @@
         """Send a vote once its record is durable and, with the receiver, has all its witnesses."""
         config = self.state.config
         is_witness = to != self.name and to in config.names()
-        return self._send_when_ready(to, message, config.witness_count - is_witness)
+        return self._send_when_ready(to, message, config.required_witnesses - is_witness)
 
-    def _send_when_ready(self, to: str, message: Message, witness_count: int) -> list[Action]:
+    def _send_when_ready(self, to: str, message: Message, required_witnesses: int) -> list[Action]:
         """Send a response once all records that it may depend on are durable and witnessed."""
-        response = _PendingResponse(self.last_record, to, message, witness_count)
+        response = _PendingResponse(self.last_record, to, message, required_witnesses)
         if self._may_leave(response):
             return [Send(to, message)]
         self.pending = [former for former in self.pending if not former.is_superseded_by(response)]
@@ -165,7 +165,7 @@
         if response.record > self.synced_record:
             return False
         others = self.state.config.names() - {self.name, response.to}
-        return self.witnesses.count(response.record, others) >= response.witness_count
+        return self.witnesses.count(response.record, others) >= response.required_witnesses
 
     def _release(self) -> list[Action]:
         """Send the responses that need not wait any longer."""
@@ -346,4 +346,4 @@
         if self.disk_fault or not is_in_epoch:
             return []
         entered = EnterEpoch(self.state.config, self.state.register_entries())
-        return self._send_when_ready(peer.name, entered, witness_count=0)
+        return self._send_when_ready(peer.name, entered, required_witnesses=0)
--- a/grebestack/consensus/actions.py
+++ b/grebestack/consensus/actions.py
@@ -56,13 +56,13 @@
         Name of the event; operators' tools read it.
     kv
         Values of the line by key; operators' tools read them too.
-    detail
+    is_debug
         Whether the line is of debug level.
     """
 
     event: str
     kv: dict[str, Any] = field(default_factory=dict)
-    detail: bool = False
+    is_debug: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/grebestack/consensus/lease.py
+++ b/grebestack/consensus/lease.py
@@ -9,8 +9,8 @@
 
 The value that a rival sees was proposed earlier. The holder's term therefore ends before the rival's wait, as
 long as two clocks don't run apart by more than `LeaseTerms.max_clock_drift` and no act begins more than
-`LeaseTerms.guard_ms` after `LeaseHolder.valid_token` allowed it. Where that bound is broken the token still
-protects: the resource rejects an older one (`Fence`).
+`LeaseTerms.guard_ms` after `LeaseParticipant.valid_token` allowed it. Where that bound is broken the token
+still protects: the resource rejects an older one (`Fence`).
 
 Times are milliseconds of this member's monotonic clock. Pure; states are not changed in place.
 """
@@ -55,7 +55,7 @@
         By how much one clock may run faster than another, as a share.
     guard_ms
         Time between the check of the token and the act that it allows, at most.
-    renew_at
+    renew_fraction
         The share of the term after which the holder renews the lease.
     stagger_ms
         How much longer a rival waits for each rank.
@@ -69,12 +69,12 @@
     term_ms: float = 4000.0
     max_clock_drift: float = 0.01
     guard_ms: float = 50.0
-    renew_at: float = 0.45
+    renew_fraction: float = 0.45
     stagger_ms: float = 100.0
 
     def __post_init__(self) -> None:
         """Check the ranges."""
-        fits = self.term_ms > 0 and 0 <= self.max_clock_drift < 0.5 and 0 < self.renew_at < 1
+        fits = self.term_ms > 0 and 0 <= self.max_clock_drift < 0.5 and 0 < self.renew_fraction < 1
         if not fits or self.stagger_ms < 0:
             raise ValueError(f"{self} is out of range")
         if not 0 <= self.guard_ms < self.term_ms * (1 - self.max_clock_drift) / 2:
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseHolder:
+class LeaseParticipant:
     """One member's view of one task's lease, as its holder or a rival."""
 
     name: str
@@ -174,7 +174,7 @@
     def _is_own(self, lease: Lease) -> bool:
         return lease.holder == self.name and lease.process_incarnation == self.process_incarnation
 
-    def observe(self, now_ms: float, value: Value) -> LeaseHolder:
+    def observe(self, now_ms: float, value: Value) -> LeaseParticipant:
         """Note a value that an acceptor has accepted, here or elsewhere; it need never be chosen."""
         lease, observed = lease_of(value), self.observed
         is_not_newer = (lease.token, lease.proposal_number) <= (observed.token, observed.proposal_number)
@@ -189,7 +189,7 @@
             return float("inf")
         if self.is_held:
             proposed_ms = self.valid_until_ms - self.terms.usable_ms
-            return max(self.next_proposal_ms, proposed_ms + self.terms.term_ms * self.terms.renew_at)
+            return max(self.next_proposal_ms, proposed_ms + self.terms.term_ms * self.terms.renew_fraction)
         is_handed_over = self.observed.holder == self.name and self.observed.process_incarnation in (
             0,
             self.process_incarnation,
@@ -201,7 +201,7 @@
         wait_ms = self.terms.takeover_ms + self.rank * self.terms.stagger_ms
         return max(self.next_proposal_ms, self.observed_ms + wait_ms)
 
-    def propose(self, now_ms: float) -> tuple[LeaseHolder, Change | None]:
+    def propose(self, now_ms: float) -> tuple[LeaseParticipant, Change | None]:
         """Return the change to propose now, or None if no proposal is due."""
         if now_ms < self.due_ms():
             return self, None
@@ -211,7 +211,7 @@
             change = read_only
         return replace(self, proposed_ms=now_ms, proposal_count=self.proposal_count + 1), change
 
-    def on_chosen(self, now_ms: float, previous: Value, value: Value) -> LeaseHolder:
+    def on_chosen(self, now_ms: float, previous: Value, value: Value) -> LeaseParticipant:
         """Handle the end of a proposal: the register held `previous`, and holds `value` now.
 
         The term counts from the proposal only if this proposal made the value: a value that was there already
@@ -228,11 +228,11 @@
         is_still_held = self.is_held and is_same_grant(lease, self.observed)
         return after if is_still_held else replace(after, valid_until_ms=NOT_HELD_MS)
 
-    def on_failed(self, next_proposal_ms: float) -> LeaseHolder:
+    def on_failed(self, next_proposal_ms: float) -> LeaseParticipant:
         """Handle a proposal whose outcome is not known: a higher ballot came, or no quorum in time."""
         return replace(self, proposed_ms=None, next_proposal_ms=next_proposal_ms)
 
-    def resign(self) -> LeaseHolder:
+    def resign(self) -> LeaseParticipant:
         """Stop acting and proposing, whatever becomes of the open proposal."""
         return replace(self, valid_until_ms=NOT_HELD_MS, is_candidate=False, proposed_ms=None)
 
--- a/grebestack/consensus/membership_change.py
+++ b/grebestack/consensus/membership_change.py
@@ -66,7 +66,7 @@
         self.name, self.names = name, names
         self.acceptor, self.proposals, self.random = acceptor, proposals, random
         self.applicants: dict[str, _Applicant] = {}  # by name
-        self.removed: set[str] = set()  # members that an operator removes; not on the disk
+        self.pending_removals: set[str] = set()  # members that an operator removes; not on the disk
         self.stopped: dict[str, tuple[RegisterEntry, ...]] = {}  # by member that votes no more
         self.next_step_ms = now_ms
 
@@ -82,7 +82,7 @@
             return f"{name} is no member; members are {', '.join(sorted(names))}"
         if len(names) == 1:
             return f"{name} is the only member"
-        self.removed.add(name)
+        self.pending_removals.add(name)
         return ""
 
     def on_join_request(self, now_ms: float, peer: Peer, message: JoinRequest) -> None:
@@ -120,7 +120,7 @@
         self.applicants = {
             name: applicant for name, applicant in self.applicants.items() if now_ms < applicant.expiry_ms
         }
-        self.removed &= self.config.names()
+        self.pending_removals &= self.config.names()
         acceptor, epoch = self.acceptor, self.config.epoch
         if not epoch:
             return [Send(name, EpochRequest(0)) for name in connected]
@@ -151,7 +151,7 @@
     def _next_config(self) -> MembershipConfig | None:
         """Return the membership that is wanted next, if any: one member joins or leaves."""
         members = dict(self.config.members)
-        for name in sorted(self.removed & set(members)):
+        for name in sorted(self.pending_removals & set(members)):
             del members[name]
             return MembershipConfig(self.config.epoch + 1, tuple(sorted(members.items())))
         for name, applicant in sorted(self.applicants.items()):
--- a/grebestack/consensus/messages.py
+++ b/grebestack/consensus/messages.py
@@ -31,15 +31,15 @@
         return len(self.members) // 2 + 1
 
     @property
-    def witness_count(self) -> int:
+    def required_witnesses(self) -> int:
         """How many other members must have heard of a vote's log record before the vote counts."""
         return min(1, len(self.members) - 1)
 
     @property
-    def confirmation_count(self) -> int:
+    def required_confirmations(self) -> int:
         """How many other members must confirm a disk after a start: a witness is among any so many."""
         others = len(self.members) - 1
-        return min(others, others + 1 - self.witness_count)
+        return min(others, others + 1 - self.required_witnesses)
 
     def names(self) -> frozenset[str]:
         """Return the names of the members."""
--- a/grebestack/consensus/proposals.py
+++ b/grebestack/consensus/proposals.py
@@ -141,7 +141,7 @@
             "before": describe_value(previous),
             "after": describe_value(proposed),
         }
-        logged = LogMessage("fleet_register", kv, detail=True)
+        logged = LogMessage("fleet_register", kv, is_debug=True)
         return [logged, *proposal.on_ended(now_ms, phase, previous, proposed)]
 
     def expire(self, now_ms: float) -> list[Action]:
--- a/grebestack/consensus/task_leases.py
+++ b/grebestack/consensus/task_leases.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from grebestack.consensus.actions import Action, LeaseChanged, LogMessage
-from grebestack.consensus.lease import NOT_HELD_MS, LeaseHolder, LeaseTerms, release
+from grebestack.consensus.lease import NOT_HELD_MS, LeaseParticipant, LeaseTerms, release
 from grebestack.consensus.proposals import Proposals
 from grebestack.consensus.register import Phase, Value
 
@@ -35,25 +35,27 @@
         """Begin with no lease held."""
         self.proposals, self.can_reach_quorum = proposals, can_reach_quorum
         name, incarnation = proposals.name, proposals.process_incarnation
-        self.holders = {task: LeaseHolder(name, incarnation, terms, rank_of(task)) for task in tasks}
-        self.logged_tokens: dict[str, int | None] = dict.fromkeys(self.holders)
+        self.participants = {
+            task: LeaseParticipant(name, incarnation, terms, rank_of(task)) for task in tasks
+        }
+        self.logged_tokens: dict[str, int | None] = dict.fromkeys(self.participants)
 
     def valid_token(self, task: str, now_ms: float) -> int | None:
         """Return the fencing token to act with now, or None. Check it at each act."""
-        return self.holders[task].valid_token(now_ms)
+        return self.participants[task].valid_token(now_ms)
 
     def observe(self, now_ms: float, register: str, value: Value) -> None:
         """Note the value that this member's acceptor has accepted."""
         task = register.removeprefix(REGISTER_PREFIX)
-        holder = self.holders.get(task) if register.startswith(REGISTER_PREFIX) else None
+        holder = self.participants.get(task) if register.startswith(REGISTER_PREFIX) else None
         if holder is not None:
-            self.holders[task] = holder.observe(now_ms, value)
+            self.participants[task] = holder.observe(now_ms, value)
 
     def release(self, now_ms: float, task: str, to: str = "") -> list[Action]:
         """Stop acting for a task and free its lease, or hand it over to a member by name."""
-        holder, register = self.holders[task], REGISTER_PREFIX + task
+        holder, register = self.participants[task], REGISTER_PREFIX + task
         mine = holder.observed if holder.is_held else None
-        self.holders[task] = holder.resign()
+        self.participants[task] = holder.resign()
         actions = self._log_change(now_ms, task)
         # The open proposal may still be chosen; the lease then runs out with its term.
         self.proposals.open.pop(register, None)
@@ -63,18 +65,18 @@
 
     def on_fenced(self, now_ms: float, task: str) -> list[Action]:
         """Stop acting under a token that a resource has rejected for a later one."""
-        self.holders[task] = replace(self.holders[task], valid_until_ms=NOT_HELD_MS)
+        self.participants[task] = replace(self.participants[task], valid_until_ms=NOT_HELD_MS)
         return self._log_change(now_ms, task)
 
     def become_candidate(self, now_ms: float, task: str) -> None:
         """Propose the lease again, after a release."""
-        self.holders[task] = replace(self.holders[task], is_candidate=True, next_proposal_ms=now_ms)
+        self.participants[task] = replace(self.participants[task], is_candidate=True, next_proposal_ms=now_ms)
 
     def tick(self, now_ms: float) -> list[Action]:
         """Propose what is due, and log leases that have run out."""
         actions: list[Action] = []
-        for task in self.holders:
-            if self.logged_tokens[task] != self.holders[task].valid_token(now_ms):
+        for task in self.participants:
+            if self.logged_tokens[task] != self.participants[task].valid_token(now_ms):
                 actions += self._log_change(now_ms, task)
             actions += self._propose_if_due(now_ms, task)
         return actions
@@ -82,7 +84,7 @@
     def due_ms(self) -> float:
         """Return when `tick` is due; infinity: not before another event."""
         due_ms, can_propose = float("inf"), self.can_reach_quorum()
-        for task, holder in self.holders.items():
+        for task, holder in self.participants.items():
             if can_propose and REGISTER_PREFIX + task not in self.proposals.open:
                 due_ms = min(due_ms, holder.due_ms())
             if self.logged_tokens[task] is not None:
@@ -93,24 +95,24 @@
         register = REGISTER_PREFIX + task
         if register in self.proposals.open or not self.can_reach_quorum():
             return []
-        holder, change = self.holders[task].propose(now_ms)
+        holder, change = self.participants[task].propose(now_ms)
         if change is None:
             return []
-        self.holders[task] = holder
+        self.participants[task] = holder
 
         def on_ended(at_ms: float, phase: Phase, previous: Value, value: Value) -> list[Action]:
-            current = self.holders[task]
+            current = self.participants[task]
             if phase is Phase.CHOSEN:
-                self.holders[task] = current.on_chosen(at_ms, previous, value)
+                self.participants[task] = current.on_chosen(at_ms, previous, value)
             else:
-                self.holders[task] = current.on_failed(at_ms + self.proposals.retry_backoff_ms(register))
+                self.participants[task] = current.on_failed(at_ms + self.proposals.retry_backoff_ms(register))
             return self._log_change(at_ms, task)
 
         return [*self.proposals.propose(now_ms, register, change, on_ended)]
 
     def _log_change(self, now_ms: float, task: str) -> list[Action]:
         """Log a lease that has come, gone or been renewed, and report a change of the token."""
-        holder = self.holders[task]
+        holder = self.participants[task]
         token, former = holder.valid_token(now_ms), self.logged_tokens[task]
         kv = {"task": task, "at": now_ms}
         actions: list[Action] = []
@@ -119,7 +121,7 @@
             actions.append(LogMessage("lease_lost", lost))
         if token is not None:
             held = kv | {"token": token, "until": holder.valid_until_ms, "life": holder.process_incarnation}
-            actions.append(LogMessage("lease_held", held, detail=token == former))
+            actions.append(LogMessage("lease_held", held, is_debug=token == former))
         if token != former:
             actions.append(LeaseChanged(task))
         self.logged_tokens[task] = token
--- a/grebestack/consensus/witnesses.py
+++ b/grebestack/consensus/witnesses.py
@@ -2,8 +2,8 @@
 
 A disk that has lost its last records, or has come back as an older copy, looks like any other to its owner.
 Only a member that has heard of a later record can tell. A vote must therefore not count before enough others,
-its witnesses, have heard of its record (`MembershipConfig.witness_count`); after a start so many others must
-confirm the disk that a witness is among them (`MembershipConfig.confirmation_count`).
+its witnesses, have heard of its record (`MembershipConfig.required_witnesses`); after a start so many others
+must confirm the disk that a witness is among them (`MembershipConfig.required_confirmations`).
 
 Each message carries the last durable record of its sender, and connections keep the order of messages. A
 response to a heartbeat thus shows that its sender has heard of the record that went with the heartbeat.
--- a/grebestack/program/cluster_member.py
+++ b/grebestack/program/cluster_member.py
@@ -13,7 +13,7 @@
 from grebestack.cluster_io.node import Node, NodeSettings
 from grebestack.cluster_io.runtime import monotonic_ms
 from grebestack.cluster_tasks.rolling_restart import RestartTimes
-from grebestack.consensus.lease import LeaseHolder, LeaseTerms
+from grebestack.consensus.lease import LeaseParticipant, LeaseTerms
 from grebestack.consensus.messages import (
     IncarnationStarted,
     LogRecord,
@@ -140,11 +140,11 @@
 
     def tasks_held(self) -> dict[str, Any]:
         """Return the tasks and their lease holders; without a quorum this may be out of date."""
-        now_ms, holders = self.node.clock(), self.node.replica.leases.holders
+        now_ms, holders = self.node.clock(), self.node.replica.leases.participants
         rows = [self._lease_row(task, holder, now_ms) for task, holder in sorted(holders.items())]
         return {"tasks": rows, "restart": self.rolling_restart.describe()}
 
-    def _lease_row(self, task: str, lease: LeaseHolder, now_ms: float) -> dict[str, Any]:
+    def _lease_row(self, task: str, lease: LeaseParticipant, now_ms: float) -> dict[str, Any]:
         row: dict[str, Any] = dict.fromkeys(("task", "holder", "token", "more_s", "seen_s_ago"))
         row["task"] = task
         token = lease.valid_token(now_ms)
--- a/grebestack/program/rolling_restart.py
+++ b/grebestack/program/rolling_restart.py
@@ -116,7 +116,7 @@
 
     def _update_candidacy(self, now_ms: float) -> None:
         """Want the lease only during a restart: each renewal costs all members a sync."""
-        plan, is_candidate = self._plan(), self.node.replica.leases.holders[TASK].is_candidate
+        plan, is_candidate = self._plan(), self.node.replica.leases.participants[TASK].is_candidate
         is_in_progress = plan is not None and plan.state == IN_PROGRESS
         may_become_candidate = not self.is_restarting and now_ms >= self.next_candidacy_ms
         if is_candidate and not is_in_progress:
--- a/grebestack/program/shared_discovery.py
+++ b/grebestack/program/shared_discovery.py
@@ -114,7 +114,7 @@
 
     def start(self) -> None:
         """Wait for the holder's list for a moment, then read the own source."""
-        self.discovery.holder_heard_ms = self.clock.now_ms()
+        self.discovery.holder_last_seen_ms = self.clock.now_ms()
         self.runner.start()
 
     def retire(self) -> None:
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -23,7 +23,7 @@
 from grebestack.config_distribution.relay import FollowerState, Relay
 from grebestack.config_distribution.versions import Version, digest_of
 from tests import state_exploration
-from tests.state_exploration import Found, put
+from tests.state_exploration import ExplorationResult, put
 
 FLEET, PLACE = "f", "r/z"
 RELAYS = ("a", "b")
@@ -614,14 +614,14 @@
     return ConfigUpdate(news.version, news.confirmed_age_ms, delta, half)
 
 
-def explore(model: Model, most: int) -> Found:
+def explore(model: Model, most: int) -> ExplorationResult:
     """See every state of this start, up to so many."""
     return state_exploration.explore(model.first(), model.steps, model.wrong, most)
 
 
 def main() -> int:
     """Explore from the command line."""
-    return state_exploration.command(
+    return state_exploration.run_command(
         lambda variant, start, most: explore(Model(variant, start), most), VARIANTS, STARTS, "lost"
     )
 
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -27,7 +27,7 @@
 from grebestack.consensus.register import AcceptorState, Ballot, Phase, PromiseGranted, Round, accept, prepare
 from tests import state_exploration
 from tests.configuration_states import UNTOLD, Longest, Part, frozen
-from tests.state_exploration import Found, put
+from tests.state_exploration import ExplorationResult, put
 
 NAMES = ("v1", "v2", "v3")
 STEP_MS = 1000.0
@@ -399,14 +399,14 @@
         return world.fault
 
 
-def explore(model: Model, most: int) -> Found:
+def explore(model: Model, most: int) -> ExplorationResult:
     """See every state of this start, up to so many."""
     return state_exploration.explore(model.first(), model.steps, model.wrong, most)
 
 
 def main() -> int:
     """Explore from the command line."""
-    return state_exploration.command(
+    return state_exploration.run_command(
         lambda variant, start, most: explore(Model(variant, start), most), VARIANTS, STARTS, "race"
     )
 
--- a/tests/consensus_model.py
+++ b/tests/consensus_model.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from grebestack.consensus.lease import NOT_HELD_MS, Lease, LeaseHolder, LeaseTerms, lease_of
+from grebestack.consensus.lease import NOT_HELD_MS, Lease, LeaseParticipant, LeaseTerms, lease_of
 from grebestack.consensus.register import (
     NO_BALLOT,
     AcceptGranted,
@@ -37,10 +37,10 @@
     prepare,
 )
 from tests import state_exploration
-from tests.state_exploration import Found, put
+from tests.state_exploration import ExplorationResult, put
 
 DISKS = 3
-TERMS = LeaseTerms(term_ms=2.0, max_clock_drift=0.0, guard_ms=0.0, renew_at=0.5, stagger_ms=0.0)
+TERMS = LeaseTerms(term_ms=2.0, max_clock_drift=0.0, guard_ms=0.0, renew_fraction=0.5, stagger_ms=0.0)
 STARTS = ("fresh", "held", "released")
 VARIANTS = ("no sync", "counted from the answer", "votes without its disk", "token from memory", "same marks")
 Request = tuple[Ballot, bool, Any]  # its ballot, whether it asks to accept, and what
@@ -49,8 +49,8 @@
 class Proposer(NamedTuple):
     """One that wants the task, and its proposal."""
 
-    holder: LeaseHolder
-    before: LeaseHolder  # as it was when it asked: what it asks for follows from it
+    holder: LeaseParticipant
+    before: LeaseParticipant  # as it was when it asked: what it asks for follows from it
     last: Ballot
     round: Round | None = None
     rounds: int = 0
@@ -88,7 +88,7 @@
 
     def start(self) -> World:
         """Both have read that nobody has it. Since then a, or one that gave it back, took it by two disks."""
-        a, b = (LeaseHolder(name, 1, TERMS, has_observed=True) for name in ("a", "b"))
+        a, b = (LeaseParticipant(name, 1, TERMS, has_observed=True) for name in ("a", "b"))
         slot, acted = AcceptorState(), frozenset[tuple[int, str, int]]()
         if self.begins == "held":
             lease = Lease("a", 1, 1, 0 if self.variant == "same marks" else 1)
@@ -165,7 +165,7 @@
                 what = f"{name} hears late from member {disk}"
                 yield what, self._on_response(world, i, disk, answer)
         if world.crashes < self.crashes and left:
-            holder = LeaseHolder(name, proposer.holder.process_incarnation + 1, TERMS)
+            holder = LeaseParticipant(name, proposer.holder.process_incarnation + 1, TERMS)
             restarted = Proposer(
                 holder,
                 holder,
@@ -275,7 +275,7 @@
     return world._replace(disks=disks, unsynced=tuple(world.unsynced[d] for d in order), proposers=proposers)
 
 
-def explore(model: Model, most: int) -> Found:
+def explore(model: Model, most: int) -> ExplorationResult:
     """See every state, the nearest first, up to so many."""
     return state_exploration.explore(model.start(), model.steps, model.wrong, most, one_of_alike)
 
@@ -291,7 +291,7 @@
     parser.add_argument("--crashes", type=int, default=0)
     args = parser.parse_args()
     model = Model(args.variant, args.start, args.end, tuple(args.rounds), args.crashes)
-    return explore(model, args.states).conclude()
+    return explore(model, args.states).report()
 
 
 if __name__ == "__main__":
--- a/tests/membership_change_model.py
+++ b/tests/membership_change_model.py
@@ -40,7 +40,7 @@
 from grebestack.consensus.recovery import RecoveredState, merge_registers
 from grebestack.consensus.register import NO_BALLOT, AcceptorState, Ballot, Phase, PromiseGranted, Round
 from tests import state_exploration
-from tests.state_exploration import Found, put
+from tests.state_exploration import ExplorationResult, put
 
 FORMER = MembershipConfig(1, (("a", "1"), ("b", "1"), ("c", "1")))
 FOLLOWING = MembershipConfig(2, (("a", "1"), ("b", "1"), ("c", "2")))
@@ -216,7 +216,7 @@
         yield what, world
 
 
-def explore(model: Model, begins: str, most: int) -> Found:
+def explore(model: Model, begins: str, most: int) -> ExplorationResult:
     """See every state, the nearest first, up to so many."""
     return state_exploration.explore(start(begins), model.steps, model.wrong, most)
 
@@ -228,7 +228,7 @@
     parser.add_argument("--variant", default="", choices=("", *VARIANTS))
     parser.add_argument("--start", default="asked", choices=STARTS)
     args = parser.parse_args()
-    return explore(Model(args.variant), args.start, args.states).conclude()
+    return explore(Model(args.variant), args.start, args.states).report()
 
 
 if __name__ == "__main__":
--- a/tests/state_exploration.py
+++ b/tests/state_exploration.py
@@ -10,19 +10,19 @@
 S = TypeVar("S", bound=Hashable)
 
 
-class Found(NamedTuple):
+class ExplorationResult(NamedTuple):
     """What an exploration came to."""
 
     states: int
-    whole: bool  # whether every state within the bound was seen
-    wrong: str = ""
+    is_complete: bool  # whether every state within the bound was seen
+    violation: str = ""
     trace: tuple[str, ...] = ()
 
-    def conclude(self) -> int:
+    def report(self) -> int:
         """Print it; the exit code."""
         print("\n".join(self.trace))
-        print(f"states={self.states} whole={self.whole} wrong={self.wrong!r}")
-        return 1 if self.wrong else 0
+        print(f"states={self.states} complete={self.is_complete} violation={self.violation!r}")
+        return 1 if self.violation else 0
 
 
 def explore(
@@ -31,7 +31,7 @@
     wrong: Callable[[S], str],
     most: int,
     alike: Callable[[S], S] = lambda world: world,
-) -> Found:
+) -> ExplorationResult:
     """See every state, up to so many; a wrong one ends it with the shortest way there.
 
     Of states that `alike` makes the same one stands for all.
@@ -47,15 +47,18 @@
                 continue
             came[after] = (world, what)
             if why := wrong(after):
-                return Found(len(came), False, why, _trace(came, after))
+                return ExplorationResult(len(came), False, why, _trace(came, after))
             if len(came) >= most:
-                return Found(len(came), False)
+                return ExplorationResult(len(came), False)
             queue.append(after)
-    return Found(len(came), True)
+    return ExplorationResult(len(came), True)
 
 
-def command(
-    explored: Callable[[str, str, int], Found], variants: Iterable[str], starts: Iterable[str], start: str
+def run_command(
+    explored: Callable[[str, str, int], ExplorationResult],
+    variants: Iterable[str],
+    starts: Iterable[str],
+    start: str,
 ) -> int:
     """Explore from the command line, by variant, start and how many states at most; the exit code."""
     parser = argparse.ArgumentParser()
@@ -63,7 +66,7 @@
     parser.add_argument("--variant", default="", choices=("", *variants))
     parser.add_argument("--start", default=start, choices=tuple(starts))
     args = parser.parse_args()
-    return explored(args.variant, args.start, args.states).conclude()
+    return explored(args.variant, args.start, args.states).report()
 
 
 def _trace(came: dict[S, tuple[S, str] | None], world: S) -> tuple[str, ...]:
--- a/tests/test_configuration_states.py
+++ b/tests/test_configuration_states.py
@@ -20,14 +20,14 @@
 @pytest.mark.parametrize("start", WHOLE)
 def test_nothing_goes_back_or_is_half_or_is_late_in_any_state(start: str) -> None:
     found = states.explore(states.Model("", start), 60_000)
-    assert (found.wrong, found.trace, found.whole) == ("", (), True)
+    assert (found.violation, found.trace, found.is_complete) == ("", (), True)
     assert found.states >= WHOLE[start]
 
 
 @pytest.mark.parametrize("start", PART)
 def test_nothing_goes_back_or_is_half_or_is_late_in_the_nearest_states(start: str) -> None:
     found = states.explore(states.Model("", start), PART[start])
-    assert (found.wrong, found.trace, found.states) == ("", (), PART[start])
+    assert (found.violation, found.trace, found.states) == ("", (), PART[start])
 
 
 @pytest.mark.parametrize(
@@ -44,24 +44,24 @@
 def test_a_broken_follower_is_caught_with_its_trace(variant: str, start: str, wrong: str) -> None:
     found = states.explore(states.Model(variant, start), 60_000)
     print("\n".join(found.trace))
-    assert found.wrong == wrong and found.trace
+    assert found.violation == wrong and found.trace
 
 
 def test_a_change_of_the_configuration_is_decided_once_and_with_its_contents_in_all_states() -> None:
     found = voters.explore(voters.Model("", "one change"), 60_000)
-    assert (found.wrong, found.trace, found.whole) == ("", (), True)
+    assert (found.violation, found.trace, found.is_complete) == ("", (), True)
     assert found.states >= 5_000
 
 
 def test_one_change_at_a_voter_that_has_just_started_is_decided_once_in_the_nearest_states() -> None:
     found = voters.explore(voters.Model("", "one change, just started"), 10_000)
-    assert (found.wrong, found.trace) == ("", ())
+    assert (found.violation, found.trace) == ("", ())
 
 
 @pytest.mark.parametrize("start", ["race", "race, just started", "crash", "held, beats"])
 def test_nothing_is_offered_or_confirmed_against_a_majority_in_the_nearest_states(start: str) -> None:
     found = voters.explore(voters.Model("", start), 4_000)
-    assert (found.wrong, found.trace, found.states) == ("", (), 4_000)
+    assert (found.violation, found.trace, found.states) == ("", (), 4_000)
 
 
 @pytest.mark.parametrize(
@@ -81,4 +81,4 @@
 def test_a_broken_voter_is_caught_with_its_trace(variant: str, start: str, wrong: str) -> None:
     found = voters.explore(voters.Model(variant, start), 60_000)
     print("\n".join(found.trace))
-    assert found.wrong[2:] == wrong[2:] and found.trace
+    assert found.violation[2:] == wrong[2:] and found.trace
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -11,7 +11,7 @@
 import pytest
 from msgspec import structs
 
-from grebestack.consensus.lease import FREE, Fence, Lease, LeaseHolder, LeaseTerms, acquire, release
+from grebestack.consensus.lease import FREE, Fence, Lease, LeaseParticipant, LeaseTerms, acquire, release
 from grebestack.consensus.register import (
     NO_BALLOT,
     AcceptorResponse,
@@ -30,7 +30,7 @@
 def test_in_every_state_within_the_bound_at_most_one_may_act(start: str, end: int) -> None:
     found = explore(Model("", start, end), 60_000)
     print(f"states={found.states}")
-    assert found.whole and not found.wrong, found.trace
+    assert found.is_complete and not found.violation, found.trace
     assert found.states > 2000
 
 
@@ -48,20 +48,20 @@
 ) -> None:
     found = explore(Model(variant, start, 3, (1, 1), crashes), 60_000)
     print("\n".join(found.trace))
-    assert found.wrong == wrong and 4 < len(found.trace) < 16
+    assert found.violation == wrong and 4 < len(found.trace) < 16
 
 
 def test_an_asking_that_was_thought_lost_is_not_taken_for_the_next() -> None:
     # Guards the wait of a rival that has seen the lost asking on a disk for a term while the next one, which
     # was asked for later, has just come into force.
     terms = LeaseTerms(term_ms=1000.0, guard_ms=0.0)
-    held = LeaseHolder(
+    held = LeaseParticipant(
         "a", 1, terms, has_observed=True, observed=Lease("a", 1, 1, 1), proposal_count=1, valid_until_ms=900.0
     )
     asking, lost = held.propose(400.0)
     assert lost is not None
     orphan = lost(held.observed)
-    rival = LeaseHolder("b", 1, terms, has_observed=True).observe(410.0, orphan)
+    rival = LeaseParticipant("b", 1, terms, has_observed=True).observe(410.0, orphan)
     again, change = asking.on_failed(500.0).propose(890.0)
     assert change is not None
     inforce = change(held.observed)
@@ -76,7 +76,7 @@
     terms = LeaseTerms(term_ms=1000.0)
     mine = Lease("a", 1, 4, 7)
     asking, _ = replace(
-        LeaseHolder("a", 1, terms), has_observed=True, observed=mine, proposal_count=7
+        LeaseParticipant("a", 1, terms), has_observed=True, observed=mine, proposal_count=7
     ).propose(5000.0)
     assert asking.on_chosen(5010.0, mine, mine).valid_token(5011.0) is None
     assert asking.on_chosen(5010.0, mine, structs.replace(mine, proposal_number=8)).valid_token(5011.0) == 4
@@ -84,7 +84,7 @@
 
 def test_a_former_life_of_the_same_member_holds_nothing_and_is_waited_for() -> None:
     terms = LeaseTerms(term_ms=1000.0)
-    anew = LeaseHolder("a", 2, terms).observe(100.0, Lease("a", 1, 3, 1))
+    anew = LeaseParticipant("a", 2, terms).observe(100.0, Lease("a", 1, 3, 1))
     assert anew.valid_token(101.0) is None and anew.due_ms() == 100.0 + terms.takeover_ms
 
 
@@ -93,7 +93,7 @@
     free = release(held)(held)
     assert free.holder == "" and acquire(Lease("b", 1, 0, 1), FREE)(free) == Lease("b", 1, 4, 1)
     handed = release(held, "b")(held)
-    named, other = (LeaseHolder(name, 1, LeaseTerms()).observe(0.0, handed) for name in ("b", "c"))
+    named, other = (LeaseParticipant(name, 1, LeaseTerms()).observe(0.0, handed) for name in ("b", "c"))
     assert named.due_ms() == 0.0 and named.valid_token(0.0) is None and other.due_ms() > 4000.0
     assert release(held)(Lease("b", 1, 4, 1)) == Lease("b", 1, 4, 1)
 
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong", [{"term_ms": 0.0}, {"max_clock_drift": 0.5}, {"renew_at": 1.0}, {"guard_ms": 3000.0}]
+    "wrong", [{"term_ms": 0.0}, {"max_clock_drift": 0.5}, {"renew_fraction": 1.0}, {"guard_ms": 3000.0}]
 )
 def test_terms_that_can_t_hold_are_turned_down(wrong: dict[str, float]) -> None:
     with pytest.raises(ValueError, match="out of range|guard_ms"):
@@ -122,7 +122,7 @@
         self.disks = [AcceptorState() for _ in range(5)]
         self.rates = rates
         self.offsets = [self.random.uniform(0, 1e6) for _ in rates]
-        self.holders = [LeaseHolder(f"m{i}", 1, self.TERMS, rank=i) for i in range(3)]
+        self.holders = [LeaseParticipant(f"m{i}", 1, self.TERMS, rank=i) for i in range(3)]
         self.rounds: list[Round | None] = [None] * 3
         self.ballots = [Ballot(0, f"m{i}", 1) for i in range(3)]
         self.paused_until = [0.0] * 3
@@ -209,7 +209,7 @@
             self.paused_until[i] = self.now + self.random.uniform(100, 3000)
         elif what == 1:
             life = self.holders[i].process_incarnation + 1
-            self.holders[i] = LeaseHolder(f"m{i}", life, self.TERMS, rank=i)
+            self.holders[i] = LeaseParticipant(f"m{i}", life, self.TERMS, rank=i)
             self.rounds[i] = None
             self.ballots[i] = Ballot(self.ballots[i].number, f"m{i}", life)
         elif what == 2:
--- a/tests/test_member_removal.py
+++ b/tests/test_member_removal.py
@@ -30,6 +30,6 @@
     assert not refused.succeeded and "waits to hear" in refused.text
     for name in ("b", "c"):
         replica.on_connected(10.0, Handshake(2, "f", name, "1", 1, 1, {}))
-    assert replica.acceptor.may_vote and not replica.membership.removed
+    assert replica.acceptor.may_vote and not replica.membership.pending_removals
     accepted = ClusterMember.remove_member(cast(ClusterMember, member), "c")
-    assert accepted.succeeded and replica.membership.removed == {"c"}
+    assert accepted.succeeded and replica.membership.pending_removals == {"c"}
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -71,8 +71,8 @@
 def test_every_set_of_confirming_members_includes_a_witness_of_each_vote(count: int) -> None:
     # Guards against a restart that is confirmed only by members which have not heard of a lost vote.
     config, others = config_of(count), NAMES[1:count]
-    for witnesses in combinations(others, config.witness_count):
-        for confirming in combinations(others, config.confirmation_count):
+    for witnesses in combinations(others, config.required_witnesses):
+        for confirming in combinations(others, config.required_confirmations):
             assert set(witnesses) & set(confirming) or count == 1
 
 
