--- a/grebestack/cluster_tasks/__init__.py
+++ b/grebestack/cluster_tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks that one member does for the cluster under a lease. Pure: events in, actions out."""
+"""Tasks that one member performs for the cluster under a lease. No I/O: events in, actions out."""
--- a/grebestack/cluster_tasks/metrics_export.py
+++ b/grebestack/cluster_tasks/metrics_export.py
@@ -1,8 +1,8 @@
-"""Export of the cluster's counters: the lease holder collects and exports them under its fencing token. Pure.
+"""Metrics export: the lease holder collects the cluster's counters and exports them under its token. No I/O.
 
-An export that a holder did not finish is begun again by the next holder. Counters only grow within a process
-incarnation, so nothing but the moment is lost. The receiver of the exports takes them in the order of their
-tokens and, within one token, of their numbers.
+If a holder does not finish an export, the next holder begins a new one. Counters only increase within a
+process incarnation, so no counts are lost, only their values at that moment. The receiver orders the exports
+by token and, within one token, by number.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 import msgspec
 
-COLLECTION_TIMEOUT_MS = 400.0  # members that have not responded by then are named as missing
+COLLECTION_TIMEOUT_MS = 400.0  # members that have not responded by then are listed as missing
 
 
 class CountersRequest(msgspec.Struct, array_like=True, tag="ask"):
-    """Requests a member's counters for the export of this number."""
+    """Requests a member's counters for the export with this number."""
 
     number: int
 
 
 class CountersResponse(msgspec.Struct, array_like=True, tag="counts"):
-    """A member's counters since its start."""
+    """A member's counters since its process started."""
 
     number: int
     process_incarnation: int
@@ -52,7 +52,7 @@
     Raises
     ------
     msgspec.DecodeError
-        The data is no message of this task.
+        The data is not a message of this task.
     """
     return _decoder.decode(data)
 
@@ -64,26 +64,26 @@
     number: int
     token: int
     deadline_ms: float
-    expected: frozenset[str]  # members that are connected
+    expected: frozenset[str]  # connected members, whose responses are awaited
     members: frozenset[str]
     counters: dict[str, dict[str, int]] = field(default_factory=dict)  # by member
 
     def is_finished(self, now_ms: float) -> bool:
-        """Tell whether the export is due, complete or not."""
+        """Return whether the export is due, complete or not."""
         return now_ms >= self.deadline_ms or self.expected <= set(self.counters)
 
 
 class CountersCollector:
-    """One member's part in the task.
+    """One member's part in the metrics export.
 
     Parameters
     ----------
     interval_ms
-        Time between two exports.
+        Time between exports.
     """
 
     def __init__(self, cluster: str, task: str, name: str, interval_ms: float) -> None:
-        """Begin without the lease."""
+        """Initialize without the lease."""
         self.cluster, self.task, self.name, self.interval_ms = cluster, task, name, interval_ms
         self.number = 0
         self.token: int | None = None
@@ -99,7 +99,7 @@
         members: frozenset[str],
     ) -> bool:
         """Begin a collection if it is due under this token; return whether to request counters now."""
-        if token != self.token:  # a new holder exports at once, and numbers its exports from 1
+        if token != self.token:  # a new holder exports immediately and numbers its exports from 1
             self.token, self.number, self.next_export_ms, self.collection = token, 0, now_ms, None
         if token is None or self.collection is not None or now_ms < self.next_export_ms:
             return False
@@ -111,12 +111,12 @@
         return True
 
     def on_response(self, name: str, response: CountersResponse) -> None:
-        """Handle a member's counters; those for another export are late and ignored."""
+        """Handle a member's counters; late ones, for another export, are ignored."""
         if self.collection is not None and response.number == self.collection.number:
             self.collection.counters[name] = response.counters
 
     def take_export(self, now_ms: float) -> Export | None:
-        """Return the export that is due, if any. The caller checks its token again as it sends it."""
+        """Return the export that is due, if any. The caller must check the token again before sending it."""
         if self.collection is None or not self.collection.is_finished(now_ms):
             return None
         finished, self.collection = self.collection, None
--- a/grebestack/cluster_tasks/rolling_restart.py
+++ b/grebestack/cluster_tasks/rolling_restart.py
@@ -1,9 +1,9 @@
-"""A rolling restart of the cluster, one member at a time, coordinated by the lease holder. Pure.
+"""A rolling restart of the cluster, one member at a time, coordinated by the lease holder. No I/O.
 
-The progress is a register (`RestartPlan`), so that the next holder continues where the last one stopped. A
-step is written to the register before its member is requested to restart, and is over once that member is
-ready in another process incarnation. No member is requested to restart while another is away. A member that
-does not come back in time stops the whole restart.
+The progress is stored in a register (`RestartPlan`), so that the next holder continues where the last one
+stopped. A step is written to the register before its member is requested to restart, and is complete once
+that member is ready in another process incarnation. No member is requested to restart while another is not
+ready. If a member does not become ready again in time, the whole restart is stopped.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from grebestack.consensus.register import Change, Value
 
 REGISTER = "plan/restart"
-RETRY_INTERVAL_MS = 400.0  # of proposals and of requests to restart
-IN_PROGRESS, DONE, STOPPED = "goes on", "done", "stopped"  # the states of a plan, as they are stored
+RETRY_INTERVAL_MS = 400.0  # of proposals and restart requests
+IN_PROGRESS, DONE, STOPPED = "goes on", "done", "stopped"  # the stored values of `RestartPlan.state`
 
 
 class MemberState(Struct, array_like=True, tag="state"):
-    """A member's report of its process incarnation, and of whether it is ready for clients."""
+    """A member's report: its process incarnation, and whether it is ready for clients."""
 
     process_incarnation: int
     is_ready: bool
 
 
 class RestartRequest(Struct, array_like=True, tag="go"):
-    """Requests a member to restart if it runs in this process incarnation."""
+    """Requests a member to restart if it still runs in this process incarnation."""
 
     number: int
     token: int
@@ -46,21 +46,21 @@
     Raises
     ------
     msgspec.DecodeError
-        The data is no message of this task.
+        The data is not a message of this task.
     """
     return _decoder.decode(data)
 
 
 @dataclass(frozen=True, slots=True)
 class ProposePlan:
-    """Propose a change of the plan's register, or read it; then call `on_proposal_ended`."""
+    """Propose a change or a read of the plan's register, then call `on_proposal_ended`."""
 
     change: Change
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRestart:
-    """Send a member the request to restart."""
+    """Send a restart request to a member."""
 
     name: str
     request: RestartRequest
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverLease:
-    """Hand the lease over to another member: the holder itself restarts last."""
+    """Hand the lease over to another member, so that it can restart this one last."""
 
     to: str
 
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedState:
-    """The last report of a member, and when it came."""
+    """A member's last report and the time of its arrival."""
 
     state: MemberState
     received_ms: float
@@ -86,14 +86,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartTimes:
-    """The times of a rolling restart.
+    """The durations of a rolling restart.
 
     Parameters
     ----------
     return_timeout_ms
-        For how long a step may take, or a member that is away be awaited.
+        How long a step may take, and how long to wait for a member that is not ready.
     pause_ms
-        Between two members.
+        Time between a member's return and the restart of the next one.
     state_ttl_ms
         The age at which a member's report expires.
     """
@@ -104,7 +104,7 @@
 
 
 def begin_restart(requested_by: str, names: tuple[str, ...]) -> Change:
-    """Begin a restart, unless one is in progress."""
+    """Return the change that begins a restart unless one is in progress."""
 
     def change(value: Value) -> Value:
         if isinstance(value, RestartPlan) and value.state == IN_PROGRESS:
@@ -116,7 +116,7 @@
 
 
 def stop_restart(reason: str, number: int = 0) -> Change:
-    """Stop the restart in progress, or only if it has this number."""
+    """Return the change that stops the restart in progress; with a number, only the restart with it."""
 
     def change(value: Value) -> Value:
         if not isinstance(value, RestartPlan) or value.state != IN_PROGRESS:
@@ -133,21 +133,21 @@
 
 
 class RestartCoordinator:
-    """One member's part in the task: it acts only while it holds the lease."""
+    """One member's part in the rolling restart: it acts only while it holds the lease."""
 
     def __init__(self, name: str, times: RestartTimes, now_ms: float) -> None:
-        """Begin without the lease."""
+        """Initialize without the lease."""
         self.name, self.times = name, times
         self.token: int | None = None
-        self.plan: RestartPlan | None = None  # when it was last read or changed
+        self.plan: RestartPlan | None = None  # as last read or changed
         self.has_read = False
         self.is_proposing = False
         self.next_action_ms = now_ms
-        self.waiting_since_ms = now_ms  # when the present wait of this holder began
+        self.waiting_since_ms = now_ms  # when this holder's current wait began
         self.pause_until_ms = now_ms
 
     def tick(self, now_ms: float, token: int | None, states: Mapping[str, ReceivedState]) -> list[Action]:
-        """Take the next step under this token, if any is due."""
+        """Return the actions that are due under this token."""
         if token != self.token:
             self.token, self.has_read, self.is_proposing = token, False, False
             self.next_action_ms = self.waiting_since_ms = self.pause_until_ms = now_ms
@@ -158,7 +158,7 @@
             return self._propose(lambda value: value)
         plan = self.plan
         if plan is None or plan.state != IN_PROGRESS:
-            self.has_read = False  # an operator may begin a restart
+            self.has_read = False  # read it again next time: an operator may begin a restart
             return []
         ready = self._ready_members(now_ms, states)
         if plan.restarting:
@@ -175,15 +175,15 @@
     def _begin_step(
         self, now_ms: float, plan: RestartPlan, states: Mapping[str, ReceivedState], ready: set[str]
     ) -> list[Action]:
-        """Choose the next member once all are ready and the pause is over."""
-        left = [name for name in plan.members if name not in plan.restarted]
-        if not left:
+        """Begin the next member's restart once all members are ready and the pause is over."""
+        remaining = [name for name in plan.members if name not in plan.restarted]
+        if not remaining:
             return self._propose(_replace(plan, structs.replace(plan, state=DONE)))
-        if away := [name for name in plan.members if name not in ready]:
-            return self._stop_if_late(now_ms, plan, f"{', '.join(away)} not ready")
+        if not_ready := [name for name in plan.members if name not in ready]:
+            return self._stop_if_late(now_ms, plan, f"{', '.join(not_ready)} not ready")
         if now_ms < self.pause_until_ms:
             return []
-        others = [name for name in left if name != self.name]
+        others = [name for name in remaining if name != self.name]
         if not others:
             return self._hand_over_lease(plan)
         incarnation = states[others[0]].state.process_incarnation
@@ -191,7 +191,7 @@
         return self._propose(_replace(plan, step))
 
     def _hand_over_lease(self, plan: RestartPlan) -> list[Action]:
-        """Hand the lease over to any other member, since only this one is left to restart."""
+        """Hand the lease over to any other member, since only this one remains to be restarted."""
         others = [name for name in plan.members if name != self.name]
         return [HandOverLease(others[0])] if others else []
 
@@ -203,7 +203,7 @@
         received: ReceivedState | None,
         ready: set[str],
     ) -> list[Action]:
-        """Request the member to restart until it is back."""
+        """Repeat the request to the restarting member, or end the step once it is ready again."""
         name = plan.restarting
         has_same_incarnation = (
             received is not None and received.state.process_incarnation == plan.process_incarnation
@@ -222,8 +222,8 @@
     def _stop_if_late(self, now_ms: float, plan: RestartPlan, reason: str) -> list[Action]:
         if now_ms - self.waiting_since_ms < self.times.return_timeout_ms:
             return []
-        late = f"{reason} within {self.times.return_timeout_ms / 1000.0:g} s"
-        return self._propose(stop_restart(late, plan.number))
+        full_reason = f"{reason} within {self.times.return_timeout_ms / 1000.0:g} s"
+        return self._propose(stop_restart(full_reason, plan.number))
 
     def _propose(self, change: Change) -> list[Action]:
         self.is_proposing = True
@@ -245,11 +245,11 @@
 
 
 def describe_plan(plan: RestartPlan | None) -> str:
-    """Return a plan as a text for operators."""
+    """Return a plan as text for operators."""
     if plan is None:
         return "no restart"
-    progress = f"{len(plan.restarted)} of {len(plan.members)} are back"
+    progress = f"{len(plan.restarted)} of {len(plan.members)} have restarted"
     text = f"restart {plan.number} by {plan.requested_by} {plan.state}: {progress}"
     if plan.restarting:
-        text += f", {plan.restarting} is away"
+        text += f", {plan.restarting} is restarting"
     return f"{text} ({plan.reason})" if plan.reason else text
--- a/grebestack/cluster_tasks/shared_discovery.py
+++ b/grebestack/cluster_tasks/shared_discovery.py
@@ -1,10 +1,10 @@
-"""Shared discovery: the lease holder reads an expensive source of workers, the others follow it. Pure.
+"""Shared discovery: the lease holder reads an expensive source of workers, and the other members follow it.
 
-The holder reads its source and sends lists and changes. Its messages carry its fencing token and a number; a
-message with a lower token than was seen is ignored. A member follows a holder only while it receives its
-heartbeats and they report a healthy source; otherwise it reads its own source. Until then the last list stays
-in force: a list is replaced by the next complete one, never emptied. A holder whose source has not responded
-for long releases the lease.
+The holder reads its source and sends lists and changes. Its messages carry its fencing token and a number;
+messages with a lower token than the highest one seen are ignored. A member follows a holder only while it
+receives its heartbeats and they report a healthy source; otherwise it reads its own source. Meanwhile the
+last list stays in force: a list is replaced by the next complete one, never emptied. A holder whose source
+has not responded for `SharingTimes.source_timeout_ms` releases the lease. No I/O.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 MAX_PART_BYTES = 200_000  # of the entries in one message
 ENTRY_OVERHEAD_BYTES = 16
-FALLBACK_STAGGER_MS = 50.0  # by rank: members that stop following don't all read at once
+FALLBACK_STAGGER_MS = 50.0  # per rank: members that stop following do not all read at once
 
 
 class ListEntry(Struct, frozen=True, array_like=True):
-    """One worker by name, with the data that the caller encodes; without data: it is gone."""
+    """A worker's name and the data that the caller encodes; empty data: the worker is no longer listed."""
 
     name: str
     data: bytes
 
 
 class Heartbeat(Struct, array_like=True, tag="beat"):
-    """The holder's heartbeat: the number of its last change, and whether its source responds."""
+    """The holder's heartbeat: the number of its last change, and whether its source is healthy."""
 
     token: int
     number: int
@@ -35,16 +35,16 @@
 
 
 class ListPart(Struct, array_like=True, tag="part"):
-    """A part of a list or of changes to it. The last of `parts` puts it in force."""
+    """One part of a list or of changes to it, which are applied when the last of `parts` has arrived."""
 
     token: int
     number: int
     source: int  # the index of the source
-    is_complete_list: bool  # else changes
+    is_complete_list: bool  # false: changes to the list
     part: int  # counted from 1
     parts: int
     entries: tuple[ListEntry, ...]
-    is_resync: bool = False  # one of the lists of all sources, which replace all that was sent before
+    is_resync: bool = False  # in response to `ResyncRequest`: replaces all that was sent before
 
 
 class ResyncRequest(Struct, array_like=True, tag="again"):
@@ -62,7 +62,7 @@
     Raises
     ------
     msgspec.DecodeError
-        The data is no message of this task.
+        The data is not a message of this task.
     """
     return _decoder.decode(data)
 
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadSource:
-    """Begin to read the own source, or stop."""
+    """Begin or stop reading the own source."""
 
     enabled: bool
 
@@ -93,12 +93,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmLists:
-    """The holder's source has responded and nothing has changed."""
+    """Note that the lists are still up to date: the holder's source is healthy and nothing has changed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseLease:
-    """The own source does not respond: another member is to hold the lease."""
+    """Release the lease, since the own source does not respond."""
 
 
 Action = SendMessage | ReadSource | UpdateList | ConfirmLists | ReleaseLease
@@ -106,18 +106,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SharingTimes:
-    """The times of shared discovery.
+    """The durations of shared discovery.
 
     Parameters
     ----------
     heartbeat_interval_ms
-        Of the holder's heartbeats.
+        Time between the holder's heartbeats.
     holder_timeout_ms
-        After this silence a holder is not followed any more.
+        A holder is no longer followed after this time without messages from it.
     first_holder_timeout_ms
-        For how long a member without a holder waits for one before it reads its own source.
+        How long a member that follows no holder waits for one before it reads its own source.
     source_timeout_ms
-        After this silence a source is not healthy, and a holder releases the lease.
+        After this time without a response a source is not healthy, and a holder releases the lease.
     """
 
     heartbeat_interval_ms: float = 700.0
@@ -128,26 +128,26 @@
 
 @dataclass(slots=True)
 class SharedDiscovery:
-    """One member's part in the task, for the lists of all its sources."""
+    """One member's part in shared discovery, for the lists of all its sources."""
 
     source_count: int
-    holder_last_seen_ms: float  # when the holder was last heard, or since when one is awaited
+    holder_last_seen_ms: float  # of the holder's last message, or when the wait for a holder began
     times: SharingTimes = field(default_factory=SharingTimes)
     rank: int = 0
     reads_source: bool = False
-    token: int | None = None  # of the lease held here
+    token: int | None = None  # the fencing token, while this member holds the lease
     lists: dict[int, dict[str, ListEntry]] = field(default_factory=dict)  # by source and worker
-    number: int = 0  # of the last change that was sent, or received from the holder
+    number: int = 0  # of the last change sent, or received from the holder
     highest_token: int = 0
-    holder: str = ""  # the member that is followed
-    is_current: bool = False  # whether all that the holder has sent is here
-    received_entries: list[ListEntry] = field(default_factory=list)  # of a list with parts to come
-    source_healthy_ms: float | None = None  # when the own source last responded
+    holder: str = ""  # the member that is followed; empty: none
+    is_current: bool = False  # whether all changes that the holder has sent were received
+    received_entries: list[ListEntry] = field(default_factory=list)  # of an incomplete list
+    source_responded_ms: float | None = None  # when the own source last responded
     next_heartbeat_ms: float = 0.0
     lease_since_ms: float = 0.0
 
     def tick(self, now_ms: float, token: int | None) -> list[Action]:
-        """Do what is due under this token."""
+        """Carry out the work that is due under this token."""
         if token != self.token:
             self._on_token_changed(now_ms, token)
         if token is not None:
@@ -172,18 +172,18 @@
             self.next_heartbeat_ms = now_ms + self.times.heartbeat_interval_ms
             heartbeat = Heartbeat(token, self.number, self.is_source_healthy(now_ms))
             actions.append(_send("", heartbeat))
-        silent_since_ms = max(self.source_healthy_ms or 0.0, self.lease_since_ms)
-        if now_ms - silent_since_ms > self.times.source_timeout_ms:
+        unresponsive_since_ms = max(self.source_responded_ms or 0.0, self.lease_since_ms)
+        if now_ms - unresponsive_since_ms > self.times.source_timeout_ms:
             self.lease_since_ms = now_ms
             actions.append(ReleaseLease())
         return actions
 
     def is_source_healthy(self, now_ms: float) -> bool:
-        """Tell whether the own source is read and has responded in time."""
-        healthy_ms = self.source_healthy_ms
-        if not self.reads_source or healthy_ms is None:
+        """Return whether the own source is read and has responded within its timeout."""
+        responded_ms = self.source_responded_ms
+        if not self.reads_source or responded_ms is None:
             return False
-        return now_ms - healthy_ms <= self.times.source_timeout_ms
+        return now_ms - responded_ms <= self.times.source_timeout_ms
 
     def _read_source(self, enabled: bool) -> list[Action]:
         if self.reads_source is enabled:
@@ -194,18 +194,18 @@
     # Events of the own source.
 
     def on_source_responded(self, now_ms: float) -> None:
-        """Note that the own source has responded, changed or not."""
-        self.source_healthy_ms = now_ms
+        """Handle a response of the own source, with or without changes."""
+        self.source_responded_ms = now_ms
 
     def on_source_failed(self) -> None:
-        """Note that the own source did not respond."""
-        self.source_healthy_ms = None
+        """Handle a failure of the own source to respond."""
+        self.source_responded_ms = None
 
     def on_source_update(
         self, now_ms: float, source: int, is_complete_list: bool, entries: Iterable[ListEntry]
     ) -> list[Action]:
-        """Handle a list or changes from the own source: the holder sends it to the others."""
-        self.source_healthy_ms = now_ms
+        """Handle a list or changes from the own source: the holder sends them to the others."""
+        self.source_responded_ms = now_ms
         entries = tuple(entries)
         self._apply(source, is_complete_list, entries)
         if self.token is None:
@@ -245,10 +245,10 @@
             for index, part in enumerate(parts, 1)
         ]
 
-    # Messages of other members.
+    # Messages from other members.
 
     def on_message(self, now_ms: float, name: str, message: Message) -> list[Action]:
-        """Handle a message; those of a former holder are ignored."""
+        """Handle a message; messages of a former holder are ignored."""
         if isinstance(message, ResyncRequest):
             return self._on_resync_request(name)
         if message.token < self.highest_token or self.token is not None:
@@ -301,7 +301,7 @@
 
 
 def _split(entries: Sequence[ListEntry]) -> list[list[ListEntry]]:
-    """Split entries into the parts of messages; there is one part at least."""
+    """Split entries into parts that fit into messages; there is at least one part."""
     parts: list[list[ListEntry]] = [[]]
     size_bytes = 0
     for entry in entries:
--- a/grebestack/consensus/__init__.py
+++ b/grebestack/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus of dispatchers: registers that a quorum keeps, membership epochs, leases. Pure."""
+"""Consensus between dispatchers: replicated registers, membership epochs and leases. No I/O, no clock."""
--- a/grebestack/consensus/acceptor.py
+++ b/grebestack/consensus/acceptor.py
@@ -1,14 +1,15 @@
-"""The acceptor of one member: what it promises and accepts, and when it may vote. Pure.
-
-A response leaves only when all that was written before it is durable: another member may rely on it at once,
-and this one must not forget it in a crash. A vote leaves only when its receiver makes the last of its
-witnesses (see `witnesses`). An acceptor votes only while its disk can be trusted:
-
-- with a new disk it does not vote until a membership counts it under its new disk incarnation;
-- after a start it first learns which of its log records others have seen reported, from so many that a
-  witness of each vote is among them: one that knows of a later record than the disk holds shows that the disk
-  has lost some or is an old copy;
-- once a write or sync has failed, nothing on that disk is trusted again.
+"""The acceptor of one member: its promises and accepted values, and when it may vote. No I/O, no clock.
+
+A response is sent only when all records written before it are durable: another member may rely on it at once,
+so a crash must not lose it. A vote (a response to `Prepare`, `Accept` or `StopVoting`) is sent only when
+enough other members, its receiver included, will know of its record (see `witnesses`). An acceptor votes only
+while its log is known to be complete:
+
+- with a new disk it does not vote until the membership lists it with its new disk incarnation;
+- after a start it first compares its log with the last record that other members know of, and waits for
+  enough of them that a witness of each vote is included. If one knows of a later record than the log holds,
+  the disk has lost records or is an old copy;
+- once a write or sync has failed, the disk's contents are not used again.
 """
 
 from __future__ import annotations
@@ -57,10 +58,10 @@
     record: int
     to: str
     message: Message
-    required_witnesses: int  # others than its receiver that must have heard of the record
+    required_witnesses: int  # besides its receiver: members that must know of the record
 
     def is_superseded_by(self, newer: _PendingResponse) -> bool:
-        """Whether the receiver has no use for this response once there is a newer one."""
+        """Whether the receiver does not need this response once there is a newer one."""
         mine, other = self.message, newer.message
         if self.to != newer.to or type(mine) is not type(other):
             return False
@@ -72,10 +73,10 @@
 
 
 class Acceptor:
-    """The acceptor of one member. Its actions must be carried out in order."""
+    """The acceptor of one member. The caller must carry out its actions in order."""
 
     def __init__(self, name: str, state: RecoveredState, last_record: int) -> None:
-        """Begin with the state of a log, whose last record is `last_record`."""
+        """Initialize from the state of a log whose last record is `last_record`."""
         self.name, self.state = name, state
         self.last_record = last_record  # written
         self.synced_record = last_record  # durable
@@ -83,9 +84,9 @@
         self.pending: list[_PendingResponse] = []
         self.witnesses = RecordWitnesses()
         self.is_confirmed = False  # whether other members have confirmed the disk since the start
-        self.confirming_peers: set[str] = set()  # that have been connected since the start
-        self.is_new_disk = False  # this process has begun the log, so that the disk has lost nothing
-        self.disk_fault = ""  # why nothing on the disk is trusted
+        self.confirming_peers: set[str] = set()  # members that have connected since the start
+        self.is_new_disk = False  # whether this process created the log, which then cannot lack records
+        self.disk_fault = ""  # why the log cannot be used; empty: it can
         self.handlers: dict[type[Message], Callable[[Peer, Any], list[Action]]] = {
             Prepare: self._on_prepare,
             Accept: self._on_accept,
@@ -96,25 +97,25 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether the membership counts this member under its disk incarnation."""
+        """Whether the membership lists this member with its disk incarnation."""
         return self.state.config.is_voter(self.name, self.state.disk_incarnation)
 
     @property
     def may_vote(self) -> bool:
-        """Whether it responds to `Prepare` and `Accept`."""
-        return self._is_trusted_voter and self.state.next_config is None
+        """Whether this acceptor responds to `Prepare` and `Accept`."""
+        return self._is_confirmed_voter and self.state.next_config is None
 
     @property
-    def _is_trusted_voter(self) -> bool:
-        """Whether it is a voter whose disk has lost no vote of the present epoch."""
-        is_trusted = self.is_confirmed and not self.disk_fault and self._has_enough_confirmations
-        return is_trusted and self.is_voter
+    def _is_confirmed_voter(self) -> bool:
+        """Whether this member is a voter whose log is known to hold all its votes of the current epoch."""
+        is_log_complete = self.is_confirmed and not self.disk_fault and self._has_enough_confirmations
+        return is_log_complete and self.is_voter
 
     @property
     def _has_enough_confirmations(self) -> bool:
-        """Whether a witness of each vote in the present epoch is among the confirming members.
+        """Whether a witness of each vote in the current epoch is among the confirming members.
 
-        It may have confirmed its disk in an earlier epoch, which had fewer members.
+        The disk may have been confirmed in an earlier epoch, which required fewer confirmations.
         """
         config = self.state.config
         others = config.names() - {self.name}
@@ -122,7 +123,7 @@
 
     @property
     def reported_record(self) -> int:
-        """The log record to report to others: the recovered one until others have confirmed the disk."""
+        """The log record to report to others: until they have confirmed the disk, the last recovered one."""
         return self.synced_record if self.is_confirmed else self.recovered_record
 
     def describe(self) -> str:
@@ -132,11 +133,11 @@
         if not self.is_voter:
             return "out: asks to be admitted"
         if not (self.is_confirmed and self._has_enough_confirmations):
-            return "waits to hear how far others have heard it"
-        return "changes the set" if self.state.next_config is not None else "votes"
+            return "waits for other members to confirm its disk"
+        return "changes the membership" if self.state.next_config is not None else "votes"
 
     def start(self) -> list[Action]:
-        """Record the start of a process."""
+        """Write a record of the process's start."""
         return self._write(ProcessStarted(self.state.start_count + 1))
 
     def _write(self, record: LogRecord) -> list[Action]:
@@ -144,63 +145,63 @@
         self.last_record += 1
         return [Write(record)]
 
-    # Responses that wait.
+    # Pending responses.
 
     def _send_vote(self, to: str, message: Message) -> list[Action]:
-        """Send a vote once its record is durable and, with the receiver, has all its witnesses."""
+        """Send a vote once its record is durable and has all its witnesses; the receiver may be one."""
         config = self.state.config
         is_witness = to != self.name and to in config.names()
         return self._send_when_ready(to, message, config.required_witnesses - is_witness)
 
     def _send_when_ready(self, to: str, message: Message, required_witnesses: int) -> list[Action]:
-        """Send a response once all records that it may depend on are durable and witnessed."""
+        """Send a response once all records written so far are durable and have enough witnesses."""
         response = _PendingResponse(self.last_record, to, message, required_witnesses)
-        if self._may_leave(response):
+        if self._can_send(response):
             return [Send(to, message)]
-        self.pending = [former for former in self.pending if not former.is_superseded_by(response)]
+        self.pending = [earlier for earlier in self.pending if not earlier.is_superseded_by(response)]
         self.pending.append(response)
         return self._request_witnesses()
 
-    def _may_leave(self, response: _PendingResponse) -> bool:
+    def _can_send(self, response: _PendingResponse) -> bool:
         if response.record > self.synced_record:
             return False
         others = self.state.config.names() - {self.name, response.to}
         return self.witnesses.count(response.record, others) >= response.required_witnesses
 
-    def _release(self) -> list[Action]:
-        """Send the responses that need not wait any longer."""
-        ready = [response for response in self.pending if self._may_leave(response)]
+    def _send_ready_responses(self) -> list[Action]:
+        """Send the pending responses that can be sent now."""
+        ready = [response for response in self.pending if self._can_send(response)]
         if ready:
-            self.pending = [response for response in self.pending if not self._may_leave(response)]
+            self.pending = [response for response in self.pending if not self._can_send(response)]
         sends = [Send(response.to, response.message) for response in ready]
         return [*sends, *self._request_witnesses()]
 
     def _request_witnesses(self) -> list[Action]:
-        """Send heartbeats, whose responses show that others have heard of the records in question."""
+        """Send heartbeats; their responses show that other members know of the pending records."""
         durable = [r.record for r in self.pending if r.record <= self.synced_record]
         if not durable:
             return []
         others = self.state.config.names() - {self.name}
-        return [Send(name, Heartbeat()) for name in self.witnesses.members_to_ask(max(durable), others)]
+        return [Send(name, Heartbeat()) for name in self.witnesses.members_to_notify(max(durable), others)]
 
     # Events of connections.
 
     def on_disconnected(self, name: str) -> None:
-        """Handle the end of a connection: its member asks again when it is connected."""
+        """Handle the end of a connection; the member repeats its requests when it connects again."""
         self.witnesses.on_disconnected(name)
         self.pending = [response for response in self.pending if response.to != name]
 
     def on_heartbeat_response(self, name: str) -> list[Action]:
-        """Handle the response to a heartbeat: its sender has heard of the record that went with it."""
+        """Handle the response to a heartbeat: its sender knows of the record sent with the heartbeat."""
         self.witnesses.on_heartbeat_response(name)
-        return self._release()
+        return self._send_ready_responses()
 
     # Events of the disk.
 
     def on_synced(self, last_record: int) -> list[Action]:
-        """Handle the sync of all records up to this one."""
+        """Handle a completed sync of all records up to this one."""
         self.synced_record = max(self.synced_record, last_record)
-        return self._release()
+        return self._send_ready_responses()
 
     def on_disk_fault(self, reason: str) -> list[Action]:
         """Handle a disk that has failed or has lost records."""
@@ -211,15 +212,15 @@
         return [LogMessage("fleet_disk_doubted", {"why": reason}), ReplaceDisk(reason)]
 
     def compact(self) -> list[LogRecord]:
-        """Return the records that replace the log so far; they continue its sequence numbers."""
+        """Return the records that replace the present log; their sequence numbers continue from it."""
         records = self.state.compacted_records()
         self.last_record += len(records)
         return records
 
     def on_disk_replaced(self, cluster: str, disk_incarnation: str, config: MembershipConfig) -> list[Action]:
-        """Handle an empty log under a new disk incarnation.
+        """Begin an empty log with a new disk incarnation.
 
-        The membership and the count of starts are kept; votes are not.
+        The membership and the start count are kept; votes are not.
         """
         start_count = max(1, self.state.start_count)
         self.state = RecoveredState()
@@ -237,25 +238,30 @@
     # Confirmation of the disk.
 
     def on_handshake(self, handshake: Handshake) -> list[Action]:
-        """Compare the disk with the log record that a member has seen reported."""
-        incarnation, heard = handshake.log_positions.get(self.name, ("", 0))
+        """Compare the log with the last record of it that a connecting member knows of."""
+        incarnation, reported = handshake.log_positions.get(self.name, ("", 0))
         if incarnation != self.state.disk_incarnation:
-            heard = 0
-        # At the first contact it can only have heard of records that were durable before the start.
+            reported = 0
+        # At the first contact it can only know of records that were durable before the start. Records written
+        # since then must not make up for lost ones.
         is_first_contact = handshake.name not in self.confirming_peers
-        known = self.recovered_record if is_first_contact else self.last_record
-        if heard > known:
+        last_expected = self.recovered_record if is_first_contact else self.last_record
+        if reported > last_expected:
             return self.on_disk_fault(
-                f"{handshake.name} has heard of record {heard}, the disk ends at {known}"
+                f"{handshake.name} knows of record {reported}, the log ends at {last_expected}"
             )
-        self.witnesses.on_connected(handshake.name, heard)
+        self.witnesses.on_connected(handshake.name, reported)
         self.confirming_peers.add(handshake.name)
-        return [*self.check_confirmation(), *self._release()]
+        return [*self.check_confirmation(), *self._send_ready_responses()]
 
     def check_confirmation(self) -> list[Action]:
-        """Trust the disk once enough others have confirmed it."""
-        is_member_known = bool(self.state.config.epoch)
-        if self.is_confirmed or self.disk_fault or not (is_member_known and self._has_enough_confirmations):
+        """Mark the disk as confirmed once enough other members have confirmed it."""
+        is_membership_known = bool(self.state.config.epoch)
+        if (
+            self.is_confirmed
+            or self.disk_fault
+            or not (is_membership_known and self._has_enough_confirmations)
+        ):
             return []
         self.is_confirmed = True
         kv = {"by": len(self.confirming_peers), "record": self.last_record}
@@ -283,7 +289,7 @@
         return self._respond(peer, message.register, message.ballot, state, after, response)
 
     def _on_other_epoch(self, peer: Peer, epoch: int) -> list[Action]:
-        """Bring the proposer up to this epoch, or request a later one from it."""
+        """Send this epoch to a proposer in an earlier one, or request the proposer's later epoch."""
         own_epoch = self.state.config.epoch
         if epoch < own_epoch:
             return self.send_epoch(peer)
@@ -298,7 +304,7 @@
         after: AcceptorState,
         response: AcceptorResponse,
     ) -> list[Action]:
-        """Write a changed state before the response: a vote that a crash undoes could be given twice."""
+        """Write a changed state before responding: a vote lost in a crash could later be contradicted."""
         epoch = self.state.config.epoch
         actions: list[Action] = []
         if after != before:
@@ -317,7 +323,7 @@
         epoch = self.state.config.epoch
         if message.epoch < epoch:
             return self.send_epoch(peer)
-        if message.epoch > epoch or not self._is_trusted_voter:
+        if message.epoch > epoch or not self._is_confirmed_voter:
             return []
         actions: list[Action] = []
         if self.state.next_config is None:
@@ -326,7 +332,7 @@
         return actions + self._send_vote(peer.name, stopped)
 
     def _on_enter_epoch(self, peer: Peer, message: EnterEpoch) -> list[Action]:
-        # Being a member of the epoch does not confirm the disk: an old copy may have voted there already.
+        # Membership of the epoch does not confirm the disk: this may be an old copy of one that voted in it.
         if message.config.epoch <= self.state.config.epoch or self.disk_fault:
             return []
         actions = self._write(EpochEntered(message.config, message.registers))
@@ -337,10 +343,10 @@
         return self.send_epoch(peer) if message.epoch < self.state.config.epoch else []
 
     def send_epoch(self, peer: Peer) -> list[Action]:
-        """Send this epoch to a member that is in an earlier one, once what it depends on is durable.
+        """Send this epoch to a member in an earlier one, once the records that it depends on are durable.
 
-        The receiver has not voted in this epoch yet. To begin with the registers that this acceptor holds now
-        is as if it had received the same requests.
+        The receiver has not voted in this epoch yet. Beginning with this acceptor's present registers is the
+        same as if it had received the same requests as this acceptor.
         """
         is_in_epoch = self.is_confirmed and self.is_voter and self.state.next_config is None
         if self.disk_fault or not is_in_epoch:
--- a/grebestack/consensus/actions.py
+++ b/grebestack/consensus/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a replica returns for its owner to carry out, in order."""
+"""Actions that a replica returns for its caller to carry out, in order."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a member. It is dropped if the member is not connected."""
+    """Send a message to a member. The message is dropped if the member is not connected."""
 
     to: str
     message: Message
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceDisk:
-    """Put this disk's log aside and begin an empty one, then call `Replica.on_disk_replaced`."""
+    """Move the log aside and create an empty one, then call `Replica.on_disk_replaced`."""
 
     reason: str
 
@@ -53,9 +53,9 @@
     Parameters
     ----------
     event
-        Name of the event; operators' tools read it.
+        Name of the event; operators' tools match it.
     kv
-        Values of the line by key; operators' tools read them too.
+        Values of the line by key; operators' tools read them.
     is_debug
         Whether the line is of debug level.
     """
--- a/grebestack/consensus/failure_detector.py
+++ b/grebestack/consensus/failure_detector.py
@@ -1,9 +1,9 @@
-"""A failure detector for the other members of the cluster. Pure.
+"""A failure detector for the other members of the cluster. No I/O; the caller passes the time.
 
-Each side of a connection sends heartbeats. When a member falls silent, two others are asked about it (as SWIM
-does, Das et al. 2002, without its gossip: members are few and all are connected), so that a broken link is
-distinguished from a failed member. A process that was stopped itself, or runs its own ticks late, suspects
-nobody: it could not have received what it missed.
+Both sides of a connection send heartbeats. When nothing is received from a member, two other members are
+asked whether they receive from it, to tell a broken link from a failed member (indirect probes as in SWIM,
+Das et al. 2002, without its gossip: members are few and all are connected). A process that was stopped
+itself, or runs its ticks late, suspects no other member: it could not receive messages during that time.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from grebestack.consensus.messages import Heartbeat, HeartbeatResponse
 
 INDIRECT_PROBES = 2  # members that are asked about a silent one
-MAX_TOLERANCE = 8.0  # times the timeout
-TOLERANCE_GROWTH = 2.0  # after a late tick
-TOLERANCE_DECAY = 0.9  # after each tick in time
-HEARTBEAT_JITTER = (0.8, 1.2)  # shares of the interval
+MAX_TOLERANCE = 8.0  # multiplies the timeout
+TOLERANCE_GROWTH = 2.0  # factor after a late tick
+TOLERANCE_DECAY = 0.9  # factor after each punctual tick
+HEARTBEAT_JITTER = (0.8, 1.2)  # fractions of the interval
 
 
 class PeerState(Enum):
-    """What is known of a member. The values are texts for operators."""
+    """The state of a member as seen from here. The values are shown to operators."""
 
     UP = "up"
     LINK_DOWN = "others hear it, this member does not"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatTimes:
-    """The interval of heartbeats, and the silence after which a member is suspected."""
+    """The interval of heartbeats, and the time without messages after which a member is suspected."""
 
     interval_ms: float = 500.0
     timeout_ms: float = 1500.0
@@ -43,23 +43,25 @@
 @dataclass(slots=True)
 class _PeerRecord:
     is_connected: bool = False
-    last_heard_ms: float | None = None
-    last_heard_by_others_ms: float | None = None
-    probed_since_ms: float | None = None  # others have been asked about it since then
+    last_received_ms: float | None = None
+    last_reported_up_ms: float | None = None
+    probed_since_ms: float | None = None  # when other members were first asked about it
     logged_state: PeerState = PeerState.UNKNOWN
 
-    def is_heard(self, now_ms: float, timeout_ms: float) -> bool:
-        """Tell whether something has come over its connection in time."""
+    def is_responding(self, now_ms: float, timeout_ms: float) -> bool:
+        """Return whether a message was received over its connection within the timeout."""
         return (
-            self.is_connected and self.last_heard_ms is not None and now_ms - self.last_heard_ms <= timeout_ms
+            self.is_connected
+            and self.last_received_ms is not None
+            and now_ms - self.last_received_ms <= timeout_ms
         )
 
 
 class FailureDetector:
-    """The state of all other members, as this member sees them."""
+    """The states of all other members as seen from this member."""
 
     def __init__(self, others: frozenset[str], times: HeartbeatTimes, random: Random, now_ms: float) -> None:
-        """Begin with all other members unknown."""
+        """Initialize with the states of all other members unknown."""
         self.times, self.random = times, random
         self.peers = {name: _PeerRecord() for name in sorted(others)}
         self.next_tick_ms = now_ms
@@ -68,7 +70,7 @@
     def on_connected(self, name: str, now_ms: float) -> None:
         """Handle a connection that has completed its handshake."""
         peer = self.peers.setdefault(name, _PeerRecord())
-        peer.is_connected, peer.last_heard_ms, peer.probed_since_ms = True, now_ms, None
+        peer.is_connected, peer.last_received_ms, peer.probed_since_ms = True, now_ms, None
 
     def on_disconnected(self, name: str) -> None:
         """Handle the end of a connection."""
@@ -76,40 +78,40 @@
             self.peers[name].is_connected = False
 
     def on_message(self, name: str, now_ms: float) -> None:
-        """Note that any message has come from a member."""
+        """Handle the arrival of any message from a member."""
         peer = self.peers[name]
-        peer.last_heard_ms, peer.probed_since_ms = now_ms, None
+        peer.last_received_ms, peer.probed_since_ms = now_ms, None
 
     def on_heartbeat(self, name: str, message: Heartbeat, now_ms: float) -> list[Action]:
-        """Respond to a heartbeat, and to its question about a third member."""
+        """Respond to a heartbeat; name the third member that it asks about if that member is up."""
         about = message.about if self.state_of(message.about, now_ms) is PeerState.UP else ""
         return [Send(name, HeartbeatResponse(about))]
 
     def on_heartbeat_response(self, message: HeartbeatResponse, now_ms: float) -> None:
-        """Note that another member hears from the third member that the response names, if any."""
+        """Handle a response, which names a third member if its sender receives messages from it."""
         if message.about in self.peers:
-            self.peers[message.about].last_heard_by_others_ms = now_ms
+            self.peers[message.about].last_reported_up_ms = now_ms
 
     def state_of(self, name: str, now_ms: float) -> PeerState:
-        """Return what is known of a member now."""
+        """Return the state of a member now."""
         peer = self.peers.get(name)
         if peer is None:
             return PeerState.UNKNOWN
         timeout_ms = self._timeout_ms
-        if peer.is_heard(now_ms, timeout_ms):
+        if peer.is_responding(now_ms, timeout_ms):
             return PeerState.UP
-        by_others_ms = peer.last_heard_by_others_ms
-        if by_others_ms is not None and now_ms - by_others_ms <= timeout_ms:
+        reported_up_ms = peer.last_reported_up_ms
+        if reported_up_ms is not None and now_ms - reported_up_ms <= timeout_ms:
             return PeerState.LINK_DOWN
-        # While nobody is heard it may be this member that is cut off, so no other is suspected.
-        if len(self.peers) > 1 and not any(p.is_heard(now_ms, timeout_ms) for p in self.peers.values()):
+        # If no member responds, this member itself may be cut off, so it suspects no other.
+        if len(self.peers) > 1 and not any(p.is_responding(now_ms, timeout_ms) for p in self.peers.values()):
             return PeerState.UNKNOWN
         if peer.probed_since_ms is None or now_ms - peer.probed_since_ms < timeout_ms:
             return PeerState.UNKNOWN
         return PeerState.STALLED if peer.is_connected else PeerState.UNREACHABLE
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Send the heartbeats and probes that are due, and end connections that have stalled."""
+        """Send the heartbeats and probes that are due, and close stalled connections."""
         if now_ms < self.next_tick_ms:
             return []
         self._adapt_tolerance(now_ms)
@@ -128,17 +130,17 @@
         if late_ms <= self.times.interval_ms:
             self.tolerance = max(1.0, self.tolerance * TOLERANCE_DECAY)
             return
-        # This process was stopped: the time does not count as the others' silence.
+        # This process was stopped; that time does not count as silence of the other members.
         self.tolerance = min(MAX_TOLERANCE, self.tolerance * TOLERANCE_GROWTH)
         for peer in self.peers.values():
-            if peer.last_heard_ms is not None:
-                peer.last_heard_ms += late_ms
+            if peer.last_received_ms is not None:
+                peer.last_received_ms += late_ms
             peer.probed_since_ms = None
 
     def _check(self, name: str, peer: _PeerRecord, now_ms: float) -> list[Action]:
         actions: list[Action] = []
-        if peer.is_connected and peer.last_heard_ms is not None:
-            if now_ms - peer.last_heard_ms > self._timeout_ms:
+        if peer.is_connected and peer.last_received_ms is not None:
+            if now_ms - peer.last_received_ms > self._timeout_ms:
                 actions.append(Disconnect(name, "silent"))
             else:
                 actions.append(Send(name, Heartbeat()))
@@ -151,8 +153,8 @@
 
     def _probe(self, name: str, peer: _PeerRecord, now_ms: float) -> list[Action]:
         """Ask some members that are up about a silent one."""
-        able = [n for n in self.peers if n != name and self.state_of(n, now_ms) is PeerState.UP]
-        chosen = self.random.sample(able, min(INDIRECT_PROBES, len(able)))
+        up = [n for n in self.peers if n != name and self.state_of(n, now_ms) is PeerState.UP]
+        chosen = self.random.sample(up, min(INDIRECT_PROBES, len(up)))
         if peer.probed_since_ms is None and chosen:
             peer.probed_since_ms = now_ms
-        return [Send(asked, Heartbeat(name)) for asked in chosen]
+        return [Send(prober, Heartbeat(name)) for prober in chosen]
--- a/grebestack/consensus/log_format.py
+++ b/grebestack/consensus/log_format.py
@@ -1,13 +1,13 @@
-"""The format of a log file, and which of the records read back can be trusted. Pure: bytes in, records out.
+"""The format of a log file and the validation of the records read back. No I/O: bytes in, records out.
 
-A file is a magic line followed by records. Each has a sequence number, which increases by one, its payload's
-length, and separate checksums of header and payload: otherwise a flipped bit in a length would make all that
-follows look like a torn end.
+A file is a magic line followed by records. Each record has a sequence number, which increases by one, the
+length of its payload, and separate checksums of header and payload: with a single checksum, a flipped bit in
+a length would make everything after it look like a torn end.
 
-What a crash can leave is distinguished from what a disk has lost or changed. No response ever depended on a
-torn end (part of a record, or zeros), because a response leaves only after the file was synced: it may be cut
-off. Any other mismatch is corruption, and a member whose log is corrupt must not vote. A durable record that
-is missing at the very end can't be recognised here; the member's peers know of a higher sequence number.
+A reader distinguishes the traces of a crash from data that the disk has lost or changed. A torn end (part of
+a record, or zeros) may be cut off: a response is sent only after the file is synced, so none depended on it.
+Any other mismatch is corruption, and a member whose log is corrupt must not vote. A durable record that is
+missing at the very end cannot be detected here; the member's peers know of a higher sequence number.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 
 MAGIC = b"grebestack registers 1\n"
 HEADER = struct.Struct("<QII")  # sequence number, payload length in bytes, checksum of the two
-CHECKSUM = struct.Struct("<I")  # of the payload, which it follows
+CHECKSUM = struct.Struct("<I")  # of the payload, written after it
 MAX_PAYLOAD_BYTES = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class LogContents:
-    """What a log file holds.
+    """The contents of a log file.
 
     Parameters
     ----------
     payloads
-        Those of the valid records, in order.
+        The payloads of the valid records, in order.
     last_sequence
         The sequence number of the last valid record.
     valid_bytes
         The length of the file up to the end of that record.
     has_torn_end
-        Whether what follows the valid bytes was never durable and is to be cut off.
+        Whether the bytes after the valid ones were never durable and are to be cut off.
     corruption
-        Why the file can't be trusted; empty if it can.
+        A description of the corruption; empty if there is none.
     """
 
     payloads: tuple[bytes, ...] = ()
@@ -68,7 +68,7 @@
     if not data:
         return LogContents(last_sequence=first - 1)
     if not data.startswith(magic):
-        is_unfinished = magic.startswith(data)  # a crash came while the file was created
+        is_unfinished = magic.startswith(data)  # a crash interrupted the creation of the file
         corruption = "" if is_unfinished else "no file of this kind and version"
         return LogContents(last_sequence=first - 1, has_torn_end=is_unfinished, corruption=corruption)
     payloads: list[bytes] = []
@@ -84,14 +84,14 @@
 
 
 def _read_record(data: bytes, offset: int, expected: int) -> tuple[str, bytes | None]:
-    """Return what is corrupt about a record, or its payload; with neither, the end of the file is torn."""
+    """Return a description of a record's corruption, or its payload; neither if the file's end is torn."""
     if not any(data[offset:]) or len(data) < offset + HEADER.size:
         return "", None
     sequence, length, checksum = HEADER.unpack_from(data, offset)
     if crc32(data[offset : offset + HEADER.size - CHECKSUM.size]) != checksum:
-        return f"the head of record {expected} is not what was written", None
+        return f"the header of record {expected} is not what was written", None
     if sequence != expected:
-        return f"record {sequence} stands where {expected} should", None
+        return f"found record {sequence} instead of record {expected}", None
     begin = offset + HEADER.size
     if len(data) < begin + length + CHECKSUM.size:
         return "", None
--- a/grebestack/consensus/membership_change.py
+++ b/grebestack/consensus/membership_change.py
@@ -1,14 +1,14 @@
-"""Changes of the membership: which member joins or leaves, and the way to the next epoch. Pure.
+"""Changes of the membership: members join or leave with the transition to the next epoch. No I/O.
 
-A change takes three steps, each repeated until the next has begun:
+A change takes three steps, each repeated until the next one has begun:
 
-1. the members of the present epoch choose the next membership in a register;
-2. a quorum of them stops voting in the present epoch and sends its registers;
-3. the merged registers are sent to the members of both epochs, which enter the next one.
+1. the members of the current epoch choose the next membership in a register;
+2. a quorum of them stops voting in the current epoch and sends its registers;
+3. the merged registers are sent to the members of both epochs, which enter the next epoch.
 
-The quorum that stops shares a member with every quorum that chose a value in the present epoch. Nothing can
-be chosen there any more, and everything that was is among the registers that the next epoch begins with.
-Each epoch changes one member at most.
+The quorum that stops voting shares a member with every quorum that chose a value in the current epoch. No
+further value can be chosen in it, and all values chosen before are among the registers that the next epoch
+begins with. Each epoch changes one member at most.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from grebestack.consensus.register import Phase, Value
 
 STEP_INTERVAL_MS = 500.0  # a step is repeated after this, with jitter
-STEP_JITTER = (0.7, 1.3)  # shares of the interval
-JOIN_REQUEST_TTL_MS = 5000.0  # a join request that is not repeated expires
+STEP_JITTER = (0.7, 1.3)  # fractions of the interval
+JOIN_REQUEST_TTL_MS = 5000.0  # a join request expires unless it is repeated
 
 
 class _Applicant(NamedTuple):
@@ -50,7 +50,7 @@
     Parameters
     ----------
     names
-        All members of the operators' file: nobody else may join.
+        All members in the configuration file; no other member may join.
     """
 
     def __init__(
@@ -62,12 +62,12 @@
         random: Random,
         now_ms: float,
     ) -> None:
-        """Begin with no change under way."""
+        """Initialize with no change in progress."""
         self.name, self.names = name, names
         self.acceptor, self.proposals, self.random = acceptor, proposals, random
         self.applicants: dict[str, _Applicant] = {}  # by name
-        self.pending_removals: set[str] = set()  # members that an operator removes; not on the disk
-        self.stopped: dict[str, tuple[RegisterEntry, ...]] = {}  # by member that votes no more
+        self.pending_removals: set[str] = set()  # requested by an operator; not durable
+        self.stopped_registers: dict[str, tuple[RegisterEntry, ...]] = {}  # by member that has stopped voting
         self.next_step_ms = now_ms
 
     @property
@@ -76,7 +76,7 @@
         return self.acceptor.state.config
 
     def remove(self, name: str) -> str:
-        """Remove a member; return why that is not possible, or nothing."""
+        """Remove a member; return the reason if that is not possible, else an empty text."""
         names = self.config.names()
         if name not in names:
             return f"{name} is no member; members are {', '.join(sorted(names))}"
@@ -86,27 +86,27 @@
         return ""
 
     def on_join_request(self, now_ms: float, peer: Peer, message: JoinRequest) -> None:
-        """Handle a request for membership; a member can only request its own."""
+        """Handle a request for membership; a member can request it only for itself."""
         is_own = (message.name, message.disk_incarnation) == (peer.name, peer.disk_incarnation)
         if is_own and peer.name in self.names:
             expiry_ms = now_ms + JOIN_REQUEST_TTL_MS
             self.applicants[peer.name] = _Applicant(peer.disk_incarnation, expiry_ms)
 
     def on_voting_stopped(self, peer: Peer, message: VotingStopped) -> list[Action]:
-        """Begin the next epoch once a quorum votes no more in the present one."""
+        """Begin the next epoch once a quorum has stopped voting in the current one."""
         next_config = self.acceptor.state.next_config
         is_voter = self.config.is_voter(peer.name, peer.disk_incarnation)
         if not is_voter or message.epoch != self.config.epoch or next_config is None:
             return []
-        self.stopped[peer.name] = message.registers
-        if len(self.stopped) < self.config.quorum_size:
+        self.stopped_registers[peer.name] = message.registers
+        if len(self.stopped_registers) < self.config.quorum_size:
             return []
-        enter = EnterEpoch(next_config, merge_registers(list(self.stopped.values())))
+        enter = EnterEpoch(next_config, merge_registers(list(self.stopped_registers.values())))
         return [Send(name, enter) for name in sorted(next_config.names() | self.config.names())]
 
     def on_epoch_entered(self) -> None:
-        """Forget what belongs to the former epoch."""
-        self.stopped = {}
+        """Discard the state that belongs to the previous epoch."""
+        self.stopped_registers = {}
         for name, incarnation in self.config.members:
             applicant = self.applicants.get(name)
             if applicant is not None and applicant.disk_incarnation == incarnation:
@@ -149,7 +149,7 @@
         return [*self.proposals.propose(now_ms, register, change, on_ended)]
 
     def _next_config(self) -> MembershipConfig | None:
-        """Return the membership that is wanted next, if any: one member joins or leaves."""
+        """Return the next membership, in which one member joins or leaves; None if no change is requested."""
         members = dict(self.config.members)
         for name in sorted(self.pending_removals & set(members)):
             del members[name]
--- a/grebestack/consensus/messages.py
+++ b/grebestack/consensus/messages.py
@@ -3,8 +3,8 @@
 Both are arrays that begin with the tag of their type. Tags and the order of fields are the wire and disk
 format of `PROTOCOL_VERSION`.
 
-Only `Handshake` names its sender: a connection belongs to one member, disk incarnation and process
-incarnation from then on.
+Only `Handshake` names its sender. It binds the connection to one member, one disk incarnation and one process
+incarnation.
 """
 
 from __future__ import annotations
@@ -22,22 +22,25 @@
 class MembershipConfig(Struct, frozen=True, array_like=True, tag="roll"):
     """The members of one membership epoch, each with the disk incarnation whose votes count."""
 
-    epoch: int = 0  # 0: the membership is not known
+    epoch: int = 0  # 0: the membership is unknown
     members: tuple[tuple[str, str], ...] = ()
 
     @property
     def quorum_size(self) -> int:
-        """How many members make a majority."""
+        """Number of members in a majority."""
         return len(self.members) // 2 + 1
 
     @property
     def required_witnesses(self) -> int:
-        """How many other members must have heard of a vote's log record before the vote counts."""
+        """Number of other members that must know of a vote's log record before the vote counts."""
         return min(1, len(self.members) - 1)
 
     @property
     def required_confirmations(self) -> int:
-        """How many other members must confirm a disk after a start: a witness is among any so many."""
+        """Number of other members that must confirm a disk after a start.
+
+        Any set of that size includes a witness of each vote.
+        """
         others = len(self.members) - 1
         return min(others, others + 1 - self.required_witnesses)
 
@@ -51,14 +54,14 @@
 
 
 class RestartPlan(Struct, frozen=True, array_like=True, tag="plan"):
-    """A rolling restart of the cluster; see `cluster_tasks.rolling_restart`."""
+    """The progress of a rolling restart of the cluster; see `cluster_tasks.rolling_restart`."""
 
     number: int
     requested_by: str  # the member whose operator requested it
     members: tuple[str, ...]
     restarted: tuple[str, ...] = ()  # members that have restarted
-    restarting: str = ""  # the member that restarts now
-    process_incarnation: int = 0  # the process incarnation that it is to end
+    restarting: str = ""  # the member that is restarting now
+    process_incarnation: int = 0  # its process incarnation before the restart
     state: str = ""
     reason: str = ""
 
@@ -76,18 +79,18 @@
     disk_incarnation: str
     process_incarnation: int
     epoch: int
-    # By member: its disk incarnation and the last log record that it has reported to the sender.
+    # By member: its disk incarnation and the last log record that it reported to the sender.
     log_positions: dict[str, tuple[str, int]]
 
 
 class Heartbeat(Struct, array_like=True, tag="ping"):
-    """A heartbeat that requests a response; `about` names a third member to report on, if any."""
+    """Requests a heartbeat response; `about` names a third member to report on, if any."""
 
     about: str = ""
 
 
 class HeartbeatResponse(Struct, array_like=True, tag="pong"):
-    """The response to a heartbeat; `about` names a third member if the sender hears from it."""
+    """The response to a heartbeat; `about` repeats the name of the third member if the sender sees it up."""
 
     about: str = ""
 
@@ -110,7 +113,7 @@
 
 
 class Promise(Struct, array_like=True, tag="promise"):
-    """The response to `Prepare`: the promise is durable."""
+    """The response to `Prepare`, sent once the promise is durable."""
 
     epoch: int
     register: str
@@ -120,7 +123,7 @@
 
 
 class Accepted(Struct, array_like=True, tag="taken"):
-    """The response to `Accept`: the value is durable."""
+    """The response to `Accept`, sent once the value is durable."""
 
     epoch: int
     register: str
@@ -128,7 +131,7 @@
 
 
 class Rejected(Struct, array_like=True, tag="refuse"):
-    """The response to either phase where a higher ballot has been promised."""
+    """The response to `Prepare` or `Accept` if a higher ballot has been promised."""
 
     epoch: int
     register: str
@@ -137,41 +140,41 @@
 
 
 class JoinRequest(Struct, array_like=True, tag="admit"):
-    """The sender requests membership under a new disk incarnation; sent again until it is a member."""
+    """Requests membership for the sender's disk incarnation; repeated until the sender is a member."""
 
     name: str
     disk_incarnation: str
 
 
 class StopVoting(Struct, array_like=True, tag="seal"):
-    """Requests that an epoch's acceptor stop voting, since the next membership has been chosen."""
+    """Requests that an acceptor stop voting in an epoch, since the next membership has been chosen."""
 
-    epoch: int  # the one that ends
+    epoch: int  # the epoch that ends
     next_config: MembershipConfig
 
 
 class VotingStopped(Struct, array_like=True, tag="sealed"):
-    """The response to `StopVoting`, which is durable, with the acceptor's registers."""
+    """The response to `StopVoting`, sent once the stop is durable, with the acceptor's registers."""
 
     epoch: int
     registers: tuple[RegisterEntry, ...]
 
 
 class EnterEpoch(Struct, array_like=True, tag="enter"):
-    """A membership epoch begins, or has begun, with these registers."""
+    """Tells a member to enter a membership epoch, with these registers."""
 
     config: MembershipConfig
     registers: tuple[RegisterEntry, ...]
 
 
 class EpochRequest(Struct, array_like=True, tag="behind"):
-    """Requests `EnterEpoch` where the receiver is in a later epoch than this one, the sender's."""
+    """Requests `EnterEpoch` if the receiver is in a later epoch than the sender."""
 
-    epoch: int
+    epoch: int  # the sender's
 
 
 class TaskMessage(Struct, array_like=True, tag="word"):
-    """A message from a cluster task of one member to the same task of another."""
+    """A message from one member's part of a cluster task to another member's part of it."""
 
     task: str
     body: bytes
@@ -196,7 +199,10 @@
 
 
 class IncarnationStarted(Struct, array_like=True, tag="born"):
-    """The first record of a disk. `config` is the known membership; a founding member knows the first."""
+    """The first record of a log: a new disk incarnation.
+
+    `config` is the membership known then: for a founding member the initial one.
+    """
 
     cluster: str
     disk_incarnation: str
@@ -204,7 +210,7 @@
 
 
 class ProcessStarted(Struct, array_like=True, tag="began"):
-    """A process has started on this disk."""
+    """A process has started with this log."""
 
     start_count: int
 
@@ -216,7 +222,7 @@
 
 
 class EpochEnded(Struct, array_like=True, tag="ended"):
-    """The acceptor votes no more in the present epoch; the next membership follows."""
+    """The acceptor has stopped voting in the current epoch; `next_config` is the next membership."""
 
     next_config: MembershipConfig
 
@@ -246,7 +252,7 @@
     Raises
     ------
     msgspec.DecodeError
-        The data is no message of this version.
+        The data is not a message of this version.
     """
     return _message_decoder.decode(data)
 
@@ -257,6 +263,6 @@
     Raises
     ------
     msgspec.DecodeError
-        The data is no log record of this version.
+        The data is not a log record of this version.
     """
     return _record_decoder.decode(data)
--- a/grebestack/consensus/proposals.py
+++ b/grebestack/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""The proposer of one member: its open proposals to change registers. Pure."""
+"""The proposer of one member: its open proposals to change registers. No I/O."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 )
 
 PROPOSAL_TIMEOUT_MS = 800.0  # for both phases together; config_distribution.timeouts has the same value
-RETRY_BACKOFF_MS, MAX_RETRY_BACKOFF_MS = 60.0, 500.0  # doubled with each failure in a row, with jitter
+RETRY_BACKOFF_MS, MAX_RETRY_BACKOFF_MS = 60.0, 500.0  # doubled with each consecutive failure, with jitter
 MAX_BACKOFF_DOUBLINGS = 10
-# As operators' tools read them in the log. BEATEN: a higher ballot, or no quorum within the time-out.
+# As operators' tools read them in the log. BEATEN: a higher ballot, or no quorum within the timeout.
 OUTCOMES = {Phase.CHOSEN: "CHOSEN", Phase.PREEMPTED: "BEATEN"}
 
-# Called when a proposal has ended: the time, how it ended, the previous value, the new value.
+# Called when a proposal has ended, with the time, its last phase, the previous value and the new value.
 OnEnded = Callable[[float, Phase, Value, Value], list[Action]]
 
 
 @dataclass(slots=True)
 class Proposal:
-    """A proposal that has not ended."""
+    """An open proposal."""
 
     change: Change
     round: Round
@@ -54,12 +54,12 @@
     """The open proposals of one member, at most one for each register."""
 
     def __init__(self, name: str, process_incarnation: int, acceptor: Acceptor, random: Random) -> None:
-        """Begin with no proposals."""
+        """Initialize without open proposals."""
         self.name, self.process_incarnation = name, process_incarnation
         self.acceptor, self.random = acceptor, random
         self.open: dict[str, Proposal] = {}  # by register
         self.highest_numbers: dict[str, int] = {}  # by register: the highest ballot number seen
-        self.failures: dict[str, int] = {}  # by register: failed proposals in a row
+        self.failures: dict[str, int] = {}  # by register: consecutive failed proposals
 
     @property
     def config(self) -> MembershipConfig:
@@ -67,7 +67,7 @@
         return self.acceptor.state.config
 
     def propose(self, now_ms: float, register: str, change: Change, on_ended: OnEnded) -> list[Send]:
-        """Begin to change a register, which must have no open proposal."""
+        """Propose a change of a register, which must have no open proposal."""
         ballot = Ballot(self.highest_numbers.get(register, 0) + 1, self.name, self.process_incarnation)
         self.highest_numbers[register] = ballot.number
         self.open[register] = Proposal(change, Round(ballot, self.config.quorum_size), now_ms, on_ended)
@@ -78,7 +78,7 @@
         return [Send(name, message) for name, _ in self.config.members]
 
     def resend_to(self, name: str) -> list[Action]:
-        """Repeat all open requests to a member that has connected: it has missed them."""
+        """Repeat all open requests to a member that has connected and so has missed them."""
         return [
             send
             for register, proposal in self.open.items()
@@ -87,7 +87,7 @@
         ]
 
     def _requests(self, register: str, round_: Round) -> list[Send]:
-        """Return the requests of a round's present phase."""
+        """Return the requests of a round's current phase."""
         epoch = self.config.epoch
         if round_.phase is Phase.PREPARING:
             return self.send_to_all(Prepare(epoch, register, round_.ballot))
@@ -99,7 +99,7 @@
         return self._on_response(now_ms, peer, message, response, message.accepted)
 
     def on_accepted(self, now_ms: float, peer: Peer, message: Accepted) -> list[Action]:
-        """Handle an acceptor's acceptance."""
+        """Handle an acceptor's acceptance of the value."""
         return self._on_response(now_ms, peer, message, AcceptGranted(message.ballot), Ballot())
 
     def on_rejected(self, now_ms: float, peer: Peer, message: Rejected) -> list[Action]:
@@ -113,14 +113,14 @@
         peer: Peer,
         message: Promise | Accepted | Rejected,
         response: AcceptorResponse,
-        seen: Ballot,
+        seen_ballot: Ballot,
     ) -> list[Action]:
         register = message.register
         proposal = self.open.get(register)
         is_voter = self.config.is_voter(peer.name, peer.disk_incarnation)
         if proposal is None or not is_voter or message.epoch != self.config.epoch:
             return []
-        self.highest_numbers[register] = max(self.highest_numbers.get(register, 0), seen.number)
+        self.highest_numbers[register] = max(self.highest_numbers.get(register, 0), seen_ballot.number)
         phase = proposal.round.phase
         proposal.round = round_ = proposal.round.on_response(peer.name, response, proposal.change)
         if round_.phase is phase:
@@ -141,11 +141,11 @@
             "before": describe_value(previous),
             "after": describe_value(proposed),
         }
-        logged = LogMessage("fleet_register", kv, is_debug=True)
-        return [logged, *proposal.on_ended(now_ms, phase, previous, proposed)]
+        log_message = LogMessage("fleet_register", kv, is_debug=True)
+        return [log_message, *proposal.on_ended(now_ms, phase, previous, proposed)]
 
     def expire(self, now_ms: float) -> list[Action]:
-        """Give up proposals that have had no quorum within the timeout."""
+        """Abandon proposals that got no quorum within the timeout."""
         actions: list[Action] = []
         for register, proposal in list(self.open.items()):
             is_expired = now_ms - proposal.started_ms >= PROPOSAL_TIMEOUT_MS
@@ -154,7 +154,7 @@
         return actions
 
     def abandon_all(self, now_ms: float) -> list[Action]:
-        """Give up all proposals of an epoch that has ended, unlogged; their outcomes are not known."""
+        """Abandon all proposals of an epoch that has ended. Their outcomes are unknown, so none is logged."""
         abandoned, self.open = self.open, {}
         actions: list[Action] = []
         for proposal in abandoned.values():
@@ -164,13 +164,15 @@
     def retry_backoff_ms(self, register: str) -> float:
         """Return how long to wait before the next proposal, with jitter."""
         doublings = min(self.failures.get(register, 0), MAX_BACKOFF_DOUBLINGS)
-        longest_ms = min(MAX_RETRY_BACKOFF_MS, RETRY_BACKOFF_MS * 2.0**doublings)
-        return self.random.uniform(longest_ms / 4.0, longest_ms)
+        max_backoff_ms = min(MAX_RETRY_BACKOFF_MS, RETRY_BACKOFF_MS * 2.0**doublings)
+        return self.random.uniform(max_backoff_ms / 4.0, max_backoff_ms)
 
     def due_ms(self) -> float:
-        """Return when `expire` is due; infinity without open proposals."""
-        started_ms = min((proposal.started_ms for proposal in self.open.values()), default=float("inf"))
-        return started_ms + PROPOSAL_TIMEOUT_MS
+        """Return when `expire` is due; infinity if there are no open proposals."""
+        earliest_start_ms = min(
+            (proposal.started_ms for proposal in self.open.values()), default=float("inf")
+        )
+        return earliest_start_ms + PROPOSAL_TIMEOUT_MS
 
 
 def describe_value(value: Value) -> str:
--- a/grebestack/consensus/recovery.py
+++ b/grebestack/consensus/recovery.py
@@ -1,4 +1,4 @@
-"""The state that a member recovers from the records of its log, and its merge over a quorum. Pure."""
+"""The state that a member recovers from its log, and the merge of a quorum's registers. No I/O."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     cluster: str = ""
     disk_incarnation: str = ""  # empty: the log has no first record
     config: MembershipConfig = field(default_factory=MembershipConfig)
-    next_config: MembershipConfig | None = None  # set: voting in the present epoch has stopped
+    next_config: MembershipConfig | None = None  # set: voting in the current epoch has stopped
     start_count: int = 0
     registers: dict[str, AcceptorState] = field(default_factory=dict)
 
@@ -46,7 +46,7 @@
         self.next_config = record.next_config
 
     def _on_process_started(self, record: ProcessStarted) -> None:
-        # A compacted log has one such record for all starts; older versions of the program wrote 0 in it.
+        # A compacted log has a single such record for all starts; older versions of the program wrote 0.
         self.start_count = max(self.start_count + 1, record.start_count)
 
     def _on_incarnation_started(self, record: IncarnationStarted) -> None:
@@ -54,7 +54,7 @@
         self.config = record.config
 
     def register_entries(self) -> tuple[RegisterEntry, ...]:
-        """Return all registers in the form in which they are sent, sorted by name."""
+        """Return all registers in their wire form, sorted by name."""
         return tuple((name, s.promised, s.accepted, s.value) for name, s in sorted(self.registers.items()))
 
     def compacted_records(self) -> list[LogRecord]:
@@ -80,8 +80,8 @@
 def merge_registers(replicas: list[tuple[RegisterEntry, ...]]) -> tuple[RegisterEntry, ...]:
     """Merge the registers of a quorum of an ended epoch into those that the next epoch begins with.
 
-    Every quorum that chose a value shares a member with this one. The last chosen value is therefore among
-    the entries, under the highest accepted ballot unless a later proposal has replaced it.
+    Every quorum that chose a value shares a member with this one, so the last chosen value is among the
+    entries. It has the highest accepted ballot unless a later proposal has replaced it.
     """
     merged: dict[str, RegisterEntry] = {}
     for register, promised, accepted, value in (entry for entries in replicas for entry in entries):
--- a/grebestack/consensus/register.py
+++ b/grebestack/consensus/register.py
@@ -1,12 +1,12 @@
-"""A named value that a quorum keeps and that is changed by compare-and-set.
+"""A replicated register: a named value on a quorum of acceptors, changed by compare-and-set.
 
 Single-register consensus in two phases (Paxos, used as in "CASPaxos: Replicated State Machines without logs",
-Rystsov 2018). A proposer first has a quorum promise its ballot, takes the value accepted under the highest
-ballot among them, and has a quorum accept the value that its change makes of it. A read is a change that
-returns the value as it is.
+Rystsov 2018). A proposer first gets promises for its ballot from a quorum and takes the value that was
+accepted under the highest ballot among them. It applies its change to that value and gets a quorum to accept
+the result. A read is a change that returns the value as it is.
 
 All functions here take a state and return a new one; nothing is changed in place. The caller ensures two
-things: the state that `prepare` or `accept` returns is durable before the response leaves, and a proposer
+things: the state that `prepare` or `accept` returns is durable before the response is sent, and a proposer
 never uses a ballot twice.
 """
 
@@ -18,15 +18,15 @@
 from typing import Any, NamedTuple
 
 Value = Any  # what a register holds: hashable; None before the first change
-Change = Callable[[Value], Value]  # from the current value to the next; the same value leaves it as it is
+Change = Callable[[Value], Value]  # maps the current value to the next; may return it unchanged
 
 
 class Ballot(NamedTuple):
-    """The order of proposals for a register. No two proposals share one."""
+    """The number that orders the proposals for a register. Each proposal has its own."""
 
     number: int = 0
     member: str = ""
-    process_incarnation: int = 0  # a start count and random bits: unique, but it need not grow
+    process_incarnation: int = 0  # start count and random bits: unique, not necessarily increasing
 
     def next_above(self, other: Ballot) -> Ballot:
         """Return this member's next ballot that is higher than another one."""
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptorState:
-    """What an acceptor must not forget of one register."""
+    """The state that an acceptor must keep durably for one register."""
 
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseGranted:
-    """The acceptor rejects lower ballots from now on; the value it accepted last, and under which ballot."""
+    """The acceptor rejects lower ballots from now on. `accepted` is the ballot of its last accepted value."""
 
     ballot: Ballot
     accepted: Ballot
@@ -73,43 +73,43 @@
 
 
 def prepare(state: AcceptorState, ballot: Ballot) -> tuple[AcceptorState, AcceptorResponse]:
-    """Handle the first phase at an acceptor; a repeated request gets the same response."""
+    """Handle a prepare request at an acceptor; a repeated request gets the same response."""
     if ballot < state.promised:
         return state, BallotRejected(ballot, state.promised)
     return replace(state, promised=ballot), PromiseGranted(ballot, state.accepted, state.value)
 
 
 def accept(state: AcceptorState, ballot: Ballot, value: Value) -> tuple[AcceptorState, AcceptorResponse]:
-    """Handle the second phase at an acceptor; a repeated request gets the same response."""
+    """Handle an accept request at an acceptor; a repeated request gets the same response."""
     if ballot < state.promised:
         return state, BallotRejected(ballot, state.promised)
     return AcceptorState(ballot, ballot, value), AcceptGranted(ballot)
 
 
 class Phase(Enum):
-    """The progress of a round."""
+    """The phases of a round."""
 
     PREPARING = "waits for promises"
-    ACCEPTING = "waits for acceptances"  # from here on the value may be chosen, whatever responses arrive
+    ACCEPTING = "waits for acceptances"  # from here on the value may be chosen, even if no response arrives
     CHOSEN = "chosen"
     PREEMPTED = "a higher ballot came first"  # also after a timeout or the end of an epoch: outcome unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Round:
-    """One attempt to change a register, as its proposer sees it."""
+    """A proposer's state of one attempt to change a register."""
 
     ballot: Ballot
     quorum_size: int
     phase: Phase = Phase.PREPARING
-    responders: frozenset[Hashable] = frozenset()  # acceptors that granted this phase
+    responders: frozenset[Hashable] = frozenset()  # acceptors that granted the current phase
     highest_accepted: Ballot = NO_BALLOT  # among the promises
     previous_value: Value = None  # the value accepted under that ballot
     proposed_value: Value = None
     preempting_ballot: Ballot = NO_BALLOT
 
     def on_response(self, member: Hashable, response: AcceptorResponse, change: Change) -> Round:
-        """Handle a response, in any order and any number of times; those to other ballots are ignored."""
+        """Handle a response. Responses may be reordered or repeated; those to other ballots are ignored."""
         if response.ballot != self.ballot or self.phase in (Phase.CHOSEN, Phase.PREEMPTED):
             return self
         if isinstance(response, BallotRejected):
--- a/grebestack/consensus/replica.py
+++ b/grebestack/consensus/replica.py
@@ -1,6 +1,6 @@
-"""One member of the cluster: its acceptor, its proposals, and the leases of its tasks. Pure.
+"""One member of the cluster: its acceptor, its proposer and its task leases. No I/O, no clock.
 
-Events come in as method calls with the time as an argument, and return the actions to carry out, in order.
+Each event is a method call with the current time, which returns the actions to carry out, in order.
 Times are milliseconds of this member's monotonic clock.
 """
 
@@ -42,16 +42,16 @@
 
 
 class Replica:
-    """One member.
+    """The replica of one member.
 
     Parameters
     ----------
     names
-        All members of the operators' file, this one included.
+        All members in the configuration file, this one included.
     state, last_record
-        What the log holds, and the sequence number of its last record.
+        The state recovered from the log, and the sequence number of the log's last record.
     tasks
-        The tasks whose leases this member wants.
+        The tasks for whose leases this member is a candidate.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         now_ms: float,
         times: HeartbeatTimes | None = None,
     ) -> None:
-        """Begin without connections; `start` returns the first actions."""
+        """Initialize without connections; `start` returns the first actions."""
         self.name, self.names = name, frozenset(names)
         self.acceptor = Acceptor(name, state, last_record)
         others = self.names - {name}
@@ -94,7 +94,7 @@
         }
 
     def _rank_for(self, task: str) -> int:
-        """Return the rank among a task's rivals; it differs by task, to spread the leases over members."""
+        """Return the rank among a task's candidates. It differs by task to spread the leases over members."""
         return (self.rank + sum(task.encode())) % len(self.names)
 
     @property
@@ -122,7 +122,7 @@
     # Events of the disk.
 
     def on_synced(self, now_ms: float, last_record: int) -> list[Action]:
-        """Handle the sync of all log records up to this one."""
+        """Handle a completed sync of all log records up to this one."""
         return self._deliver_to_self(now_ms, self.acceptor.on_synced(last_record))
 
     def on_disk_fault(self, now_ms: float, reason: str) -> list[Action]:
@@ -130,7 +130,7 @@
         return self._deliver_to_self(now_ms, self.acceptor.on_disk_fault(reason))
 
     def on_disk_replaced(self, now_ms: float, disk_incarnation: str) -> list[Action]:
-        """Handle an empty log. Connections must be made anew: they carry the former disk incarnation."""
+        """Begin an empty log. The caller must reopen connections: they carry the former disk incarnation."""
         cluster = self.acceptor.state.cluster
         actions = self.acceptor.on_disk_replaced(cluster, disk_incarnation, self.config)
         return self._deliver_to_self(now_ms, actions)
@@ -138,7 +138,7 @@
     # Events of connections.
 
     def on_connected(self, now_ms: float, handshake: Handshake) -> list[Action]:
-        """Handle a connection whose other end has sent its handshake."""
+        """Handle a new connection, after the other member's handshake."""
         peer = Peer(handshake.name, handshake.disk_incarnation, handshake.process_incarnation)
         self.connections[peer.name] = peer
         self.failure_detector.on_connected(peer.name, now_ms)
@@ -156,7 +156,7 @@
         return []
 
     def on_message(self, now_ms: float, name: str, last_record: int, message: Message) -> list[Action]:
-        """Handle a message of a connected member, with the last log record that it reports."""
+        """Handle a message from a connected member, with the last log record that it reports."""
         peer = self.connections.get(name)
         if peer is None:
             return []
@@ -205,45 +205,45 @@
         for register, state in self.acceptor.state.registers.items():
             self.leases.observe(now_ms, register, state.value)
 
-    # Requests of the member's owner.
+    # Requests of the caller.
 
     def propose(self, now_ms: float, register: str, change: Change, on_ended: OnEnded) -> list[Action]:
-        """Begin to change or read a register, which must have no open proposal."""
+        """Propose a change or a read of a register, which must have no open proposal."""
         return self._deliver_to_self(now_ms, [*self.proposals.propose(now_ms, register, change, on_ended)])
 
     def has_open_proposal(self, register: str) -> bool:
-        """Tell whether a proposal of this member's for a register has not ended."""
+        """Return whether this member has an open proposal for a register."""
         return register in self.proposals.open
 
     def can_reach_quorum(self) -> bool:
-        """Tell whether enough members are connected for a proposal to succeed."""
+        """Return whether enough members are connected for a proposal to succeed."""
         connected = sum(name in self.connections for name in self.config.names() - {self.name})
         return bool(self.config.epoch) and connected + self.acceptor.is_voter >= self.config.quorum_size
 
     def valid_token(self, task: str, now_ms: float) -> int | None:
-        """Return the fencing token to act with now, or None. Check it at each act, never keep it."""
+        """Return the fencing token to act with now, or None. Call this before each act; do not cache it."""
         return self.leases.valid_token(task, now_ms)
 
     def release_lease(self, now_ms: float, task: str, to: str = "") -> list[Action]:
-        """Stop acting for a task and free its lease, or hand it over to a member by name."""
+        """Stop acting for a task and free its lease, or hand it over to the member `to`."""
         return self._deliver_to_self(now_ms, self.leases.release(now_ms, task, to))
 
     def on_fenced(self, now_ms: float, task: str) -> list[Action]:
-        """Handle a resource's rejection of this member's token for a later one."""
+        """Handle a resource's rejection of this member's token: the resource has seen a later one."""
         return self.leases.on_fenced(now_ms, task)
 
     def become_candidate(self, now_ms: float, task: str) -> None:
-        """Propose the lease of a task again, after a release."""
+        """Be a candidate for a task's lease again, after a release."""
         self.leases.become_candidate(now_ms, task)
 
     def remove_member(self, name: str) -> str:
-        """Remove a member from the cluster; return why that is not possible, or nothing."""
+        """Remove a member from the cluster; return the reason if that is not possible, else an empty text."""
         return self.membership.remove(name)
 
     # Time.
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Do what is due."""
+        """Carry out the work that is due."""
         actions = self.failure_detector.tick(now_ms)
         actions += self.acceptor.check_confirmation()
         actions += self.membership.tick(now_ms, self.connections)
@@ -252,7 +252,7 @@
         return self._deliver_to_self(now_ms, actions)
 
     def due_ms(self, now_ms: float) -> float:
-        """Return when `tick` must be called next, at the latest."""
+        """Return the latest time at which `tick` must be called next."""
         due_ms = min(
             now_ms + MAX_TICK_INTERVAL_MS,
             self.failure_detector.next_tick_ms,
@@ -263,7 +263,7 @@
         return max(due_ms, now_ms + MIN_TICK_INTERVAL_MS)
 
     def _deliver_to_self(self, now_ms: float, actions: list[Action]) -> list[Action]:
-        """Handle the messages that this member sends to itself at once; return all other actions."""
+        """Handle this member's messages to itself immediately; return all other actions."""
         others: list[Action] = []
         queue = deque(actions)
         while queue:
@@ -272,8 +272,8 @@
                 self._note_heartbeat(action)
                 others.append(action)
                 continue
-            me = Peer(self.name, self.acceptor.state.disk_incarnation, self.process_incarnation)
-            queue.extendleft(reversed(self._handle(now_ms, me, action.message)))
+            itself = Peer(self.name, self.acceptor.state.disk_incarnation, self.process_incarnation)
+            queue.extendleft(reversed(self._handle(now_ms, itself, action.message)))
         return others
 
     def _note_heartbeat(self, action: Action) -> None:
@@ -283,14 +283,14 @@
     # State for operators.
 
     def describe(self, now_ms: float) -> Mapping[str, str]:
-        """Return the state of each member as a text, this one first."""
+        """Return the state of each member as text, this one first."""
         texts = {self.name: self.acceptor.describe()}
         for name in sorted(self.names - {self.name}):
             texts[name] = self.failure_detector.state_of(name, now_ms).value
         return texts
 
     def has_quorum(self, now_ms: float) -> bool:
-        """Tell whether a quorum is up, this member counted if it is a voter."""
+        """Return whether a quorum is up, including this member if it is a voter."""
         others = self.config.names() - {self.name}
         up = sum(self.failure_detector.state_of(name, now_ms) is PeerState.UP for name in others)
         return bool(self.config.epoch) and up + self.acceptor.is_voter >= self.config.quorum_size
--- a/grebestack/consensus/witnesses.py
+++ b/grebestack/consensus/witnesses.py
@@ -1,12 +1,12 @@
-"""Which other members have heard how far this member's log has come. Pure.
+"""Which records of this member's log the other members know of. No I/O, no clock.
 
-A disk that has lost its last records, or has come back as an older copy, looks like any other to its owner.
-Only a member that has heard of a later record can tell. A vote must therefore not count before enough others,
-its witnesses, have heard of its record (`MembershipConfig.required_witnesses`); after a start so many others
-must confirm the disk that a witness is among them (`MembershipConfig.required_confirmations`).
+A member cannot tell from its own disk that its last records are lost or that the disk is an older copy. Only
+another member that knows of a later record can. A vote therefore counts only once enough other members, its
+witnesses, know of its record (`MembershipConfig.required_witnesses`). After a start enough other members must
+confirm the disk that one of the witnesses is among them (`MembershipConfig.required_confirmations`).
 
-Each message carries the last durable record of its sender, and connections keep the order of messages. A
-response to a heartbeat thus shows that its sender has heard of the record that went with the heartbeat.
+Each message carries the number of its sender's last durable record, and connections keep the order of
+messages. A response to a heartbeat thus shows that its sender knows of the record sent with the heartbeat.
 """
 
 from __future__ import annotations
@@ -16,47 +16,49 @@
 
 
 class RecordWitnesses:
-    """The own log records that each connected member has heard of."""
+    """The records of the own log that each connected member knows of."""
 
     def __init__(self) -> None:
-        """Begin without connections."""
-        self.heard: dict[str, int] = {}  # by connected member: the last own record that it has heard of
-        self.unanswered: dict[str, deque[int]] = {}  # the record that went with each open heartbeat
+        """Initialize without connections."""
+        self.known_records: dict[str, int] = {}  # by connected member: the last own record that it knows of
+        self.open_heartbeats: dict[
+            str, deque[int]
+        ] = {}  # the record sent with each open_heartbeats heartbeat
 
-    def on_connected(self, name: str, heard_record: int) -> None:
-        """Handle a connection to a member that has heard of this record already; 0: of none."""
-        self.heard[name], self.unanswered[name] = heard_record, deque()
+    def on_connected(self, name: str, known_record: int) -> None:
+        """Handle a connection to a member that knows of the log up to this record; 0: of no record."""
+        self.known_records[name], self.open_heartbeats[name] = known_record, deque()
 
     def on_disconnected(self, name: str) -> None:
-        """Handle the end of a connection: what it carried last may be lost."""
-        self.heard.pop(name, None)
-        self.unanswered.pop(name, None)
+        """Handle the end of a connection, whose last messages may be lost."""
+        self.known_records.pop(name, None)
+        self.open_heartbeats.pop(name, None)
 
     def on_heartbeat_sent(self, name: str, reported_record: int) -> None:
-        """Note the record that goes with a heartbeat."""
-        if name in self.unanswered:
-            self.unanswered[name].append(reported_record)
+        """Remember the record that is sent with a heartbeat."""
+        if name in self.open_heartbeats:
+            self.open_heartbeats[name].append(reported_record)
 
     def on_heartbeat_response(self, name: str) -> None:
-        """Handle the response to the oldest open heartbeat to a member."""
-        if self.unanswered.get(name):
-            self.heard[name] = max(self.heard[name], self.unanswered[name].popleft())
+        """Handle the response to the oldest open_heartbeats heartbeat to a member."""
+        if self.open_heartbeats.get(name):
+            self.known_records[name] = max(self.known_records[name], self.open_heartbeats[name].popleft())
 
     def forget_records(self) -> None:
-        """Begin anew with an empty log. Responses to earlier heartbeats do not count any more."""
-        for name in self.heard:
+        """Start over with an empty log. Responses to earlier heartbeats no longer count."""
+        for name in self.known_records:
             self.on_connected(name, 0)
 
     def count(self, record: int, among: Collection[str]) -> int:
-        """Return how many of these members have heard of a record."""
-        return sum(self.heard.get(name, 0) >= record for name in among)
+        """Return how many of these members know of a record."""
+        return sum(self.known_records.get(name, 0) >= record for name in among)
 
-    def members_to_ask(self, record: int, among: Collection[str]) -> list[str]:
-        """Return the connected members that have not heard of a record and are not being told of it."""
+    def members_to_notify(self, record: int, among: Collection[str]) -> list[str]:
+        """Return the connected members that do not know of a record and have no heartbeat with it open."""
         return sorted(
             name
             for name in among
-            if name in self.heard
-            and self.heard[name] < record
-            and not (self.unanswered[name] and self.unanswered[name][-1] >= record)
+            if name in self.known_records
+            and self.known_records[name] < record
+            and not (self.open_heartbeats[name] and self.open_heartbeats[name][-1] >= record)
         )
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -65,7 +65,7 @@
     play(cluster, ("disk lies", "m0", ""))
     settle(cluster)
     assert logged(cluster, "m0", "fleet_disk_doubted", why="no record of this member")
-    assert logged(cluster, "m1", "fleet_disk_doubted", why="has heard of record")
+    assert logged(cluster, "m1", "fleet_disk_doubted", why="knows of record")
     assert logged(cluster, "m2", "fleet_disk_doubted", why="is not what was written")
     assert all("epoch 1," not in cluster.shown(name) for name in cluster.names)
 
--- a/tests/test_log_format.py
+++ b/tests/test_log_format.py
@@ -49,9 +49,9 @@
 
 def test_a_hole_a_repeat_and_a_file_of_another_time_are_doubted() -> None:
     one, two, three = (encode_record(n, payload) for n, payload in enumerate(PAYLOADS, 1))
-    assert "record 3 stands where 2" in read_log(MAGIC + one + three).corruption
-    assert "record 1 stands where 2" in read_log(MAGIC + one + one).corruption
-    assert "record 1 stands where 9" in read_log(MAGIC + one + two, first=9).corruption
+    assert "record 3 instead of record 2" in read_log(MAGIC + one + three).corruption
+    assert "record 1 instead of record 2" in read_log(MAGIC + one + one).corruption
+    assert "record 1 instead of record 9" in read_log(MAGIC + one + two, first=9).corruption
     assert "no file of this kind" in read_log(b"SQLite format 3\0").corruption
 
 
--- a/tests/test_member_removal.py
+++ b/tests/test_member_removal.py
@@ -27,7 +27,7 @@
     # Guards against a member that is removed after an operator was told that it is not.
     member, replica = member_of_three()
     refused = ClusterMember.remove_member(cast(ClusterMember, member), "c")
-    assert not refused.succeeded and "waits to hear" in refused.text
+    assert not refused.succeeded and "waits for other members" in refused.text
     for name in ("b", "c"):
         replica.on_connected(10.0, Handshake(2, "f", name, "1", 1, 1, {}))
     assert replica.acceptor.may_vote and not replica.membership.pending_removals
--- a/tests/test_witnesses.py
+++ b/tests/test_witnesses.py
@@ -173,4 +173,4 @@
     witnesses.on_heartbeat_sent("b", 7)
     witnesses.forget_records()
     witnesses.on_heartbeat_response("b")
-    assert witnesses.count(1, "b") == 0 and witnesses.members_to_ask(1, "bc") == ["b"]
+    assert witnesses.count(1, "b") == 0 and witnesses.members_to_notify(1, "bc") == ["b"]
