--- a/grebestack/drmaa/__init__.py
+++ b/grebestack/drmaa/__init__.py
@@ -1,1 +1,1 @@
-"""The DRMAA front: DRMAA2's vocabulary as JSON over HTTP, a thin codec on the job service."""
+"""The DRMAA2 API as JSON over HTTP: translates between its messages and the job service."""
--- a/grebestack/drmaa/console.py
+++ b/grebestack/drmaa/console.py
@@ -1,4 +1,4 @@
-"""What the operator's console asks of a running dispatcher: its status, its servers, and drains."""
+"""Requests of the operator's console to a running dispatcher: status, workers, drains and cluster."""
 
 from __future__ import annotations
 
@@ -11,68 +11,68 @@
 
 
 class WorkerMembership(Protocol):
-    """What is believed of the servers."""
+    """Which workers are members, and in which state."""
 
     def describe(self) -> dict[str, Any]:
-        """The sources, and each server with its state, reason and what its sources say."""
+        """Return the sources, and each worker with its state, its reason and what its sources report."""
 
-    def set_drained(self, server: str, on: bool) -> None:
-        """The operator drains a server, or does no longer; KeyError if none has this name."""
+    def set_drained(self, worker: str, on: bool) -> None:
+        """Drain a worker, or end the drain; KeyError if there is no such worker."""
 
     def accept_removals(self, source: str) -> None:
-        """The operator accepts what a source takes away; KeyError if there is no such source."""
+        """Accept the removal of workers that a source reports; KeyError if there is no such source."""
 
 
 class Cluster(Protocol):
-    """The dispatchers that this one agrees with."""
+    """The cluster of dispatchers that this one is a member of."""
 
     def members(self) -> dict[str, Any]:
-        """The set in force, and each member with its state."""
+        """Return the current configuration and each member with its state."""
 
     def leases(self) -> dict[str, Any]:
-        """Each task with its holder and token."""
+        """Return each task with its lease holder and fencing token."""
 
 
 class Console:
-    """Answers the console's requests, which come to the DRMAA front's address under /console/."""
+    """Handles the console's requests, which are sent to the DRMAA API's address under /console/."""
 
     def __init__(
         self,
         name: str,
         engine: Engine,
         jobs: JobService,
-        roster: WorkerMembership | None,
-        fleet: Cluster | None = None,
+        membership: WorkerMembership | None,
+        cluster: Cluster | None = None,
     ) -> None:
         self.name, self.engine, self.jobs, self.store = name, engine, jobs, jobs.store
-        self.roster, self.fleet = roster, fleet
-        self.started = time.time()
+        self.membership, self.cluster = membership, cluster
+        self.started_at = time.time()
 
-    def serve(self, method: str, what: str, raw: Any) -> Any:
-        """Answer one request; KeyError if there is no such thing."""
-        match (method, what):
+    def serve(self, method: str, operation: str, raw: Any) -> Any:
+        """Return the response to a request; KeyError if its operation or a name in it is unknown."""
+        match (method, operation):
             case ("GET", "status"):
                 return self._status()
             case ("GET", "servers"):
-                return self._servers()
+                return self._workers()
             case ("POST", "drain"):
                 return self._drain(raw)
-            case ("GET", "membership") if self.roster is not None:
-                return self.roster.describe()
-            case ("GET", "fleet") if self.fleet is not None:
-                return self.fleet.members()
-            case ("GET", "leases") if self.fleet is not None:
-                return self.fleet.leases()
-            case ("POST", "accept") if self.roster is not None and isinstance(raw, dict):
-                self.roster.accept_removals(str(raw.get("source")))
+            case ("GET", "membership") if self.membership is not None:
+                return self.membership.describe()
+            case ("GET", "fleet") if self.cluster is not None:
+                return self.cluster.members()
+            case ("GET", "leases") if self.cluster is not None:
+                return self.cluster.leases()
+            case ("POST", "accept") if self.membership is not None and isinstance(raw, dict):
+                self.membership.accept_removals(str(raw.get("source")))
                 return {"source": raw.get("source")}
-        raise KeyError(f"{method} {what}")
+        raise KeyError(f"{method} {operation}")
 
     def _status(self) -> dict[str, Any]:
         engine = self.engine
         return {
             "name": self.name,
-            "up_seconds": round(time.time() - self.started, 1),
+            "up_seconds": round(time.time() - self.started_at, 1),
             "servers": len(engine.table.workers),
             "ready_servers": sum(engine.table.accepts_work(name) for name in engine.table.workers),
             "list_is_live": engine.table.has_live_list,
@@ -87,34 +87,36 @@
             "counts": dict(engine.counts),
         }
 
-    def _servers(self) -> list[dict[str, Any]]:
+    def _workers(self) -> list[dict[str, Any]]:
         table, drained = self.engine.table, self.store.drained_workers()
-        believed = (
-            {s["server"]: s for s in self.roster.describe()["servers"]} if self.roster is not None else {}
+        status_by_worker = (
+            {s["server"]: s for s in self.membership.describe()["servers"]}
+            if self.membership is not None
+            else {}
         )
-        out: dict[str, int] = {}
-        for session in self.engine.requests.values():
-            for dispatch in session.open_attempts():
-                out[dispatch.worker] = out.get(dispatch.worker, 0) + 1
+        open_attempts: dict[str, int] = {}
+        for request in self.engine.requests.values():
+            for attempt in request.open_attempts():
+                open_attempts[attempt.worker] = open_attempts.get(attempt.worker, 0) + 1
         return [
             {
                 "server": name,
-                "state": believed.get(name, {}).get("state", server.entry.state.value),
-                "reason": believed.get(name, {}).get("reason"),
-                "address": ":".join(map(str, server.address)),
+                "state": status_by_worker.get(name, {}).get("state", worker.entry.state.value),
+                "reason": status_by_worker.get(name, {}).get("reason"),
+                "address": ":".join(map(str, worker.address)),
                 "drained_here": name in drained,
-                "dispatches": out.get(name, 0),
+                "dispatches": open_attempts.get(name, 0),
             }
-            for name, server in sorted(table.workers.items())
+            for name, worker in sorted(table.workers.items())
         ]
 
     def _drain(self, raw: Any) -> dict[str, Any]:
-        server = raw.get("server") if isinstance(raw, dict) else None
+        worker = raw.get("server") if isinstance(raw, dict) else None
         on = raw.get("on", True) if isinstance(raw, dict) else None
-        if not isinstance(server, str) or not isinstance(on, bool):
-            raise KeyError("drain needs a server and whether it is on")
-        if self.roster is None:
+        if not isinstance(worker, str) or not isinstance(on, bool):
+            raise KeyError("drain needs a server, and on: true or false")
+        if self.membership is None:
             raise KeyError("no membership")
-        self.roster.set_drained(server, on)
-        self.store.set_drained(server, on)
-        return {"server": server, "drained_here": on}
+        self.membership.set_drained(worker, on)
+        self.store.set_drained(worker, on)
+        return {"server": worker, "drained_here": on}
--- a/grebestack/drmaa/errors.py
+++ b/grebestack/drmaa/errors.py
@@ -1,10 +1,10 @@
-"""Errors by their names in the DRMAA2 specification, and the statuses that carry them."""
+"""Error names of the DRMAA2 specification and the HTTP statuses that they are sent with."""
 
 from __future__ import annotations
 
 from grebestack.jobs.records import JobError, JobErrorKind
 
-STATUS = {
+STATUS_BY_NAME = {
     "INVALID_ARGUMENT": 400,
     "UNSUPPORTED_ATTRIBUTE": 400,
     "INVALID_STATE": 409,
@@ -14,7 +14,7 @@
     "UNSUPPORTED_OPERATION": 501,
     "INTERNAL": 500,
 }
-KINDS = {
+NAME_AND_STATUS_BY_KIND = {
     JobErrorKind.INVALID: ("INVALID_ARGUMENT", 400),
     JobErrorKind.UNKNOWN: ("INVALID_ARGUMENT", 404),
     JobErrorKind.CONFLICT: ("INVALID_ARGUMENT", 409),
@@ -25,15 +25,15 @@
 
 
 class DrmaaError(Exception):
-    """An error by its name in the specification."""
+    """An error with its name in the specification."""
 
     def __init__(self, name: str, message: str, status: int = 0, retry_after_ms: float | None = None) -> None:
         super().__init__(message)
-        self.name, self.status = name, status or STATUS[name]
+        self.name, self.status = name, status or STATUS_BY_NAME[name]
         self.retry_after_ms = retry_after_ms
 
 
 def from_job_error(error: JobError) -> DrmaaError:
-    """What the job service says, in the specification's words."""
-    name, status = KINDS[error.kind]
+    """Return the specification's error for one of the job service."""
+    name, status = NAME_AND_STATUS_BY_KIND[error.kind]
     return DrmaaError(name, str(error), status, error.retry_after_ms)
--- a/grebestack/drmaa/template.py
+++ b/grebestack/drmaa/template.py
@@ -1,7 +1,7 @@
-"""The messages that clients send, as schemas: job templates, arrays and submissions of several jobs.
+"""Schemas of the messages that clients send: job templates, job arrays and submissions of several jobs.
 
-Attributes are DRMAA2's. What that has no word for (dependencies, wanted times, the payload) stands under
-`implementationSpecific`.
+Attributes are DRMAA2's. Those that DRMAA2 doesn't define (dependencies, latency objectives, the payload) are
+in `implementationSpecific`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from grebestack.jobs.records import Job, JobError, JobErrorKind, JobRequest, NewJob
 from grebestack.routing.requests import Payload
 
-# The other attributes of the specification's job template: known, and not to be had here.
+# The other attributes of the specification's job template, which are not supported.
 UNSUPPORTED = {
     "remoteCommand",
     "rerunnable",
@@ -45,10 +45,10 @@
     "resourceLimits",
     "accountingId",
 }
-MOST_TEMPLATE = 64 * 1024  # bytes
-MOST_IN_GRAPH = 1000  # jobs of one submission that name each other
-PARAMETRIC_INDEX = "$PARAMETRIC_INDEX$"  # stands for a job's index in args and payload
-UNIX_MOST = 253_402_300_800.0  # the year 10000
+MAX_TEMPLATE_BYTES = 64 * 1024
+MAX_GRAPH_JOBS = 1000  # in one submission
+PARAMETRIC_INDEX = "$PARAMETRIC_INDEX$"  # replaced by a job's index in args and payload
+MAX_UNIX_TIME_S = 253_402_300_800.0  # the year 10000
 T = TypeVar("T")
 Slots = Annotated[float, Meta(ge=1, le=4096)]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
@@ -87,7 +87,7 @@
     implementation_specific: Special = msgspec.field(default_factory=Special)
 
 
-class Bulk(msgspec.Struct, forbid_unknown_fields=True, rename="camel"):
+class BulkSubmission(msgspec.Struct, forbid_unknown_fields=True, rename="camel"):
     """runBulkJobs: one job for each index from begin to end."""
 
     job_template: dict[str, Any]
@@ -97,26 +97,26 @@
     max_parallel: Annotated[int, Meta(ge=1, le=1_000_000)] | None = None
 
 
-class Graph(msgspec.Struct, forbid_unknown_fields=True, rename="camel"):
-    """Jobs that come together and may name each other."""
+class GraphSubmission(msgspec.Struct, forbid_unknown_fields=True, rename="camel"):
+    """Jobs of one submission, which may depend on each other by name."""
 
-    jobs: Annotated[dict[Name, dict[str, Any]], Meta(min_length=1, max_length=MOST_IN_GRAPH)]
+    jobs: Annotated[dict[Name, dict[str, Any]], Meta(min_length=1, max_length=MAX_GRAPH_JOBS)]
 
 
-class Wait(msgspec.Struct, forbid_unknown_fields=True):
-    """waitTerminated: seconds, or -1 for as long as it takes."""
+class WaitArguments(msgspec.Struct, forbid_unknown_fields=True):
+    """waitTerminated: a timeout in seconds, or -1 for none."""
 
     timeout: Annotated[float, Meta(ge=-1, le=3600)] = 3600.0
 
 
-def checked(raw: Any, form: type[T], what: str) -> T:
-    """A message that keeps to its schema; else an error with the field, the value and what is allowed."""
+def validate(raw: Any, schema_class: type[T], subject: str) -> T:
+    """Convert a message by its schema; an error names the field, its value and what is allowed."""
     try:
-        return msgspec.convert(raw, form)
+        return msgspec.convert(raw, schema_class)
     except msgspec.ValidationError as error:
         text, _, path = str(error).partition(" - at `")
         path = path.rstrip("`").removeprefix("$").lstrip(".")
-        raise DrmaaError("INVALID_ARGUMENT", f"{path or what}: {text}{_value_at(raw, path)}") from error
+        raise DrmaaError("INVALID_ARGUMENT", f"{path or subject}: {text}{_value_at(raw, path)}") from error
 
 
 def _value_at(raw: Any, path: str) -> str:
@@ -133,7 +133,7 @@
 
 
 def unix_time(value: str | float | None, name: str) -> float | None:
-    """A time in ISO 8601 with its zone, or in Unix seconds."""
+    """Convert a time in ISO 8601 with a time zone, or in Unix seconds, to Unix seconds."""
     if value is None:
         return None
     if isinstance(value, int | float):
@@ -144,20 +144,20 @@
             seconds = when.timestamp() if when.tzinfo is not None else math.nan
         except (ValueError, OverflowError):
             seconds = math.nan
-    if not 0 <= seconds <= UNIX_MOST:
-        what = f"{name}: must be a time with its zone, or Unix seconds; it is {json.dumps(value)}"
-        raise DrmaaError("INVALID_ARGUMENT", what)
+    if not 0 <= seconds <= MAX_UNIX_TIME_S:
+        message = f"{name}: must be a time with its zone, or Unix seconds; it is {json.dumps(value)}"
+        raise DrmaaError("INVALID_ARGUMENT", message)
     return seconds
 
 
-def read(raw: Any) -> JobTemplate:
-    """A job template, checked by its schema."""
+def read_template(raw: Any) -> JobTemplate:
+    """Validate a job template."""
     if isinstance(raw, dict):
         raw = {name: value for name, value in raw.items() if value is not None}
         for name in raw:
             if name in UNSUPPORTED:
                 raise DrmaaError("UNSUPPORTED_ATTRIBUTE", f"{name} is not supported")
-    template = checked(raw, JobTemplate, "the job template")
+    template = validate(raw, JobTemplate, "the job template")
     if template.implementation_specific.payload is not None and template.args:
         raise DrmaaError("INVALID_ARGUMENT", "give args or a payload, not both")
     if template.max_slots is not None and template.max_slots < template.min_slots:
@@ -166,27 +166,27 @@
 
 
 class TemplateConverter:
-    """Turns templates into jobs, and recorded jobs into what their servers are sent."""
+    """Converts templates into jobs, and recorded jobs into the requests that workers are sent."""
 
     def __init__(self, settings: Settings, queued: frozenset[str] = frozenset()) -> None:
         self.names = [c.name for c in settings.classes]
-        self.queued = queued  # classes whose jobs wait for room though they ask for nothing
-        self.parsed = lru_cache(256)(self._parsed)  # an array's jobs share one template
+        self.queued = queued  # classes whose jobs are queued even without scheduling attributes
+        self.parse = lru_cache(256)(self._parse)  # the jobs of an array share one template
 
     def new_job(self, raw: Any, label: str = "", waits: bool = False) -> NewJob:
-        """A job as the job service takes it; DrmaaError if the template can't be used."""
-        template = read(raw)
+        """Return a job for the job service; DrmaaError if the template is not valid."""
+        template = read_template(raw)
         if template.job_category not in self.names:
-            what = f"jobCategory: must be one of {', '.join(self.names)}"
-            raise DrmaaError("INVALID_ARGUMENT", f"{what}; it is {json.dumps(template.job_category)}")
+            message = f"jobCategory: must be one of {', '.join(self.names)}"
+            raise DrmaaError("INVALID_ARGUMENT", f"{message}; it is {json.dumps(template.job_category)}")
         canonical = json.dumps(
             {name: value for name, value in raw.items() if value is not None},
             sort_keys=True,
             separators=(",", ":"),
         )
-        if len(canonical) > MOST_TEMPLATE:
-            what = f"the job template has {len(canonical)} bytes, {MOST_TEMPLATE} are allowed"
-            raise DrmaaError("INVALID_ARGUMENT", what)
+        if len(canonical) > MAX_TEMPLATE_BYTES:
+            message = f"the job template has {len(canonical)} bytes, {MAX_TEMPLATE_BYTES} are allowed"
+            raise DrmaaError("INVALID_ARGUMENT", message)
         special = template.implementation_specific
         after = tuple(
             (a, Condition.DONE) if isinstance(a, str) else (a.job, Condition(a.on)) for a in special.after
@@ -216,15 +216,15 @@
             label,
         )
 
-    def _parsed(self, text: str) -> JobTemplate:
+    def _parse(self, text: str) -> JobTemplate:
         try:
-            return read(json.loads(text))
+            return read_template(json.loads(text))
         except DrmaaError as error:
             raise JobError(JobErrorKind.INVALID, str(error)) from error
 
     def build_request(self, job: Job) -> JobRequest:
-        """What a server is sent for a recorded job."""
-        template = self.parsed(job.template)
+        """Return what a worker is sent for a recorded job."""
+        template = self.parse(job.template)
         if template.job_category not in self.names:
             raise JobError(JobErrorKind.INVALID, f"jobCategory must be one of {', '.join(self.names)}")
         payload = template.implementation_specific.payload
