--- a/grebestack/endpoint_watch/__init__.py
+++ b/grebestack/endpoint_watch/__init__.py
@@ -1,1 +1,1 @@
-"""The watch of a source's endpoint list, as a state machine. Knows neither sockets nor the list's format."""
+"""A state machine for the watch of an endpoint list, without sockets and without the list's format."""
--- a/grebestack/endpoint_watch/state_machine.py
+++ b/grebestack/endpoint_watch/state_machine.py
@@ -1,10 +1,10 @@
-"""The watch of one source's endpoint list. Pure: events in, actions out, time as an argument.
+"""The watch of one source's endpoint list, as a pure state machine: events and the time in, actions out.
 
 The worker table may lag behind the source by at most the time that the protocol allows (timing.py). A watch
 is a request to which the source responds with lines for as long as it is open. Where lists are pushed, an
 agent on this machine responds at once and at no cost, and the time allowed is the grace of a drain: there
-is always a request out that the agent can answer. Where lists are polled, all dispatchers poll one source
-of limited capacity, and the time allowed is some seconds: their requests are spread at random.
+is always an open request that the agent can respond to. Where lists are polled, all dispatchers poll one
+source of limited capacity, and the time allowed is some seconds: their requests are spread at random.
 
 All times are milliseconds on one monotonic clock.
 """
@@ -32,8 +32,8 @@
     """The state of the watch; the values are shown in the log."""
 
     NEW = "new"
-    CONNECTING = "connecting"  # no request has ever been answered
-    OPEN = "open"  # lines come
+    CONNECTING = "connecting"  # no request has ever had a response
+    OPEN = "open"  # lines arrive
     SILENT = "silent"  # a heartbeat is overdue: other requests are opened beside the watch
     BROKEN = "broken"  # the watch has ended: others are opened in its place
     MOVING = "moving"  # another address is watched: open watches are read, none is opened
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EventReceived:
-    """A watch event, or an empty line as a heartbeat, has come on a watch."""
+    """A watch event, or an empty line as a heartbeat, has arrived on a watch."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedEvent:
-    """What came on a watch can't be read: changes may be lost, and the complete list is needed."""
+    """An event of a watch can't be read: changes may be lost, and the complete list is needed."""
 
     number: int
 
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time of a `SetTimer` has come. An early one does no harm."""
+    """The time of a `SetTimer` has been reached. An early one does no harm."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stopped:
-    """Nothing is watched any more."""
+    """The watch ends for good."""
 
 
 Event = Started | EventReceived | MalformedEvent | WatchEnded | TimerFired | AddressChanged | Stopped
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenWatch:
-    """Connect and request a watch. One EventReceived, MalformedEvent or WatchEnded at least is expected."""
+    """Connect and request a watch. At least one EventReceived, MalformedEvent or WatchEnded must follow."""
 
     number: int
 
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send a `TimerFired` at this time, and not at that of a former `SetTimer`."""
+    """Send a `TimerFired` at this time instead of that of the last `SetTimer`."""
 
     at_ms: float
 
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True, eq=False)
 class WatchRequest:
-    """One request for a watch; `active_ms` is when it was opened, or its last line came."""
+    """One request for a watch; `active_ms` is when it was opened, or its last line arrived."""
 
     number: int
     active_ms: float
@@ -136,14 +136,14 @@
     draw: Callable[[], float]
     stage: Stage = Stage.NEW
     last_number: int = 0
-    current: WatchRequest | None = None  # the one on which lines come
+    current: WatchRequest | None = None  # the one on which lines arrive
     silent: WatchRequest | None = None  # the former current one, whose heartbeat is overdue
-    pending: list[WatchRequest] = field(default_factory=list)  # without a line so far, the oldest first
+    pending: list[WatchRequest] = field(default_factory=list)  # no line yet, the oldest first
     next_open_ms: float | None = None
     failures: int = 0  # watches in a row that ended without a line
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take an event; the actions to execute, in order."""
+        """Handle an event; return the actions to execute, in order."""
         if self.stage is Stage.STOPPED:
             return []
         actions = self._on_event(now_ms, event)
@@ -185,7 +185,7 @@
         return [*actions, *self._change_stage(Stage.OPEN)]
 
     def _make_current(self, request: WatchRequest) -> list[Action]:
-        # The first one with a line is read alone: of two, an older list could come after a newer one.
+        # Only the first one with a line is read: of two, an older list could arrive after a newer one.
         others = [one for one in (*self.pending, self.silent, self.current) if one is not request]
         self.current, self.silent, self.pending = request, None, []
         return _close(others)
@@ -193,7 +193,7 @@
     def _on_malformed_event(self, now_ms: float, number: int) -> list[Action]:
         if self._find(number) is None:
             return []
-        # A source whose lists are all long and malformed must not take the whole processor.
+        # Without growing delays, a source of long and malformed lists would use the whole processor.
         doublings = min(self.failures, MAX_MALFORMED_DOUBLINGS)
         min_delay_ms = min(HEARTBEAT_TIMEOUT_MS, self.settings.push_retry_ms * 2.0**doublings)
         return [CloseWatch(number), *self._replace_watch(now_ms, number, min_delay_ms)]
@@ -202,7 +202,7 @@
         return self._replace_watch(now_ms, number, None)
 
     def _replace_watch(self, now_ms: float, number: int, min_delay_ms: float | None) -> list[Action]:
-        """Forget a watch, and plan another one if none takes its place already.
+        """Forget a watch, and plan another one unless another one has its place already.
 
         With `min_delay_ms`, the next one is delayed at least so long, and a former plan doesn't count.
         """
@@ -239,7 +239,7 @@
         """Open others beside a watch whose source may be dead or cut off, so that no drain is missed."""
         if self.current is None or now_ms < self.current.overdue_at_ms:
             return []
-        self.silent, self.current = self.current, None  # kept open, since it may be the first to go on
+        self.silent, self.current = self.current, None  # kept open, since it may be the first to continue
         if self.stage is Stage.MOVING:
             return []
         delay_ms = 0.0 if self.settings.pushed else MAX_PARALLEL_DELAY_MS * self.draw()
@@ -264,10 +264,10 @@
     def _open_watch(self, now_ms: float) -> list[Action]:
         surplus: list[WatchRequest] = []
         while len(self.pending) >= MAX_PENDING:
-            surplus.append(self.pending.pop(1))  # the oldest stays, so that a slow source can still answer
+            surplus.append(self.pending.pop(1))  # the oldest stays, so that a slow source can still respond
         self.last_number += 1
         self.pending.append(WatchRequest(self.last_number, now_ms))
-        # Pushed: another one follows unless this one is answered soon.
+        # Pushed: another one follows unless this one has a response soon.
         self.next_open_ms = now_ms + self.settings.push_retry_ms if self.settings.pushed else None
         changes = self._change_stage(Stage.CONNECTING) if self.stage is Stage.NEW else []
         return [*_close(surplus), *changes, OpenWatch(self.last_number)]
@@ -283,7 +283,7 @@
         self.next_open_ms = None
         return [*_close(requests), *self._change_stage(Stage.STOPPED)]
 
-    # What transitions share.
+    # Helpers.
 
     def _change_stage(self, stage: Stage) -> list[Action]:
         if stage is self.stage:
@@ -298,7 +298,7 @@
         return None
 
     def _forget(self, request: WatchRequest) -> bool:
-        """Remove a request; whether it needs a replacement."""
+        """Remove a request; return whether it needs a replacement."""
         if request is self.current:
             self.current = None
             return True
@@ -323,8 +323,8 @@
         """The delay of the next watch after one without a line since `failed_since_ms`."""
         if self.settings.pushed:
             return max(min_delay_ms, self.settings.push_retry_ms)
-        # Random, since the dispatchers of a cluster that was restarted would come back together at a fixed
-        # delay, more often than the source can answer, so that none of them gets a list.
+        # Random, since at a fixed delay the dispatchers of a restarted cluster would all retry together, more
+        # often than the source can respond, so that none of them gets a list.
         doublings = min(self.failures, MAX_POLL_RETRY_DOUBLINGS)
         mean_ms = min(MAX_POLL_RETRY_MS, self.settings.poll_retry_ms * 2.0**doublings)
         left_ms = failed_since_ms + REOPEN_DEADLINE_MS - now_ms
--- a/grebestack/endpoint_watch/timing.py
+++ b/grebestack/endpoint_watch/timing.py
@@ -4,17 +4,17 @@
 
 from dataclasses import dataclass
 
-# The protocol: an empty line comes at this interval as long as nothing changes.
+# The protocol: an empty line is sent at this interval as long as nothing changes.
 HEARTBEAT_INTERVAL_MS = 2000.0
 HEARTBEAT_SLACK_MS = 600.0  # two round trips of a slow link, and a busy machine
 HEARTBEAT_TIMEOUT_MS = HEARTBEAT_INTERVAL_MS + HEARTBEAT_SLACK_MS
 # The protocol: the deadline by which a change is delivered, from when the source has it and can be reached,
-# or from when the open watch fell silent, whatever became of watches before.
+# or from when the open watch fell silent, regardless of earlier watches.
 DELIVERY_DEADLINE_MS = 6000.0
 CONNECT_TIMEOUT_MS = 1000.0
 
-# Polled: a watch that fails may have missed the source by a moment. The next one is opened at the latest
-# this long after it, which leaves time for a slow connection and a late machine or list.
+# Polled: a watch that fails may have missed the return of the source by a moment. The next one is opened
+# within this time after it, which leaves time for a slow connection and a late machine or list.
 REOPEN_DEADLINE_MS = DELIVERY_DEADLINE_MS - CONNECT_TIMEOUT_MS - HEARTBEAT_SLACK_MS
 # Polled: the longest delay of the first watch beside a silent one; half of what the deadline leaves.
 MAX_PARALLEL_DELAY_MS = (DELIVERY_DEADLINE_MS - HEARTBEAT_TIMEOUT_MS - CONNECT_TIMEOUT_MS) / 2.0
@@ -24,8 +24,8 @@
 MAX_POLL_RETRY_MS = 3000.0
 MAX_POLL_RETRY_DOUBLINGS = 2
 
-# Pushed: the delay is a part of the grace of drains, since a list that comes just after a request was lost
-# waits for the next request. The lower bound is a few turns of an event loop.
+# Pushed: the delay is a part of the grace of drains, since a list that the agent gets just after a request
+# was lost waits for the next request. The lower bound is a few turns of an event loop.
 PUSH_RETRY_PART_OF_GRACE = 1.0 / 3.0
 MIN_PUSH_RETRY_MS, MAX_PUSH_RETRY_MS = 20.0, 200.0
 
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchSettings:
-    """How a source gives its list.
+    """How a source delivers its list.
 
-    `pushed`: an agent on this machine has the list and answers at once; else the list is polled from a source
-    that all dispatchers share. `drain_grace_ms`: for this long after its drain was announced, a worker may
-    still be sent requests.
+    `pushed`: an agent on this machine has the list and responds at once; else the list is polled from a
+    source that all dispatchers share. `drain_grace_ms`: for this long after its drain was announced, a worker
+    may still be sent requests.
     """
 
     pushed: bool = True
--- a/tests/endpoint_watch_model.py
+++ b/tests/endpoint_watch_model.py
@@ -1,4 +1,4 @@
-"""An agent and the watches on it, in simulated time with faults; a checker of what came late."""
+"""A simulation of an agent and the watches on it, with faults, and a check for late changes."""
 
 from __future__ import annotations
 
@@ -21,172 +21,174 @@
 )
 from grebestack.endpoint_watch.timing import DELIVERY_DEADLINE_MS, WatchSettings
 
-LATE_MS = 50.0  # the page's slack on sockets
-WIRE_MS = 2.0  # a question or a line on its way
-Fault = tuple[float, str, float]  # when (ms), what, and for how long
+TOLERANCE_MS = 50.0  # what the protocol allows for sockets
+LINK_DELAY_MS = 2.0  # of a request or a line
+Fault = tuple[float, str, float]  # when (ms), which one, its duration (ms)
 
 
 @dataclass
 class Stream:
-    """A watch as the agent has it."""
+    """A watch at the agent."""
 
-    told: int = -1  # the version that went out last
-    dead: bool = False  # fell silent for good
-    tick: int = 0
+    sent_version: int = -1  # the last one
+    silenced: bool = False  # sends nothing any more
+    heartbeat_number: int = 0
 
 
 @dataclass
-class Play:
-    """One dispatcher and its agent. `seen` is what the server table has, and since when."""
+class Simulation:
+    """One dispatcher and its agent. `delivered`: which versions reached the worker table, and when."""
 
     settings: WatchSettings
     seed: int
     faults: Sequence[Fault]
-    keeps: bool = True  # whether watches that an outage finds, or that are opened in it, go on at its end
+    watches_continue: bool = True  # whether watches that are open in an outage continue after it
     now: float = 0.0
     version: int = 0
-    got: list[tuple[float, int]] = field(default_factory=lambda: [(0.0, 0)])  # when the agent had a version
-    seen: list[tuple[float, int]] = field(default_factory=list)
+    published: list[tuple[float, int]] = field(default_factory=lambda: [(0.0, 0)])  # versions of the agent
+    delivered: list[tuple[float, int]] = field(default_factory=list)
     fell_silent: list[float] = field(default_factory=list)
-    away: list[tuple[float, float]] = field(default_factory=list)  # when the agent could not answer
+    unreachable: list[tuple[float, float]] = field(default_factory=list)  # from when until when
     opened: list[float] = field(default_factory=list)
     streams: dict[int, Stream] = field(default_factory=dict)
     silent_until: float = 0.0
     refuses_until: float = 0.0
-    woken: int = 0
+    timer_number: int = 0
     queue: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
-    count: int = 0
+    call_count: int = 0
 
-    def at(self, ms: float, call: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (ms, self.count, call))
+    def call_at(self, ms: float, call: Callable[[], None]) -> None:
+        self.call_count += 1
+        heapq.heappush(self.queue, (ms, self.call_count, call))
 
     def run(self, until_ms: float, watch: EndpointWatch) -> None:
         self.watch = watch
-        for when, what, long in self.faults:
-            self.at(when, partial(self.fault, what, long))
-        self.feed(Started())
+        for when_ms, what, duration_ms in self.faults:
+            self.call_at(when_ms, partial(self.apply_fault, what, duration_ms))
+        self.handle(Started())
         while self.queue and self.queue[0][0] <= until_ms:
             self.now, _, call = heapq.heappop(self.queue)
             call()
 
-    def feed(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         for action in self.watch.handle(self.now, event):
             if isinstance(action, OpenWatch):
                 self.opened.append(self.now)
-                self.at(self.now + WIRE_MS, partial(self.asked, action.number))
+                self.call_at(self.now + LINK_DELAY_MS, partial(self.open_watch, action.number))
             elif isinstance(action, CloseWatch):
                 self.streams.pop(action.number, None)
             elif isinstance(action, SetTimer):
-                self.woken += 1
-                self.at(action.at_ms, partial(self.wake, self.woken))
+                self.timer_number += 1
+                self.call_at(action.at_ms, partial(self.fire_timer, self.timer_number))
 
-    def wake(self, number: int) -> None:
-        if number == self.woken:
-            self.feed(TimerFired())
+    def fire_timer(self, number: int) -> None:
+        if number == self.timer_number:
+            self.handle(TimerFired())
 
-    # The agent.
+    # The agent and its faults.
 
-    def asked(self, number: int) -> None:
+    def open_watch(self, number: int) -> None:
         if self.now < self.refuses_until:
-            self.feed(WatchEnded(number))
+            self.handle(WatchEnded(number))
             return
         stream = self.streams[number] = Stream()
         if self.now < self.silent_until:
-            stream.dead = not self.keeps
+            stream.silenced = not self.watches_continue
         else:
-            self.say(number, stream)
-        self.beat(number, stream)
-
-    def beat(self, number: int, stream: Stream) -> None:
-        """An empty line every 2 s as long as nothing changes."""
-
-        def empty(tick: int) -> None:
-            if self.streams.get(number) is stream and tick == stream.tick:
-                if not stream.dead and self.now >= self.silent_until:
-                    self.at(self.now + WIRE_MS, lambda: self.hear(number, stream, stream.told))
-                self.beat(number, stream)
-
-        stream.tick += 1
-        self.at(self.now + 2000.0, partial(empty, stream.tick))
-
-    def say(self, number: int, stream: Stream) -> None:
-        if not stream.dead and stream.told != self.version:
-            stream.told = version = self.version
-            self.at(self.now + WIRE_MS, lambda: self.hear(number, stream, version))
-            self.beat(number, stream)
-
-    def hear(self, number: int, stream: Stream, version: int) -> None:
+            self.send_list(number, stream)
+        self.schedule_heartbeat(number, stream)
+
+    def schedule_heartbeat(self, number: int, stream: Stream) -> None:
+        """Send an empty line every 2 s as long as nothing changes."""
+
+        def send_heartbeat(heartbeat_number: int) -> None:
+            if self.streams.get(number) is stream and heartbeat_number == stream.heartbeat_number:
+                if not stream.silenced and self.now >= self.silent_until:
+                    self.call_at(
+                        self.now + LINK_DELAY_MS, lambda: self.receive(number, stream, stream.sent_version)
+                    )
+                self.schedule_heartbeat(number, stream)
+
+        stream.heartbeat_number += 1
+        self.call_at(self.now + 2000.0, partial(send_heartbeat, stream.heartbeat_number))
+
+    def send_list(self, number: int, stream: Stream) -> None:
+        if not stream.silenced and stream.sent_version != self.version:
+            stream.sent_version = version = self.version
+            self.call_at(self.now + LINK_DELAY_MS, lambda: self.receive(number, stream, version))
+            self.schedule_heartbeat(number, stream)
+
+    def receive(self, number: int, stream: Stream, version: int) -> None:
         if self.streams.get(number) is not stream:
             return
-        self.feed(EventReceived(number))
+        self.handle(EventReceived(number))
         if version >= 0:
-            self.seen.append((self.now, version))
+            self.delivered.append((self.now, version))
 
-    def tell(self) -> None:
+    def send_lists(self) -> None:
         if self.now >= self.silent_until:
             for number, stream in list(self.streams.items()):
-                self.say(number, stream)
+                self.send_list(number, stream)
 
-    def fault(self, what: str, long: float) -> None:
+    def apply_fault(self, what: str, duration_ms: float) -> None:
         if what == "change":
             if self.now >= self.silent_until:
                 self.version += 1
-                self.got.append((self.now, self.version))
-                self.tell()
-        elif what == "outage":  # it is silent and learns nothing; what it gets at the return counts at once
-            self.silent_until = max(self.silent_until, self.now + long)
-            self.away.append((self.now, self.silent_until))
-            if not self.keeps:
-                self.hush()
-            self.at(self.silent_until, lambda: self.fault("change", 0.0))
-        elif what == "hush":  # the open watches are silent from now on, while new ones are answered
-            self.hush()
-        elif what == "refuse":  # nobody listens; what is open is reset
-            self.refuses_until = max(self.refuses_until, self.now + long)
-            self.away.append((self.now, self.refuses_until))
-            self.reset()
+                self.published.append((self.now, self.version))
+                self.send_lists()
+        elif what == "outage":  # it sends and learns nothing; after it, a change is due in the usual time
+            self.silent_until = max(self.silent_until, self.now + duration_ms)
+            self.unreachable.append((self.now, self.silent_until))
+            if not self.watches_continue:
+                self.silence_watches()
+            self.call_at(self.silent_until, lambda: self.apply_fault("change", 0.0))
+        elif what == "silence":  # open watches are silent from now on, new ones work
+            self.silence_watches()
+        elif what == "refuse":  # connections are refused, and open ones reset
+            self.refuses_until = max(self.refuses_until, self.now + duration_ms)
+            self.unreachable.append((self.now, self.refuses_until))
+            self.reset_watches()
         else:
-            self.reset()
+            self.reset_watches()
 
-    def hush(self) -> None:
+    def silence_watches(self) -> None:
         self.fell_silent += [self.now] if self.streams else []
         for stream in self.streams.values():
-            stream.dead = True
+            stream.silenced = True
 
-    def reset(self) -> None:
+    def reset_watches(self) -> None:
         streams, self.streams = self.streams, {}
         for number in streams:
-            self.at(self.now + WIRE_MS, partial(self.feed, WatchEnded(number)))
-
-    def late(self, until_ms: float, rule: WatchSettings | None = None) -> list[str]:
-        """What the server table had later than the rule allows."""
-        wrong, rule = [], rule or self.settings
-        for at, version in self.got:
-            time = rule.drain_grace_ms + LATE_MS if rule.pushed else DELIVERY_DEADLINE_MS
-            allowed = at + time
+            self.call_at(self.now + LINK_DELAY_MS, partial(self.handle, WatchEnded(number)))
+
+    def late_changes(self, until_ms: float, rule: WatchSettings | None = None) -> list[str]:
+        """Describe each change that reached the worker table later than the rule allows."""
+        late, rule = [], rule or self.settings
+        for at, version in self.published:
+            limit_ms = rule.drain_grace_ms + TOLERANCE_MS if rule.pushed else DELIVERY_DEADLINE_MS
+            allowed_ms = at + limit_ms
             for since, until in sorted(
-                [*self.away, *((s, s + DELIVERY_DEADLINE_MS - time) for s in self.fell_silent)]
+                [*self.unreachable, *((s, s + DELIVERY_DEADLINE_MS - limit_ms) for s in self.fell_silent)]
             ):
-                if since <= allowed:  # nobody could know meanwhile
-                    allowed = max(allowed, until + time)
-            if allowed >= until_ms:
+                if since <= allowed_ms:  # it could not be delivered meanwhile
+                    allowed_ms = max(allowed_ms, until + limit_ms)
+            if allowed_ms >= until_ms:
                 continue
-            came = min((when for when, seen in self.seen if seen >= version), default=until_ms)
-            if came > allowed:
-                wrong.append(f"version {version} of {at:.0f} ms came at {came:.0f}, allowed to {allowed:.0f}")
-        return wrong
+            delivered_ms = min((when for when, seen in self.delivered if seen >= version), default=until_ms)
+            if delivered_ms > allowed_ms:
+                late.append(f"version {version} of {at:.0f} ms: {delivered_ms:.0f}, due {allowed_ms:.0f}")
+        return late
 
 
-def play(
+def simulate(
     settings: WatchSettings,
     seed: int,
     faults: Sequence[Fault],
-    keeps: bool,
+    watches_continue: bool,
     until_ms: float = 40_000.0,
-    kind: type[EndpointWatch] = EndpointWatch,
-) -> Play:
-    """One play, whole."""
-    game = Play(settings, seed, faults, keeps)
-    game.run(until_ms, kind(settings, random.Random(seed).random))
-    return game
+    watch_class: type[EndpointWatch] = EndpointWatch,
+) -> Simulation:
+    """Run one simulation to its end."""
+    simulation = Simulation(settings, seed, faults, watches_continue)
+    simulation.run(until_ms, watch_class(settings, random.Random(seed).random))
+    return simulation
--- a/tests/test_races_program.py
+++ b/tests/test_races_program.py
@@ -1,4 +1,4 @@
-"""Two events that cross in a whole process: signals, starts, stops and descriptors; see docs/crossings.md."""
+"""Races in a whole process: signals, starts, stops and descriptors; see docs/crossings.md."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from tests.test_program import job
 
 
-def start_by_pipe(world: World, **more: Any) -> tuple[subprocess.Popen[bytes], Path]:
-    """Start a dispatcher that reads its configuration from a pipe: it waits there until all is written."""
+def start_by_pipe(world: World, **options: Any) -> tuple[subprocess.Popen[bytes], Path]:
+    """Start a dispatcher that reads its configuration from a pipe, and so waits until it is written."""
     pipe = world.folder / "config"
     os.mkfifo(pipe)
     environ = {
@@ -29,24 +29,24 @@
         "RELAY_LISTEN": f"127.0.0.1:{world.front[1]}",
         "RELAY_DISCOVERY": f"127.0.0.1:{world.discovery.address[1]}",
     }
-    process = subprocess.Popen([sys.executable, "-m", "grebestack"], env=os.environ | environ, **more)
+    process = subprocess.Popen([sys.executable, "-m", "grebestack"], env=os.environ | environ, **options)
     world.processes.append(process)
     return process, pipe
 
 
 def test_a_sighup_during_the_start_rereads_the_configuration_and_ends_nothing(tmp_path: Path) -> None:
-    """SIGHUP ended a process that was just starting. Here it comes while the configuration is being read."""
+    """SIGHUP ended a process that was just starting. Here it arrives while the configuration is read."""
     world, other = World(tmp_path), World(tmp_path)
     try:
         world.runner("s-old")
-        runner = other.runner("s-new")
+        worker = other.runner("s-new")
         other.front = world.front
         process, pipe = start_by_pipe(world)
-        with pipe.open("w") as out:  # opened once the process reads
+        with pipe.open("w") as out:  # returns once the process has opened it for reading
             process.send_signal(signal.SIGHUP)
-            time.sleep(0.1)  # it makes no difference to a process that is still there
+            time.sleep(0.1)  # time for the signal to end the process, if it does
             json.dump(CONFIG, out)
-            pipe.unlink()  # it reads again, and moves
+            pipe.unlink()  # the process reads again, and changes to the other discovery address
             moved = {"discovery": f"127.0.0.1:{other.discovery.address[1]}"}
             pipe.write_text(json.dumps(CONFIG | moved))
         wait_until(lambda: world.ready() and other.discovery.watches > 0)
@@ -55,7 +55,7 @@
         def served() -> bool:
             return call(world.front, "POST", "/api", b"", job(os.urandom(4).hex(), "reading"))[0] == 200
 
-        wait_until(lambda: served() and len(runner.jobs) > 0)
+        wait_until(lambda: served() and len(worker.jobs) > 0)
     finally:
         world.close()
         other.close()
@@ -63,34 +63,36 @@
 
 @pytest.mark.parametrize("silent", [False, True])
 def test_a_repeated_stop_with_sighups_leaves_no_request_unanswered(world: World, silent: bool) -> None:
-    """Also while discovery is down; with a client that rests, one that has sent half, and a job that runs."""
-    runner = world.runner("s-1", 0.6)
+    """Also while discovery is down; with an idle client, an incomplete request and a running job."""
+    worker = world.runner("s-1", 0.6)
     front = world.start()
     assert call(front, "POST", "/api", b"", job("first", "reading"))[0] == 200
     world.discovery.mute = silent
-    resting, half = socket.create_connection(front, 30), socket.create_connection(front, 30)
-    resting.sendall(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
-    assert resting.recv(4096).startswith(b"HTTP/1.1 200")
-    half.sendall(b"POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: half\r\nX-Call-Class: reading\r\n")
+    idle, incomplete = socket.create_connection(front, 30), socket.create_connection(front, 30)
+    idle.sendall(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
+    assert idle.recv(4096).startswith(b"HTTP/1.1 200")
+    incomplete.sendall(b"POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: half\r\nX-Call-Class: reading\r\n")
     running = world.in_background(lambda: call(front, "POST", "/api", b"", job("running", "reading")))
-    wait_until(lambda: len(runner.jobs) == 2)
+    wait_until(lambda: len(worker.jobs) == 2)
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
         world.process.send_signal(number)
-    half.sendall(b"Idempotency-Key: half\r\nContent-Length: 4\r\n\r\nbody")
-    assert half.recv(4096).startswith(b"HTTP/1.1 200")
+    incomplete.sendall(b"Idempotency-Key: half\r\nContent-Length: 4\r\n\r\nbody")
+    assert incomplete.recv(4096).startswith(b"HTTP/1.1 200")
     assert running()[0] == 200
-    resting.sendall(
+    idle.sendall(
         b"POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: late\r\nX-Call-Class: reading\r\n"
         b"Idempotency-Key: late\r\nContent-Length: 0\r\n\r\n"
     )
     try:
-        heard = resting.recv(4096)
+        response = idle.recv(4096)
     except ConnectionError:
-        heard = b""
-    assert heard == b"" or heard.startswith((b"HTTP/1.1 200", b"HTTP/1.1 503"))
+        response = b""
+    assert response == b"" or response.startswith((b"HTTP/1.1 200", b"HTTP/1.1 503"))
     assert world.process.wait(30) == 0
-    ran = [j.headers["x-call-id"] for j in runner.jobs]
-    assert len(ran) == len(set(ran)) and (heard.startswith(b"HTTP/1.1 200") or "late" not in ran)
+    run_ids = [j.headers["x-call-id"] for j in worker.jobs]
+    assert len(run_ids) == len(set(run_ids)) and (
+        response.startswith(b"HTTP/1.1 200") or "late" not in run_ids
+    )
 
 
 def test_a_stop_during_the_start_ends_it(tmp_path: Path) -> None:
@@ -101,7 +103,7 @@
         with pipe.open("w") as out:
             json.dump(CONFIG, out)
         wait_until(lambda: listens(world))
-        process.send_signal(signal.SIGTERM)  # the list has not come: it is not ready yet, or only just
+        process.send_signal(signal.SIGTERM)  # without a list: it is not ready yet, or only just
         _, log = process.communicate(timeout=30)
         assert process.returncode == 0 and b"Traceback" not in log
     finally:
@@ -123,33 +125,33 @@
         for n in range(1024)
     ]
     world.known = {"rev": 9, "all": True, "targets": targets}
-    began = time.monotonic()
+    started_at = time.monotonic()
     world.start()
-    assert time.monotonic() - began < 10.0
+    assert time.monotonic() - started_at < 10.0
 
 
 def test_idle_clients_that_use_all_descriptors_block_neither_the_watch_nor_worker_connections(
     world: World,
 ) -> None:
-    """While discovery is down; at its return the list is heard and a job is served."""
-    runner = world.runner("s-1")
+    """While discovery is down; once it is back, the list arrives and a job is served."""
+    worker = world.runner("s-1")
     front = world.start()
     resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (256, 256))
     assert call(front, "POST", "/api", b"", job("before", "reading"))[0] == 200
     world.discovery.mute = True
-    crowd: list[socket.socket] = []
+    clients: list[socket.socket] = []
     watches = world.discovery.watches
     try:
         for _ in range(3):
             for _ in range(300):
-                one = socket.socket()
-                one.setblocking(False)
-                one.connect_ex(front)
-                crowd.append(one)
+                client = socket.socket()
+                client.setblocking(False)
+                client.connect_ex(front)
+                clients.append(client)
             time.sleep(0.05)
-        wait_until(lambda: world.discovery.watches > watches)  # it asks on
-        new = world.runner("s-2")
-        world.set_state(runner, "Terminating")
+        wait_until(lambda: world.discovery.watches > watches)  # it goes on opening watches
+        new_worker = world.runner("s-2")
+        world.set_state(worker, "Terminating")
         world.discovery.mute = False
         wait_until(lambda: world.discovery.told == world.discovery.rev)
 
@@ -160,8 +162,8 @@
                 return False
 
         wait_until(served)
-        wait_until(lambda: served() and len(new.jobs) > 0)
+        wait_until(lambda: served() and len(new_worker.jobs) > 0)
         assert len(os.listdir(f"/proc/{world.process.pid}/fd")) <= 256
     finally:
-        for one in crowd:
-            one.close()
+        for client in clients:
+            client.close()
