--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -18,7 +18,7 @@
 
 
 def test_an_operator_sees_submits_cancels_and_drains(world: World) -> None:
-    runner, other = world.runner("s-1"), world.runner("s-2")
+    worker, other = world.runner("s-1"), world.runner("s-2")
     world.start_appliance()
     result = console(world, "submit", "order", "500 l", "--wait")
     assert (result.returncode, "jobState: DONE" in result.stdout) == (0, True), result.stderr
@@ -30,16 +30,16 @@
         assert console(world, "drain", uid).returncode == 0
     listing = console(world, "servers").stdout
     assert listing.count("draining") == 2
-    taken = len(runner.jobs) + len(other.jobs)
+    run_count = len(worker.jobs) + len(other.jobs)
     answer = json.loads(console(world, "--json", "submit", "order").stdout)
     assert console(world, "cancel", answer["jobId"]).returncode == 0
     again = console(world, "cancel", answer["jobId"])
     assert (again.returncode, again.stderr.count("\n")) == (1, 1)
     assert "INVALID_STATE" in again.stderr
     assert console(world, "wait", answer["jobId"]).returncode == 5
-    assert len(runner.jobs) + len(other.jobs) == taken
+    assert len(worker.jobs) + len(other.jobs) == run_count
 
-    # A drain outlives a restart, until it is undone.
+    # A drain lasts across a restart, until it is ended.
     world.kill()
     world.start_appliance()
     wait_until(lambda: console(world, "servers").stdout.count("draining") == 2)
@@ -48,18 +48,18 @@
 
 
 def test_errors_are_one_line_and_an_exit_code(world: World) -> None:
-    world.runner("s-1", seconds=60.0)  # the one job stays open, however long the next call takes
+    world.runner("s-1", seconds=60.0)  # so that the job stays open during the next calls
     world.start_appliance(settings="most_open = 1")
     assert console(world, "drain", "nobody").returncode == 1
     assert console(world, "submit", "nothing").returncode == 1
     assert console(world, "job", "nothing").returncode == 1
     assert console(world, "unheard-of").returncode == 2
     assert console(world, "submit", "order").returncode == 0
-    later = console(world, "submit", "order")
-    assert (later.returncode, "TRY_LATER" in later.stderr) == (4, True)
+    rejected = console(world, "submit", "order")
+    assert (rejected.returncode, "TRY_LATER" in rejected.stderr) == (4, True)
     world.drmaa = ("127.0.0.1", reserved_port())
-    gone = console(world, "status")
-    assert (gone.returncode, gone.stderr.count("\n")) == (3, 1)
+    unreachable = console(world, "status")
+    assert (unreachable.returncode, unreachable.stderr.count("\n")) == (3, 1)
 
 
 def test_the_console_shows_the_cluster_and_the_lease_holders_of_its_tasks(world: World) -> None:
@@ -69,15 +69,15 @@
         f'[fleet.tallies]\ncollector = "127.0.0.1:{collector}"\n'
     )
     world.start_appliance()
-    assert console(world, "fleet").returncode == 1  # it is a member of none
+    assert console(world, "fleet").returncode == 1  # it is a member of no cluster
     world.kill()
-    world.start_appliance(settings=settings)  # not formed: nobody could admit it
+    world.start_appliance(settings=settings)  # not bootstrapped: nobody could admit it
     wait_until(lambda: "asks to be admitted" in console(world, "fleet").stdout)
     world.kill()
     shutil.rmtree(folder)
-    form = [sys.executable, "-m", "grebestack", "form", "--config", str(world.folder / "appliance.toml")]
-    assert subprocess.run(form, timeout=60, check=False, stdout=subprocess.DEVNULL).returncode == 0
-    again = subprocess.run(form, timeout=60, check=False, capture_output=True, text=True)
+    bootstrap = [sys.executable, "-m", "grebestack", "form", "--config", str(world.folder / "appliance.toml")]
+    assert subprocess.run(bootstrap, timeout=60, check=False, stdout=subprocess.DEVNULL).returncode == 0
+    again = subprocess.run(bootstrap, timeout=60, check=False, capture_output=True, text=True)
     assert (again.returncode, "holds records of a member already" in again.stdout) == (2, True)
     world.start_appliance(settings=settings)
     wait_until(lambda: "grebestack  1" in console(world, "fleet", "leases").stdout)
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -1,4 +1,4 @@
-"""The DRMAA front over sockets, with stand-in runners: one final state a job, and no order runs twice."""
+"""The DRMAA2 API over sockets, with stand-in workers: a job has one final state, and none runs twice."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Client:
-    """A planning program that submits and polls."""
+    """A client that submits jobs and polls their state."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -50,15 +50,15 @@
 
 
 def test_a_job_runs_once_and_its_key_returns_the_same_job(world: World, client: Client) -> None:
-    runner = world.runner("s-1", seconds=0.2)
+    worker = world.runner("s-1", seconds=0.2)
     world.start_appliance()
     job = client.run("k1")
-    assert client.run("k1") == job  # the answer to the first was lost, say
+    assert client.run("k1") == job  # as if the first response had been lost
     status, info = client.wait(job)
     assert (status, info["jobState"], info["allocatedMachines"]) == (200, "DONE", ["s-1"])
     assert info["implementationSpecific"]["result"] == f"result of {job}"
     assert client.run("k1") == job
-    assert [j.body for j in runner.jobs] == [b'{"args": ["500 l"]}']
+    assert [j.body for j in worker.jobs] == [b'{"args": ["500 l"]}']
     status, answer = client.ask("POST", "", ORDER | {"jobName": "other"}, Idempotency_Key="k1")
     assert (status, answer["error"]) == (409, "INVALID_ARGUMENT")
     assert client.ask("POST", f"/{job}/terminate")[1]["error"] == "INVALID_STATE"
@@ -85,12 +85,12 @@
 ) -> None:
     if not world.processes:
         world.start_appliance()
-    got = client.ask(method, path, body, Idempotency_Key="k")
-    assert (got[0], got[1]["error"]) == (status, error)
+    response = client.ask(method, path, body, Idempotency_Key="k")
+    assert (response[0], response[1]["error"]) == (status, error)
 
 
 def test_a_submission_without_a_key_is_rejected(world: World, client: Client) -> None:
-    # Guards against a resubmission, after a lost answer, that makes a second job.
+    # Guards against a second job from a resubmission after a lost response.
     world.start_appliance()
     assert client.ask("POST", "", ORDER)[1]["error"] == "INVALID_ARGUMENT"
 
@@ -120,71 +120,71 @@
     job = client.run("k1")
     assert client.ask("POST", f"/{job}/terminate")[0] == 202
     assert client.state(job) == "FAILED"
-    runner = world.runner("s-1")
+    worker = world.runner("s-1")
     assert "not run" in client.wait(job)[1]["annotation"]
-    assert not runner.jobs
+    assert not worker.jobs
 
 
 @pytest.mark.parametrize("confirms", [True, False])
 def test_a_cancel_while_the_job_runs(world: World, client: Client, confirms: bool) -> None:
-    runner = world.runner("s-1", seconds=2.5)
-    runner.confirms = confirms
+    worker = world.runner("s-1", seconds=2.5)
+    worker.confirms = confirms
     world.start_appliance()
     job = client.run("k1")
-    wait_until(lambda: client.state(job) == "RUNNING" and len(runner.jobs) == 1)
+    wait_until(lambda: client.state(job) == "RUNNING" and len(worker.jobs) == 1)
     assert client.ask("POST", f"/{job}/terminate")[0] == 202
     info = client.wait(job)[1]
-    if confirms:  # the runner's word came first
+    if confirms:  # the worker confirmed the cancel before the job ended
         assert info["jobState"] == "FAILED" and "terminated" in info["annotation"]
-    else:  # the runner went on, and its end came first
+    else:  # the worker went on, and the job ended first
         assert info["jobState"] == "DONE"
     # A late or repeated call-back changes nothing.
-    assert runner.call_back(job, state="failed") in (200, 204)
-    assert runner.call_back(job, state="done", result="again") in (200, 204)
+    assert worker.call_back(job, state="failed") in (200, 204)
+    assert worker.call_back(job, state="done", result="again") in (200, 204)
     assert client.ask("GET", f"/{job}")[1] == info
-    assert len(runner.jobs) == 1
+    assert len(worker.jobs) == 1
 
 
 def test_a_job_is_known_after_a_kill_and_its_call_back_ends_it(world: World, client: Client) -> None:
-    runner = world.runner("s-1", seconds=1.5)
+    worker = world.runner("s-1", seconds=1.5)
     world.start_appliance()
     job = client.run("k1")
-    wait_until(lambda: len(runner.jobs) == 1)
+    wait_until(lambda: len(worker.jobs) == 1)
     world.kill()
     world.start_appliance()
     assert client.state(job) in ("UNDETERMINED", "DONE")
     assert client.run("k1") == job
     assert client.wait(job)[1]["jobState"] == "DONE"
-    assert len(runner.jobs) == 1
+    assert len(worker.jobs) == 1
 
 
 def test_a_job_that_may_have_run_is_never_sent_again_and_fails_at_its_deadline(
     world: World, client: Client
 ) -> None:
-    runner = world.runner("s-1")
-    runner.mute = True
+    worker = world.runner("s-1")
+    worker.mute = True
     world.start_appliance()
     job = client.run("k1")
-    wait_until(lambda: len(runner.jobs) == 1)
+    wait_until(lambda: len(worker.jobs) == 1)
     world.kill()
     world.start_appliance()
     info = client.wait(job)[1]
     assert info["jobState"] == "FAILED" and "perhaps run" in info["annotation"]
-    assert len(runner.jobs) == 1
+    assert len(worker.jobs) == 1
 
 
 def test_a_job_that_was_never_sent_runs_after_a_restart(world: World, client: Client) -> None:
     world.start_appliance()
     job = client.run("k1")
     world.kill()
-    runner = world.runner("s-1")
+    worker = world.runner("s-1")
     world.start_appliance()
     assert client.wait(job)[1]["jobState"] == "DONE"
-    assert len(runner.jobs) == 1
+    assert len(worker.jobs) == 1
 
 
 def test_a_second_dispatcher_on_the_same_store_ends_at_once(world: World, client: Client) -> None:
-    # Guards against a second program that would take up, and run, the first one's jobs.
+    # Guards against a second process that would restore, and run, the first one's jobs.
     world.start_appliance()
     second = subprocess.run(
         [sys.executable, "-m", "grebestack", "--config", str(world.folder / "appliance.toml")],
@@ -197,16 +197,16 @@
     assert second.stderr.splitlines()[-1] == "grebestack: database is locked"
 
 
-def any_sent(client: Client, jobs: list[str]) -> bool:
+def any_started(client: Client, jobs: list[str]) -> bool:
     return any(client.state(job) != "QUEUED" for job in jobs)
 
 
-def settle_all(client: Client, jobs: list[str]) -> dict[str, str]:
+def final_states(client: Client, jobs: list[str]) -> dict[str, str]:
     return {job: client.wait(job)[1]["jobState"] for job in jobs}
 
 
-def disturbances(world: World, client: Client, jobs: list[str]) -> list[Callable[[], None]]:
-    """What goes wrong while jobs run: cancels, a drain, a planned restart and a kill."""
+def faults(world: World, client: Client, jobs: list[str]) -> list[Callable[[], None]]:
+    """Return what disturbs running jobs: cancels, a drain, a planned restart and a kill."""
 
     def restart(number: int) -> None:
         world.process.send_signal(number)
@@ -229,22 +229,22 @@
 def test_every_job_ends_in_one_state_and_none_runs_twice(world: World, client: Client) -> None:
     for n in range(3):
         world.runner(f"s-{n}", seconds=0.3).confirms = n == 1
-    world.runners[2].status = 503  # full: hands back what it is sent
+    world.runners[2].status = 503  # rejects whatever it is sent
     world.start_appliance()
     jobs: list[str] = []
-    for step in disturbances(world, client, jobs):
+    for step in faults(world, client, jobs):
         jobs += [client.run(f"key-{len(jobs) + n}") for n in range(6)]
-        newest = jobs[-6:]
-        wait_until(partial(any_sent, client, newest))
+        new_jobs = jobs[-6:]
+        wait_until(partial(any_started, client, new_jobs))
         step()
         assert [client.run(f"key-{n}") for n in range(len(jobs))] == jobs
-    states = settle_all(client, jobs)
+    states = final_states(client, jobs)
     assert set(states.values()) <= {"DONE", "FAILED"}
     assert "DONE" in states.values()
     assert max(world.orders.runs.values()) == 1
-    taken = [j.headers["x-call-id"] for r in world.runners[:2] for j in r.jobs]
-    assert len(taken) == len(set(taken))  # no order was taken twice
-    for job, state in states.items():  # and a state, once final, stays
-        for runner in world.runners:
-            runner.call_back(job, state="done", result="late")
+    run_ids = [j.headers["x-call-id"] for r in world.runners[:2] for j in r.jobs]
+    assert len(run_ids) == len(set(run_ids))  # no job was run twice
+    for job, state in states.items():  # a final state stays
+        for worker in world.runners:
+            worker.call_back(job, state="done", result="late")
         assert client.state(job) == state
