--- a/grebestack/drmaa/api.py
+++ b/grebestack/drmaa/api.py
@@ -235,7 +235,7 @@
         if not numbers:
             message = f"endIndex: {bulk.end_index} is below beginIndex, {bulk.begin_index}"
             raise DrmaaError("INVALID_ARGUMENT", message)
-        new_job = self.templates.new_job(bulk.job_template, waits=True)
+        new_job = self.templates.new_job(bulk.job_template, may_wait=True)
         self.service.submit_batch(
             key,
             canonical(raw),
@@ -252,7 +252,7 @@
         new_jobs = []
         for name, template in graph.jobs.items():
             try:
-                new_jobs.append(self.templates.new_job(template, name, waits=True))
+                new_jobs.append(self.templates.new_job(template, name, may_wait=True))
             except DrmaaError as error:
                 raise DrmaaError(error.name, f"jobs.{name}: {error}", error.status) from error
         self.service.submit_batch(
--- a/grebestack/drmaa/template.py
+++ b/grebestack/drmaa/template.py
@@ -173,7 +173,7 @@
         self.queued = queued  # classes whose jobs are queued even without scheduling attributes
         self.parse = lru_cache(256)(self._parse)  # the jobs of an array share one template
 
-    def new_job(self, raw: Any, label: str = "", waits: bool = False) -> NewJob:
+    def new_job(self, raw: Any, label: str = "", may_wait: bool = False) -> NewJob:
         """Return a job for the job service; DrmaaError if the template is not valid."""
         template = read_template(raw)
         if template.job_category not in self.names:
@@ -187,32 +187,33 @@
         if len(canonical) > MAX_TEMPLATE_BYTES:
             message = f"the job template has {len(canonical)} bytes, {MAX_TEMPLATE_BYTES} are allowed"
             raise DrmaaError("INVALID_ARGUMENT", message)
-        special = template.implementation_specific
-        after = tuple(
-            (a, Condition.DONE) if isinstance(a, str) else (a.job, Condition(a.on)) for a in special.after
+        extensions = template.implementation_specific
+        dependencies = tuple(
+            (item, Condition.DONE) if isinstance(item, str) else (item.job, Condition(item.on))
+            for item in extensions.after
         )
         start = unix_time(template.start_time, "startTime")
-        waits = (
-            waits
-            or bool(after)
+        may_wait = (
+            may_wait
+            or bool(dependencies)
             or start is not None
             or template.submit_as_hold
             or template.priority is not None
-            or special.wanted_time is not None
+            or extensions.wanted_time is not None
             or template.job_category in self.queued
         )
         return NewJob(
             canonical,
             template.job_category,
             self.names.index(template.job_category),
-            waits,
+            may_wait,
             start,
             unix_time(template.deadline_time, "deadlineTime"),
-            special.wanted_time,
+            extensions.wanted_time,
             float(template.priority or 0),
             template.submit_as_hold,
-            after,
-            special.after_mode == "any",
+            dependencies,
+            extensions.after_mode == "any",
             label,
         )
 
--- a/grebestack/transport/client.py
+++ b/grebestack/transport/client.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 DEFAULT_MAX_BODY_BYTES = 256 * 1024  # of a response
 MAX_HEAD_BYTES = 64 * 1024  # of all that a response holds besides its body
-INITIAL_ROUND_TRIP_S = 0.012  # assumed until a shorter one is measured
+INITIAL_ROUND_TRIP_S = 0.012  # assumed until a shorter one is seen
 MIN_LAST_BYTE_DELAY_S = 0.002
 STALE_RESET_S = 0.05  # a reset within this time of a request shows that the connection was already dead
 REUSE_DELAY_S = 0.01  # idle time before a connection is used again: a second answer may come a little later
@@ -40,7 +40,7 @@
     returns None or the exchange is withdrawn or aborted.
     """
 
-    delays_last_byte: bool = False  # see `Connection.start`
+    delays_last_byte: bool = False  # so that a dead connection shows first, see `Connection.start`
 
     def on_connection_ready(self) -> bytes | None:
         """Return the request for a connection that is open, or None if it must not be sent any more."""
@@ -141,7 +141,7 @@
             if not self.complete:
                 self.abort()
                 return
-            self.has_excess = True
+            self.has_excess = True  # malformed data after a complete response
         if self.complete and self.exchange is not None:  # None: an overlong body has aborted the exchange
             # Detached before the connection becomes available, which may start the next exchange at once.
             response = self.response
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -24,24 +24,24 @@
         self.world = world
         self.headers: dict[str, str] = {}
 
-    def ask(self, method: str, path: str, body: Any = None, **headers: str) -> tuple[int, Any]:
+    def request(self, method: str, path: str, body: Any = None, **headers: str) -> tuple[int, Any]:
         data = b"" if body is None else json.dumps(body).encode()
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
         status, self.headers, text = call(self.world.drmaa, method, f"/drmaa2/jobs{path}", data, sent)
         return status, json.loads(text) if text else None
 
     def run(self, key: str, template: Any = ORDER) -> str:
-        status, answer = self.ask("POST", "", template, Idempotency_Key=key)
+        status, answer = self.request("POST", "", template, Idempotency_Key=key)
         assert status in (200, 201), answer
         job: str = answer["jobId"]
         return job
 
     def state(self, job: str) -> str:
-        state: str = self.ask("GET", f"/{job}/state")[1]["jobState"]
+        state: str = self.request("GET", f"/{job}/state")[1]["jobState"]
         return state
 
     def wait(self, job: str, timeout: float = 30.0) -> tuple[int, Any]:
-        return self.ask("POST", f"/{job}/waitTerminated", {"timeout": timeout})
+        return self.request("POST", f"/{job}/waitTerminated", {"timeout": timeout})
 
 
 @pytest.fixture
@@ -59,11 +59,11 @@
     assert info["implementationSpecific"]["result"] == f"result of {job}"
     assert client.run("k1") == job
     assert [j.body for j in worker.jobs] == [b'{"args": ["500 l"]}']
-    status, answer = client.ask("POST", "", ORDER | {"jobName": "other"}, Idempotency_Key="k1")
+    status, answer = client.request("POST", "", ORDER | {"jobName": "other"}, Idempotency_Key="k1")
     assert (status, answer["error"]) == (409, "INVALID_ARGUMENT")
-    assert client.ask("POST", f"/{job}/terminate")[1]["error"] == "INVALID_STATE"
-    assert client.ask("DELETE", f"/{job}")[0] == 204
-    assert client.ask("GET", f"/{job}")[0] == 404
+    assert client.request("POST", f"/{job}/terminate")[1]["error"] == "INVALID_STATE"
+    assert client.request("DELETE", f"/{job}")[0] == 204
+    assert client.request("GET", f"/{job}")[0] == 404
 
 
 @pytest.mark.parametrize(
@@ -85,14 +85,14 @@
 ) -> None:
     if not world.processes:
         world.start_appliance()
-    response = client.ask(method, path, body, Idempotency_Key="k")
+    response = client.request(method, path, body, Idempotency_Key="k")
     assert (response[0], response[1]["error"]) == (status, error)
 
 
 def test_a_submission_without_a_key_is_rejected(world: World, client: Client) -> None:
     # Guards against a second job from a resubmission after a lost response.
     world.start_appliance()
-    assert client.ask("POST", "", ORDER)[1]["error"] == "INVALID_ARGUMENT"
+    assert client.request("POST", "", ORDER)[1]["error"] == "INVALID_ARGUMENT"
 
 
 def test_a_wait_ends_at_its_timeout_and_a_job_without_a_worker_at_its_deadline(
@@ -111,14 +111,14 @@
 def test_submissions_beyond_the_operators_limit_are_rejected(world: World, client: Client) -> None:
     world.start_appliance(settings="most_open = 1")
     client.run("k1")
-    status, answer = client.ask("POST", "", ORDER, Idempotency_Key="k2")
+    status, answer = client.request("POST", "", ORDER, Idempotency_Key="k2")
     assert (status, answer["error"], int(client.headers["retry-after"]) >= 1) == (503, "TRY_LATER", True)
 
 
 def test_a_cancel_before_the_first_attempt_ends_the_job_at_once(world: World, client: Client) -> None:
     world.start_appliance()
     job = client.run("k1")
-    assert client.ask("POST", f"/{job}/terminate")[0] == 202
+    assert client.request("POST", f"/{job}/terminate")[0] == 202
     assert client.state(job) == "FAILED"
     worker = world.runner("s-1")
     assert "not run" in client.wait(job)[1]["annotation"]
@@ -132,7 +132,7 @@
     world.start_appliance()
     job = client.run("k1")
     wait_until(lambda: client.state(job) == "RUNNING" and len(worker.jobs) == 1)
-    assert client.ask("POST", f"/{job}/terminate")[0] == 202
+    assert client.request("POST", f"/{job}/terminate")[0] == 202
     info = client.wait(job)[1]
     if confirms:  # the worker confirmed the cancel before the job ended
         assert info["jobState"] == "FAILED" and "terminated" in info["annotation"]
@@ -141,7 +141,7 @@
     # A late or repeated call-back changes nothing.
     assert worker.call_back(job, state="failed") in (200, 204)
     assert worker.call_back(job, state="done", result="again") in (200, 204)
-    assert client.ask("GET", f"/{job}")[1] == info
+    assert client.request("GET", f"/{job}")[1] == info
     assert len(worker.jobs) == 1
 
 
@@ -215,7 +215,7 @@
 
     def cancel() -> None:
         for job in jobs[::3]:
-            client.ask("POST", f"/{job}/terminate")
+            client.request("POST", f"/{job}/terminate")
 
     return [
         cancel,
--- a/tests/test_job_queue_program.py
+++ b/tests/test_job_queue_program.py
@@ -29,7 +29,7 @@
 
 
 def submit_graph(client: Client, key: str, jobs: dict[str, Any]) -> dict[str, str]:
-    status, response = client.ask("POST", "/graph", {"jobs": jobs}, Idempotency_Key=key)
+    status, response = client.request("POST", "/graph", {"jobs": jobs}, Idempotency_Key=key)
     assert status in (200, 201), response
     ids: dict[str, str] = response["jobs"]
     return ids
@@ -49,7 +49,7 @@
         "d": dependent_template("c", {"job": "a", "on": "ended"}),
     }
     ids = submit_graph(client, "g", jobs)
-    assert "waits for job " + ids["a"] in client.ask("GET", f"/{ids['b']}")[1]["jobSubState"]
+    assert "waits for job " + ids["a"] in client.request("GET", f"/{ids['b']}")[1]["jobSubState"]
     for name in "abc":
         wait_until(lambda name=name: ids[name] in arrival_order(world))  # type: ignore[misc]
         world.kill()
@@ -73,7 +73,7 @@
     # This one runs because job a failed, and then fails too.
     wait_until(lambda: client.state(ids["sorry"]) == "FAILED")
     assert len(runner.jobs) == 2
-    late_response = client.ask("POST", "", dependent_template(ids["a"]), Idempotency_Key="late")
+    late_response = client.request("POST", "", dependent_template(ids["a"]), Idempotency_Key="late")
     assert late_response[0] == 201 and client.wait(late_response[1]["jobId"])[1]["jobState"] == "FAILED"
 
 
@@ -87,7 +87,7 @@
     timed_job = client.run("timed", ORDER | {"startTime": start_time, "implementationSpecific": extensions})
     time.sleep(1.0)
     younger_jobs = [client.run(f"y{n}", ORDER | {"implementationSpecific": extensions}) for n in range(3)]
-    assert "no server takes its class" in client.ask("GET", f"/{timed_job}")[1]["jobSubState"]
+    assert "no server takes its class" in client.request("GET", f"/{timed_job}")[1]["jobSubState"]
     listed = console(world, "jobs").stdout
     assert "ready for" in listed and timed_job in listed
     assert not runner.jobs
@@ -109,9 +109,9 @@
         "step": 2,
         "maxParallel": 1,
     }
-    status, array = client.ask("POST", "/bulk", bulk, Idempotency_Key="arr")
+    status, array = client.request("POST", "/bulk", bulk, Idempotency_Key="arr")
     assert (status, array["size"], array["maxParallel"]) == (201, 4, 1)
-    repeated = client.ask("POST", "/bulk", bulk, Idempotency_Key="arr")
+    repeated = client.request("POST", "/bulk", bulk, Idempotency_Key="arr")
     assert (repeated[0], repeated[1]["jobs"]) == (200, array["jobs"])
     last = client.run("last", dependent_template(array["jobArrayId"]))
     assert client.wait(last)[1]["jobState"] == "DONE"
@@ -119,9 +119,9 @@
     assert client.state(held) == "QUEUED_HELD"
     assert console(world, "release", held).returncode == 0
     assert client.wait(held)[1]["jobState"] == "DONE"
-    invalid = client.ask("POST", "/bulk", bulk | {"endIndex": 1}, Idempotency_Key="k")
+    invalid = client.request("POST", "/bulk", bulk | {"endIndex": 1}, Idempotency_Key="k")
     assert invalid[0] == 400 and "endIndex: 1 is below beginIndex" in invalid[1]["message"]
-    cyclic = client.ask(
+    cyclic = client.request(
         "POST",
         "/graph",
         {"jobs": {"a": dependent_template("b"), "b": dependent_template("a")}},
@@ -142,7 +142,7 @@
 
 def test_an_array_is_terminated_as_a_whole(world: World, client: Client) -> None:
     world.start_appliance()  # without a worker, so that the jobs wait
-    status, array = client.ask(
+    status, array = client.request(
         "POST", "/bulk", {"jobTemplate": ORDER, "endIndex": 120}, Idempotency_Key="arr"
     )
     assert status == 201
@@ -161,7 +161,7 @@
 def test_a_planned_stop_does_not_wait_for_queued_jobs(world: World, client: Client) -> None:
     runner = world.runner("s-1", seconds=0.2)
     world.start_appliance()
-    array = client.ask("POST", "/bulk", {"jobTemplate": ORDER, "endIndex": 300}, Idempotency_Key="arr")[1]
+    array = client.request("POST", "/bulk", {"jobTemplate": ORDER, "endIndex": 300}, Idempotency_Key="arr")[1]
     wait_until(lambda: len(runner.jobs) > 3)
     world.process.send_signal(signal.SIGTERM)
     assert world.process.wait(30) == 0
@@ -169,7 +169,7 @@
     assert received < 300
     world.start_appliance()
     wait_until(lambda: len(runner.jobs) > received)
-    assert client.ask("GET", f"/{array['jobs'][0]}")[1]["jobState"] == "DONE"
+    assert client.request("GET", f"/{array['jobs'][0]}")[1]["jobState"] == "DONE"
     sent = arrival_order(world)
     assert len(sent) == len(set(sent))
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -155,7 +155,7 @@
     ) -> Batch | JobError:
         results: list[Batch | JobError] = []
         if isinstance(jobs, int):
-            new = self.templates.new_job(ORDER, waits=True)
+            new = self.templates.new_job(ORDER, may_wait=True)
             self.service.submit_batch(
                 key, "t", lambda n: new, range(jobs), True, max_parallel, results.append
             )
@@ -405,7 +405,7 @@
 
 def test_a_partly_recorded_array_is_deleted_after_a_crash(harness: JobServiceHarness) -> None:
     results: list[Batch | JobError] = []
-    new = harness.templates.new_job(ORDER, waits=True)
+    new = harness.templates.new_job(ORDER, may_wait=True)
     harness.service.submit_batch("arr", "t", lambda n: new, range(1000), True, None, results.append)
     assert not results and harness.store.open_jobs()
     harness.crash()
