--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -601,6 +601,18 @@
 TestPool = PoolModel.TestCase
 
 
+def test_a_connection_with_a_queued_request_and_paused_writing_stays_in_a_group_of_the_acceptor() -> None:
+    # The client pipelines two requests and stops reading. After the first response the second stays queued,
+    # and the connection is in no group: neither a timeout nor the limit of connections can close it.
+    model = ServerConnectionModel()
+    for _ in range(2):
+        model.write()
+        model.arrive(size=90)
+    model.pause_or_resume_writing(full=True)
+    model.respond()
+    model.each_request_gets_one_response()
+
+
 class RecordingHandler:
     """Records requests and responds to each at once."""
 
