--- a/grebestack/__main__.py
+++ b/grebestack/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m grebestack`: one dispatcher, or one of the commands for operators.
+"""`python -m grebestack`: runs a dispatcher, or one of the operator commands.
 
-`console`: the operator's console. `say`: one call to the admin server of a running dispatcher.
-`form`: found a cluster of dispatchers. `audit`: merge the audit logs of many dispatchers.
+`console`: queries and controls a running dispatcher over HTTP. `say`: sends one admin command to a running
+dispatcher. `form`: initializes a member of a new cluster. `audit`: merges the audit logs of many dispatchers.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 def main() -> int:
     """Run a command or the dispatcher, and return the exit code.
 
-    A configuration that can't be used is one line and code 2, a start that fails one line and code 1.
+    Both errors print one line: an invalid configuration exits with 2, a failed start with 1.
     """
     if command := _command(sys.argv[1:2]):
         return command(sys.argv[2:])
@@ -42,9 +42,9 @@
     return 0
 
 
-def _command(words: Sequence[str]) -> Callable[[list[str]], int] | None:
-    """Return the command that is named, None for the dispatcher, which must start fast and loads none."""
-    match words:
+def _command(arguments: Sequence[str]) -> Callable[[list[str]], int] | None:
+    """Return the named command, or None for the dispatcher, which loads no command to start faster."""
+    match arguments:
         case ["console"]:
             from grebestack.program import console
 
@@ -65,8 +65,12 @@
 
 
 def _parse(arguments: Sequence[str]) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(prog="grebestack", description="A dispatcher of jobs to job runners.")
-    parser.add_argument("--config", metavar="FILE", help="an operator's file; else RELAY_CONFIG is read")
+    parser = argparse.ArgumentParser(prog="grebestack", description="Dispatch jobs to workers.")
+    parser.add_argument(
+        "--config",
+        metavar="FILE",
+        help="the operator's file (TOML); default: the file that RELAY_CONFIG names",
+    )
     parser.add_argument("--log-level", default="info", choices=("debug", "info", "warning", "error"))
     return parser.parse_args(arguments)
 
@@ -74,7 +78,7 @@
 def _load(operator_file: str | None, again: bool = False) -> Config:
     if not operator_file:
         return from_platform(again=again)
-    from grebestack.program.config.operator_file import from_file  # the platform's path does without it
+    from grebestack.program.config.operator_file import from_file  # not needed on the platform
 
     return from_file(operator_file)
 
--- a/grebestack/admin/__init__.py
+++ b/grebestack/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin interface for operators: one line in, one line out. Knows neither the engine nor HTTP."""
+"""The admin interface: one command line in, one response line out. Independent of the engine and of HTTP."""
--- a/grebestack/admin/commands.py
+++ b/grebestack/admin/commands.py
@@ -1,11 +1,11 @@
-"""Admin commands and responses, and their lines on the wire. Pure."""
+"""Admin commands and responses, and their encoding as lines. Does no I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_LINE_BYTES = 256  # without the end of the line
+MAX_LINE_BYTES = 256  # without the line ending
 MAX_EXCERPT_BYTES = 40
 ALLOWED_COMMANDS = (
     "health, cordon ID, uncordon ID, quiesce, resume, fleet, leases, restart, halt, drop ID, configure PATH"
@@ -34,7 +34,7 @@
 
     @property
     def changes_state(self) -> bool:
-        """Whether the command does more than to report."""
+        """Whether the command changes anything, rather than only reporting."""
         return self not in (Verb.HEALTH, Verb.FLEET, Verb.LEASES)
 
     @property
@@ -67,29 +67,29 @@
 
     @property
     def line(self) -> bytes:
-        """The line on the wire, its end included."""
+        """The line on the wire, including its line ending."""
         word = "SUCCESS" if self.succeeded else "FAILURE"
         return f"{word} {self.text}".rstrip().encode("utf-8", "replace") + b"\n"
 
 
 def excerpt(line: bytes) -> str:
-    """The begin of a line, quoted and printable."""
+    """Return the beginning of a line, quoted, with unprintable characters replaced."""
     text = line[:MAX_EXCERPT_BYTES].decode("utf-8", "replace")
     printable = "".join(character if character.isprintable() else "?" for character in text)
     return repr(printable) + ("..." if len(line) > MAX_EXCERPT_BYTES else "")
 
 
 def parse(line: bytes) -> Command | CommandResponse:
-    """Parse a line without its end; a `CommandResponse` is the FAILURE to send."""
+    """Parse a line without its line ending; a `CommandResponse` is the FAILURE to send."""
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
         return _malformed(f"the call {excerpt(line)} is not ASCII")
     if not words:
         return _malformed("the call is empty")
-    word, *targets = words
+    name, *targets = words
     try:
-        verb = Verb(word)
+        verb = Verb(name)
     except ValueError:
         return _malformed(f"unknown call {excerpt(line)}")
     if len(targets) != int(verb.takes_target):
@@ -100,25 +100,25 @@
     return Command(verb, *targets)
 
 
-def _malformed(fault: str) -> CommandResponse:
-    return CommandResponse(False, f"{fault}; allowed: {ALLOWED_COMMANDS}")
+def _malformed(reason: str) -> CommandResponse:
+    return CommandResponse(False, f"{reason}; allowed: {ALLOWED_COMMANDS}")
 
 
 class LineReader:
-    """Assembles the one line of a connection from pieces of any size. What follows the line is ignored."""
+    """Assembles the single line of a connection from chunks of any size. Data after the line is ignored."""
 
     def __init__(self) -> None:
-        """Expect the begin of the line."""
+        """Begin with no data."""
         self.rest = b""
         self.result: Command | CommandResponse | None = None
 
     def feed(self, data: bytes) -> Command | CommandResponse | None:
-        """Take a piece; the command, or the FAILURE to send, once only."""
+        """Add a chunk; return the command or the FAILURE to send, only once."""
         if self.result is not None:
             return None
         line, end, _ = (self.rest + data[: MAX_LINE_BYTES + 2]).partition(b"\n")
         content = line.removesuffix(b"\r") if end else line
-        # Without the end of the line the last byte may still turn out to be its carriage return.
+        # Before the line ending has arrived, the last byte may be its carriage return.
         max_bytes = MAX_LINE_BYTES if end else MAX_LINE_BYTES + 1
         if len(content) > max_bytes:
             self.result = CommandResponse(False, f"the line is longer than {MAX_LINE_BYTES} bytes")
@@ -128,7 +128,7 @@
         return self.result
 
     def feed_eof(self) -> CommandResponse | None:
-        """The client has stopped sending; the FAILURE to send if its line is incomplete."""
+        """Handle the end of the data; return the FAILURE to send if the line is incomplete."""
         if self.result is not None:
             return None
         failure = CommandResponse(False, f"the line {excerpt(self.rest)} has no end")
--- a/grebestack/admin/server.py
+++ b/grebestack/admin/server.py
@@ -1,4 +1,4 @@
-"""The admin server: callback connections, none of which can delay another."""
+"""The admin server. Its connections are event-driven, so that none can delay another."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 log = logging.getLogger(__name__)
 MAX_CONNECTIONS = 16
-LINE_TIMEOUT_S = 5.0  # from the connection to the end of its line
-RESPONSE_TIMEOUT_S = 0.8  # a response is due within a second
-LINGER_TIMEOUT_S = 0.5  # for a client to read its response
+LINE_TIMEOUT_S = 5.0  # from the connection to the end of the line
+RESPONSE_TIMEOUT_S = 0.8  # a response must be sent within a second
+LINGER_TIMEOUT_S = 0.5  # for the client to read its response
 
 Respond = Callable[[CommandResponse], None]
 
 
 class Operations(Protocol):
-    """What commands do. Each command gets one response, at once or later."""
+    """Runs commands. Each command gets one response, immediately or later."""
 
     def run(self, command: Command, respond: Respond) -> None:
-        """Run a command; `respond` with a SUCCESS only when its effect holds."""
+        """Run a command; call `respond` with SUCCESS only once its effect holds."""
 
 
 class AdminConnection(asyncio.Protocol):
-    """One client: it sends a line, gets a response and is closed.
+    """One client connection: receives a line, sends a response and closes.
 
-    States: reading (the line is incomplete), running (the response is awaited), responded (what the client
-    still sends is dropped until it ends or `LINGER_TIMEOUT_S` has passed), closed.
+    States: reading (the line is incomplete), running (waiting for the response), responded (further data is
+    discarded until the client closes or `LINGER_TIMEOUT_S` has passed), closed.
     """
 
     def __init__(self, server: AdminServer) -> None:
-        """Wait to be connected."""
+        """Create the protocol of a connection that is being accepted."""
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.reader = LineReader()
@@ -42,7 +42,7 @@
         self.responded = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Await the line."""
+        """Start the timeout for the line."""
         self.transport = cast(asyncio.Transport, transport)
         self._set_timer(LINE_TIMEOUT_S, self._on_line_timeout)
         self.server.on_connected(self)
@@ -56,13 +56,13 @@
             self._run(result)
 
     def eof_received(self) -> bool:
-        """Refuse an incomplete line; whether the transport stays open for a response."""
+        """Reject an incomplete line; return whether the transport stays open for a response."""
         if (failure := self.reader.feed_eof()) is not None:
             self.respond(failure)
         return not self.responded
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Cancel the timer and unregister the connection."""
         self.transport = None
         if self.timer is not None:
             self.timer.cancel()
@@ -77,14 +77,14 @@
             self.server.log_command(self.reader.result, response)
         if self.transport is None:
             return
-        # Closing over unread bytes sends a reset, which could overtake the response: what still comes is
-        # read and dropped.
+        # Closing with unread data sends a reset, which could discard the response at the client, so further
+        # data is read and discarded.
         self.transport.write(response.line)
         self.transport.write_eof()
         self._set_timer(LINGER_TIMEOUT_S, self.abort)
 
     def abort(self) -> None:
-        """Close now, without a response."""
+        """Close immediately, without a response."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -93,9 +93,9 @@
         self._set_timer(RESPONSE_TIMEOUT_S, self._on_response_timeout)
         try:
             self.server.operations.run(command, self.respond)
-        except Exception:  # the client gets a response whatever is wrong here
+        except Exception:  # the client gets a response even if the command fails unexpectedly
             log.exception("control_fault", extra={"kv": {"call": command.verb.value}})
-            self.respond(CommandResponse(False, "a fault of the dispatcher; see its log"))
+            self.respond(CommandResponse(False, "internal error of the dispatcher; see its log"))
 
     def _set_timer(self, delay_s: float, on_timeout: Callable[[], None]) -> None:
         if self.timer is not None:
@@ -103,35 +103,35 @@
         self.timer = self.server.loop.call_later(delay_s, on_timeout)
 
     def _on_line_timeout(self) -> None:
-        self.respond(CommandResponse(False, f"no whole line within {LINE_TIMEOUT_S:g} s"))
+        self.respond(CommandResponse(False, f"no complete line within {LINE_TIMEOUT_S:g} s"))
 
     def _on_response_timeout(self) -> None:
-        self.respond(CommandResponse(False, "not carried out in time; call again"))
+        self.respond(CommandResponse(False, "not completed in time; call again"))
 
 
 class AdminServer:
-    """Makes the connections and bounds their number.
+    """Creates the connections and limits their number.
 
-    Beyond the bound, the oldest connection without a complete line is closed in favor of a new one.
+    Beyond the limit, a new connection replaces the oldest one without a complete line.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, operations: Operations) -> None:
-        """Serve nobody yet; the instance is the protocol factory of a listener."""
+        """Create the server; the instance is the protocol factory of a listener."""
         self.loop, self.operations = loop, operations
         self.connections: set[AdminConnection] = set()
         self.reading: OrderedDict[AdminConnection, None] = (
             OrderedDict()
-        )  # without a complete line, oldest first
+        )  # those without a complete line, oldest first
 
     def __call__(self) -> AdminConnection:
-        """A connection for a client that is being accepted."""
+        """Return the protocol for a client that is being accepted."""
         return AdminConnection(self)
 
     def on_connected(self, connection: AdminConnection) -> None:
-        """A client has connected."""
+        """Register a connection, closing one if there are too many."""
         self.connections.add(connection)
         if len(self.connections) > MAX_CONNECTIONS:
-            if not self.reading:  # all await a response, which takes less than a second
+            if not self.reading:  # all are waiting for a response, which takes less than a second
                 connection.abort()
                 return
             oldest, _ = self.reading.popitem(last=False)
@@ -139,17 +139,17 @@
         self.reading[connection] = None
 
     def on_command(self, connection: AdminConnection) -> None:
-        """A connection's line is complete."""
+        """Note that the line of a connection is complete."""
         self.reading.pop(connection, None)
 
     def on_closed(self, connection: AdminConnection) -> None:
-        """A connection has ended."""
+        """Unregister a connection."""
         self.connections.discard(connection)
         self.reading.pop(connection, None)
 
     @staticmethod
     def log_command(command: Command, response: CommandResponse) -> None:
-        """Log a command and its outcome, except for `health`, which is polled."""
+        """Log a command and its outcome, except `health`, which is polled."""
         if command.verb is Verb.HEALTH:
             return
         kv: dict[str, object] = {
--- a/grebestack/program/admin_command.py
+++ b/grebestack/program/admin_command.py
@@ -23,30 +23,30 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Send a command and print its response; the exit code tells the outcome."""
+    """Send a command, print its response and return the exit code."""
     options = _parser().parse_args(arguments)
     try:
-        address = parse_address(options.door)
+        address = parse_address(options.address)
     except ValueError as error:
         print(f"grebestack say: {error}")
         return ExitCode.BAD_ARGUMENTS
     try:
-        response = _send(address, " ".join(options.call))
+        response = _send(address, " ".join(options.command))
     except OSError as error:
-        print(f"grebestack say: {options.door}: {error.strerror or error}")
+        print(f"grebestack say: {options.address}: {error.strerror or error}")
         return ExitCode.NO_RESPONSE
-    print(response or f"grebestack say: {options.door}: no answer")
+    print(response or f"grebestack say: {options.address}: no response")
     return _exit_code(response)
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="grebestack say",
-        description=f"One call at the operators' door: {ALLOWED_COMMANDS}. "
-        "Exit: 0 SUCCESS, 1 FAILURE, 2 the words are off, 3 no dispatcher answered.",
+        description=f"Send one admin command to a running dispatcher: {ALLOWED_COMMANDS}. "
+        "Exit codes: 0 SUCCESS, 1 FAILURE, 2 invalid arguments, 3 no response.",
     )
-    parser.add_argument("door", metavar="HOST:PORT", help="where `control` points")
-    parser.add_argument("call", nargs="+", metavar="CALL")
+    parser.add_argument("address", metavar="HOST:PORT", help="the `control` address of the dispatcher")
+    parser.add_argument("command", nargs="+", metavar="CALL")
     return parser
 
 
--- a/grebestack/program/admin_operations.py
+++ b/grebestack/program/admin_operations.py
@@ -18,11 +18,11 @@
 class RollingRestart(Protocol):
     """The rolling restart of the cluster."""
 
-    def begin(self, reply: Respond, /) -> None:
-        """Begin one."""
+    def begin(self, respond: Respond, /) -> None:
+        """Begin a rolling restart."""
 
-    def halt(self, reply: Respond, /) -> None:
-        """Halt the one that is under way."""
+    def halt(self, respond: Respond, /) -> None:
+        """Halt the rolling restart that is in progress."""
 
 
 class ClusterMember(Protocol):
@@ -33,56 +33,56 @@
         """The rolling restart."""
 
     def describe(self) -> str:
-        """The state of the cluster, for operators."""
+        """Return the members and their states as one line."""
 
     def describe_leases(self) -> str:
-        """The leases, for operators."""
+        """Return the leases and the rolling restart as one line."""
 
     def remove_member(self, name: str, /) -> CommandResponse:
-        """Remove a member."""
+        """Remove a member from the cluster."""
 
 
 class ConfigUpdates(Protocol):
-    """The configuration of all dispatchers."""
+    """The configuration updates that are distributed to all dispatchers."""
 
     def describe(self) -> str:
-        """The version in force, for operators."""
+        """Return the configuration version in force as one line."""
 
-    def propose_file(self, path: str, reply: Respond, /) -> None:
-        """Propose the configuration in a file."""
+    def propose_file(self, path: str, respond: Respond, /) -> None:
+        """Propose the contents of a file as the next configuration version."""
 
 
 class AuditRecorder(Protocol):
-    """The record of what operators do."""
+    """The audit log, which records admin commands."""
 
     def on_command(self, command: Command, /) -> None:
-        """Record a command."""
+        """Record a command that is about to run."""
 
 
 class Dispatcher(Protocol):
-    """What commands work on."""
+    """What admin commands use of the dispatcher."""
 
     lifecycle: Lifecycle
     table: WorkerTable
 
     @property
     def cluster_member(self) -> ClusterMember | None:
-        """The cluster, if the dispatcher is a member of one."""
+        """The dispatcher as a member of a cluster; None where it is none."""
 
     @property
     def config_updates(self) -> ConfigUpdates | None:
-        """The configuration of all dispatchers, if there is one."""
+        """The configuration updates; None where only the local file is used."""
 
     @property
     def audit_recorder(self) -> AuditRecorder | None:
-        """The audit, if it is kept."""
+        """The audit log; None where none is kept."""
 
     @property
     def clock(self) -> Clock:
-        """The time."""
+        """The monotonic clock."""
 
     def apply_lifecycle(self) -> None:
-        """Have all follow the state of `lifecycle`."""
+        """Put the state of `lifecycle` into effect."""
 
 
 class LocalOperations:
@@ -93,7 +93,7 @@
         self.dispatcher = dispatcher
 
     def run(self, command: Command, respond: Respond) -> None:
-        """Record and run a command; those of several members may respond later."""
+        """Record and run a command; one that needs other members may respond later."""
         dispatcher, verb = self.dispatcher, command.verb
         if dispatcher.audit_recorder is not None and verb.changes_state:
             dispatcher.audit_recorder.on_command(command)
@@ -107,7 +107,7 @@
             respond(self.execute(command))
 
     def execute(self, command: Command) -> CommandResponse:
-        """Run a command at once, without a record; the effect of a SUCCESS holds when this returns."""
+        """Run a command without recording it; on SUCCESS its effect holds when this returns."""
         if command.verb is Verb.HEALTH:
             return self._health()
         if command.verb.is_for_cluster:
@@ -117,33 +117,35 @@
         return self._change_lifecycle(command.verb)
 
     def _health(self) -> CommandResponse:
-        life = self.dispatcher.lifecycle
-        return CommandResponse(life.is_ready, "ready" if life.is_ready else f"not ready: {life.stage.value}")
+        state = self.dispatcher.lifecycle
+        return CommandResponse(
+            state.is_ready, "ready" if state.is_ready else f"not ready: {state.stage.value}"
+        )
 
     def _change_lifecycle(self, verb: Verb) -> CommandResponse:
-        life, now_ms = self.dispatcher.lifecycle, self.dispatcher.clock.now_ms()
-        if verb is Verb.RESUME and not life.resume(now_ms):
+        lifecycle, now_ms = self.dispatcher.lifecycle, self.dispatcher.clock.now_ms()
+        if verb is Verb.RESUME and not lifecycle.resume(now_ms):
             return CommandResponse(False, "stopping: a stop can't be taken back")
         if verb is Verb.QUIESCE:
-            life.quiesce(now_ms)
+            lifecycle.quiesce(now_ms)
         self.dispatcher.apply_lifecycle()
-        return CommandResponse(True, life.stage.value)
+        return CommandResponse(True, lifecycle.stage.value)
 
     def _execute_for_cluster(self, command: Command) -> CommandResponse:
-        cluster, updates = self.dispatcher.cluster_member, self.dispatcher.config_updates
+        member, updates = self.dispatcher.cluster_member, self.dispatcher.config_updates
         if command.verb is Verb.CONFIGURE:
             return CommandResponse(
                 False, "no configuration goes through a fleet here; the file needs [fleet.relays]"
             )
         if command.verb is Verb.FLEET and updates is not None:
-            members = f"{cluster.describe()}; " if cluster is not None else ""
+            members = f"{member.describe()}; " if member is not None else ""
             return CommandResponse(True, members + updates.describe())
-        if cluster is None:
+        if member is None:
             return CommandResponse(False, "this dispatcher is a member of no fleet")
         if command.verb is Verb.DROP:
-            return cluster.remove_member(command.target)
+            return member.remove_member(command.target)
         return CommandResponse(
-            True, cluster.describe() if command.verb is Verb.FLEET else cluster.describe_leases()
+            True, member.describe() if command.verb is Verb.FLEET else member.describe_leases()
         )
 
     def _cordon(self, worker: str, cordoned: bool) -> CommandResponse:
--- a/grebestack/program/appliance.py
+++ b/grebestack/program/appliance.py
@@ -1,6 +1,6 @@
-"""Parts that only an operator's dispatcher has: roster, Consul, the job service and the DRMAA front.
+"""Builds the parts that only an operator's file configures: worker membership, Consul, the DRMAA job service.
 
-The platform's path never loads this module.
+A dispatcher that the platform configures never loads this module.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def build_membership_adapter(config: WorkerMembershipConfig, engine: Engine) -> MembershipAdapter:
-    """Return what decides which workers are members, between their sources and the worker table."""
+    """Return the adapter that checks what worker sources report before the worker table is updated."""
     settings = MembershipSettings(
         max_flaps=config.flaps,
         flap_window_ms=config.flap_window_s * 1000.0,
@@ -54,15 +54,15 @@
     pools: ConnectionPools,
     clock: Clock,
     options: Mapping[str, Any],
-    listings: Sequence[WorkerListReceiver],
+    receivers: Sequence[WorkerListReceiver],
 ) -> ConsulSource:
-    """Return a source that watches all services; each has one of `listings`."""
+    """Return a source that watches all services, each of which updates one of `receivers`."""
     max_stale_ms = None if config.max_stale_s is None else config.max_stale_s * 1000.0
     settings = AgentSettings(config.agents, max_stale_ms=max_stale_ms)
     token, reader = TokenFile(config.token_file), InstanceReader(options, _reading(config))
     watches = [
-        ServiceWatch(pools, clock, settings, _query(config, service), token, reader, listing)
-        for service, listing in zip(config.services, listings, strict=True)
+        ServiceWatch(pools, clock, settings, _query(config, service), token, reader, receiver)
+        for service, receiver in zip(config.services, receivers, strict=True)
     ]
     return ConsulSource(watches)
 
@@ -94,11 +94,11 @@
     membership_adapter: MembershipAdapter | None,
     cluster: Cluster | None = None,
 ) -> tuple[JobService, DrmaaApi]:
-    """Open the store and restore its jobs, which is done before a call-back of a worker can arrive.
+    """Open the store and restore its jobs; must return before workers' callbacks are accepted.
 
     Raises
     ------
-    StartError : the store can't be used.
+    StartError : the store is unusable.
     """
     try:
         store = JobStore(drmaa.store_path)
@@ -133,7 +133,7 @@
 
 
 def _remove_old_jobs(store: JobStore, retention_days: float, clock: Clock) -> None:
-    """Remove ended jobs, now and every hour, so that the disk of a long-lived dispatcher is bounded."""
+    """Remove ended jobs, now and every hour, so that the store of a long-running dispatcher stays bounded."""
     try:
         removed = store.remove_ended_before(time.time() - retention_days * _SECONDS_PER_DAY)
         log.info("jobs_forgotten", extra={"kv": {"jobs": removed}})
--- a/grebestack/program/audit_command.py
+++ b/grebestack/program/audit_command.py
@@ -13,11 +13,11 @@
 from grebestack.audit.reading import AuditLog, read_audit_log
 from grebestack.program.audit_segments import segment_names
 
-_EXIT_COMPLETE, _EXIT_DOUBTFUL, _EXIT_BAD_ARGUMENTS = 0, 1, 2
+_EXIT_COMPLETE, _EXIT_INCOMPLETE, _EXIT_BAD_ARGUMENTS = 0, 1, 2
 
 
 def read_record(name: str, folder: str) -> AuditLog:
-    """Read one dispatcher's folder; what can't be read is among the record's doubts."""
+    """Read one dispatcher's audit folder; files that can't be read are listed in the log's `doubts`."""
     files, doubts = [], []
     try:
         segments = segment_names(folder)
@@ -35,12 +35,12 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Print the merged log; 0: it is complete, 1: parts are doubtful, 2: bad arguments."""
+    """Print the merged log. Exit code 0: complete, 1: parts are missing or damaged, 2: invalid arguments."""
     options = _parse(arguments)
     records: dict[str, AuditLog] = {}
     for name, folder in _named_folders(options.folders):
         if name in records:
-            print(f"grebestack audit: two folders are named {name!r}; say NAME=FOLDER", file=sys.stderr)
+            print(f"grebestack audit: two folders are named {name!r}; use NAME=FOLDER", file=sys.stderr)
             return _EXIT_BAD_ARGUMENTS
         records[name] = read_record(name, folder)
     audit = merge(records)
@@ -51,24 +51,28 @@
             page.write(report_page(audit))
     else:
         print("\n".join(report_lines(audit, options.call)))
-    return _EXIT_DOUBTFUL if audit.doubts else _EXIT_COMPLETE
+    return _EXIT_INCOMPLETE if audit.doubts else _EXIT_COMPLETE
 
 
 def _parse(arguments: Sequence[str]) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
         prog="grebestack audit",
-        description="Which dispatcher acted on which version, and who was behind.",
+        description="Report which dispatcher acted on which versions, and which ones lagged behind.",
+    )
+    parser.add_argument(
+        "folders", nargs="+", metavar="[NAME=]FOLDER", help="a dispatcher's audit folder, or a copy of it"
+    )
+    parser.add_argument("--call", metavar="ID", default="", help="show all records of one job")
+    output = parser.add_mutually_exclusive_group()
+    output.add_argument("--json", action="store_true", help="print one JSON object")
+    output.add_argument(
+        "--html", metavar="FILE", help="write an HTML page with a timeline of each dispatcher"
     )
-    parser.add_argument("folders", nargs="+", metavar="[NAME=]FOLDER", help="a dispatcher's record or a copy")
-    parser.add_argument("--call", metavar="ID", default="", help="all that is written down of one job")
-    form = parser.add_mutually_exclusive_group()
-    form.add_argument("--json", action="store_true", help="one object")
-    form.add_argument("--html", metavar="FILE", help="one page with a lane for each dispatcher")
     return parser.parse_args(arguments)
 
 
 def _named_folders(arguments: Iterable[str]) -> Iterable[tuple[str, str]]:
-    """Yield each dispatcher's name, by default that of its folder, and its folder."""
+    """Yield the name (default: the folder's) and folder of each dispatcher."""
     for argument in arguments:
         name, _, folder = argument.rpartition("=")
         yield name or os.path.basename(os.path.abspath(folder)), folder
--- a/grebestack/program/audit_recording.py
+++ b/grebestack/program/audit_recording.py
@@ -1,6 +1,7 @@
-"""Feeds the audit log: the engine's decisions go to the recorder, whose batches a thread writes.
+"""Feeds the audit log: passes the engine's decisions to the recorder, whose batches a thread writes.
 
-Nothing blocks on the disk: while a batch is written the next one grows; what exceeds its bound is counted.
+Nothing blocks on the disk: records collect in the next batch while one is written, and those beyond its
+limit are counted instead of kept.
 """
 
 from __future__ import annotations
@@ -34,15 +35,15 @@
 
 log = logging.getLogger(__name__)
 _FLUSH_INTERVAL_S = 0.05
-_MIN_RETRY_S, _MAX_RETRY_S = 0.5, 15.0  # after a failure of the disk, doubled each time
-_STOP_TIMEOUT_S = 0.5  # a disk that hangs must not delay a stop
+_MIN_RETRY_S, _MAX_RETRY_S = 0.5, 15.0  # after a disk failure, doubled each time
+_STOP_TIMEOUT_S = 0.5  # so that a hanging disk does not delay a stop
 _MAX_CALL_ID_LENGTH = 128
 _BYTES_PER_MB = 1024 * 1024
 FILES: Callable[[], Files] = Files  # replaced by tests
 
 
 def program_version() -> str:
-    """Return the version of this program, "0" where it is not installed."""
+    """Return the installed version of this package, "0" where it is not installed."""
     try:
         return version("grebestack")
     except PackageNotFoundError:
@@ -62,10 +63,10 @@
 
 
 class AuditRecorder:
-    """Records what one dispatcher does, and under which versions."""
+    """Records the actions of one dispatcher, and under which versions it took them."""
 
     def __init__(self, dispatcher: AuditedDispatcher, config: AuditConfig) -> None:
-        """Open the folder and subscribe to the dispatcher. StartError: the folder can't be used."""
+        """Open the folder and subscribe to the dispatcher. StartError: the folder is unusable or locked."""
         self.dispatcher = dispatcher
         try:
             self.lock = lock_folder(config.folder)
@@ -108,7 +109,7 @@
             self._on_decision,
             self._version_header,
         )
-        self._feed_engine = table.on_change
+        self._update_engine = table.on_change
         table.on_change = self._on_workers_listed
 
     @staticmethod
@@ -120,7 +121,7 @@
         kind = config.worker_source.kind
         return f"{kind} {':'.join(map(str, config.discovery))}" if kind == "discovery" else kind
 
-    # Changes of the stamp: each is called before anything is decided under it.
+    # Changes of the version set: each is recorded before any decision under the new versions.
 
     def _change_version_set(self, **changes: str | int) -> None:
         if self.version_sets.change(**changes):
@@ -131,34 +132,34 @@
         revision = getattr(self.dispatcher.worker_source, "version", self._list_changes)
         cordoned = self.dispatcher.table.cordoned
         self._change_version_set(revision=revision, bans=digest(sorted(cordoned)) if cordoned else "")
-        self._feed_engine(kind, entries)
+        self._update_engine(kind, entries)
 
     def on_settings_changed(self, options: Any) -> None:
-        """Other settings are about to be in force."""
+        """Record that new settings are about to be put in force."""
         self._change_version_set(settings=digest(options))
 
     def on_source_changed(self) -> None:
-        """Another worker source is read from now on."""
+        """Record that the worker source has been replaced."""
         generation = self.version_sets.current.generation + 1
         self._change_version_set(source=self._source_name(), generation=generation)
 
     # Events that are recorded.
 
-    def _on_decision(self, what: str, session: Request, worker: str) -> None:
+    def _on_decision(self, what: str, request: Request, worker: str) -> None:
         member = self.dispatcher.cluster_member
         if member is not None and member.node.replica.config.epoch != self.version_sets.current.epoch:
             self._change_version_set(epoch=member.node.replica.config.epoch)
-        self.recorder.record_action(self._now_ms(), what, session.call_id[:_MAX_CALL_ID_LENGTH], worker)
+        self.recorder.record_action(self._now_ms(), what, request.call_id[:_MAX_CALL_ID_LENGTH], worker)
 
     def on_command(self, command: Command) -> None:
-        """An operator's command is about to change something."""
+        """Record an admin command that is about to change something."""
         self.recorder.record_action(self._now_ms(), OPERATOR_ACTION, command.verb.value, command.target)
 
     def _version_header(self) -> bytes:
-        """Return the header line that names the stamp, for requests to workers that read it."""
+        """Return the header line that names the current version set, for requests to workers."""
         return b"%s%d\r\n" % (self._header, self.version_sets.number)
 
-    # The disk.
+    # Writing to the disk.
 
     def _flush_periodically(self) -> None:
         if self.recorder.stopped:
@@ -176,7 +177,7 @@
         return batch is not None
 
     def _on_written_from_thread(self, failure: str) -> None:
-        if self.recorder.stopped:  # the loop may be over
+        if self.recorder.stopped:  # the loop may have ended
             self._on_written(failure)
         elif not self.dispatcher.loop.is_closed():
             self.dispatcher.loop.call_soon_threadsafe(self._on_written, failure)
@@ -208,7 +209,7 @@
             self._has_finished.set()
 
     def stop(self) -> None:
-        """Write what is left and the end, and release the folder."""
+        """Write the remaining records and the end of the log, and unlock the folder."""
         is_writing = bool(self.recorder.batch_in_flight)
         self.recorder.stop(self._now_ms())
         if not is_writing:
--- a/grebestack/program/audit_segments.py
+++ b/grebestack/program/audit_segments.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordBatch:
-    """Records that are written together."""
+    """Records that are written and synced together."""
 
     segment: int
     begins_segment: bool
@@ -25,32 +25,32 @@
 
 
 def segment_names(folder: str) -> list[str]:
-    """Return the names of the segments in a folder, the oldest first. OSError: it can't be read."""
+    """Return the names of the segments in a folder, oldest first. OSError: the folder can't be read."""
     return sorted(name for name in os.listdir(folder) if name.startswith(_PREFIX) and name.endswith(_SUFFIX))
 
 
 def next_segment_number(names: list[str]) -> int:
-    """Return the number that follows those of all segments, which are sorted."""
+    """Return the number of the next segment; `names` is sorted."""
     if not names:
         return 1
     return int(names[-1][len(_PREFIX) : -len(_SUFFIX)]) + 1
 
 
 class SegmentWriter:
-    """Appends batches to segments and syncs them, on a thread of its own."""
+    """Appends batches to segments and syncs them, on its own thread."""
 
     def __init__(
         self, folder: str, max_bytes: float, files: Files, on_written: Callable[[str], None]
     ) -> None:
-        """Prepare the thread, which is not started.
+        """Create the thread; the caller starts it.
 
         Parameters
         ----------
-        max_bytes : of all segments; the oldest are removed beyond it.
+        max_bytes : the limit for all segments together; beyond it the oldest are removed.
         on_written : called on the thread after each batch, with the failure or an empty string.
         """
         self.folder, self.max_bytes, self.files, self.on_written = folder, max_bytes, files, on_written
-        self.queue: queue.SimpleQueue[RecordBatch | None] = queue.SimpleQueue()  # None: the end
+        self.queue: queue.SimpleQueue[RecordBatch | None] = queue.SimpleQueue()  # None ends the thread
         self.descriptor, self.sequence = -1, 0
         self.thread = threading.Thread(target=self._run, name="audit", daemon=True)
 
@@ -59,7 +59,7 @@
             try:
                 self._write(batch)
             except (OSError, ValueError) as error:
-                # The page cache may show data that is not on the disk: this segment is given up.
+                # The page cache may show data that is not on the disk, so this segment is abandoned.
                 self._close()
                 self.on_written(f"the disk failed: {error}")
             else:
--- a/grebestack/program/bootstrap_command.py
+++ b/grebestack/program/bootstrap_command.py
@@ -1,4 +1,4 @@
-"""`python -m grebestack form --config FILE`: found a cluster, once on each of its first members."""
+"""`python -m grebestack form --config FILE`: initializes a cluster, once on each of its first members."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Write this member's first record, and return the exit code; 2 where it can't be written."""
+    """Write this member's first log records and return the exit code; 2 if they can't be written."""
     parser = argparse.ArgumentParser(
         prog="grebestack form",
-        description="Found a fleet: said once on each member that begins it. One "
-        "that comes later, or has lost its disk, is started without; the others admit it.",
+        description="Initialize a cluster; run once on each founding member. A member that joins later, or "
+        "whose disk was lost, is started without this command and admitted by the others.",
+    )
+    parser.add_argument(
+        "--config", metavar="FILE", required=True, help="the operator's file, with a [fleet] section"
     )
-    parser.add_argument("--config", metavar="FILE", required=True, help="the operator's file, with a [fleet]")
     options = parser.parse_args(arguments)
     from grebestack.program.cluster_member import (
         found_cluster,
-    )  # slow to import, and needless where parsing fails
+    )  # slow to import, not needed if parsing fails
 
     try:
         print(found_cluster(from_file(options.config)))
--- a/grebestack/program/client_listener.py
+++ b/grebestack/program/client_listener.py
@@ -1,4 +1,4 @@
-"""The listener of clients, and how many connections the process may have."""
+"""The listening socket for clients, and the limits on connections of the process."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from grebestack.transport.server import SWEEP_INTERVAL_S, Acceptor
 
 log = logging.getLogger(__name__)
-BACKLOG = 1024  # clients, or call-backs of workers, that connect at the same moment
-_OWN_SOCKETS = 48  # standard streams, the loop's own, listeners, discovery, clients that are turned away
-_ADMIN_SOCKETS = 20  # kept for the admin server, where there is one
-_OWN_SOCKETS_IN_RESTART = 44  # both of these for each process of a hot restart
+BACKLOG = 1024  # clients or workers' callbacks that connect at the same moment
+_OWN_SOCKETS = 48  # standard streams, event loop, listeners, discovery, clients that are rejected
+_ADMIN_SOCKETS = 20  # reserved for the admin server, if there is one
+_OWN_SOCKETS_IN_RESTART = 44  # the sum of both, for each process of a hot restart
 _MIN_CONNECTIONS = 64
 _MIN_WORKER_CONNECTIONS_IN_RESTART = 8
 
@@ -25,30 +25,30 @@
 class ConnectionLimits:
     """How many connections may be open at once."""
 
-    clients: int  # at each front
+    clients: int  # of each API server
     workers: int
 
 
 def connection_limits(config: Config, processes: int = 1) -> ConnectionLimits:
-    """Divide the configured sockets among the processes of a hot restart, or for the one without."""
-    # A front accepts an eighth more clients than its limit, to answer those that it turns away.
+    """Divide the configured sockets among clients and workers, for each process of a hot restart."""
+    # An API server accepts an eighth more clients than its limit, to answer those that it rejects.
     if processes == 1:
         reserved = _OWN_SOCKETS + (_ADMIN_SOCKETS if config.control else 0)
         budget = max(_MIN_CONNECTIONS, config.max_sockets - reserved)
         clients = budget * 13 // 20
-        fronts = 1 if config.drmaa is None else 2
-        return ConnectionLimits(clients // fronts, budget - clients * 9 // 8)
-    # Clients' connections move from one process to the other, so both may have as many as there are.
+        api_servers = 1 if config.drmaa is None else 2
+        return ConnectionLimits(clients // api_servers, budget - clients * 9 // 8)
+    # Client connections move between the two processes, so either may have all of them.
     clients = config.max_sockets * 21 // 50
     workers = (config.max_sockets - clients * 9 // 8) // processes - _OWN_SOCKETS_IN_RESTART
     return ConnectionLimits(clients, max(_MIN_WORKER_CONNECTIONS_IN_RESTART, workers))
 
 
 class ClientListener:
-    """Listens for clients, at the address or on the socket that the platform holds."""
+    """Listens for clients, on the configured address or on the socket that the platform passes in."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, acceptor: Acceptor) -> None:
-        """Prepare a listener that is not open."""
+        """Create the listener without opening it."""
         self.loop, self.acceptor = loop, acceptor
         self.name, self.address, self.inherited_fd = config.name, config.listen, config.listen_fd
         self.server: asyncio.Server | None = None
@@ -58,8 +58,8 @@
 
         Raises
         ------
-        StartError : the platform's descriptor is no socket.
-        OSError : the address can't be used.
+        StartError : the inherited descriptor is not a socket.
+        OSError : the address is unusable.
         """
         if self.server is not None:
             return
@@ -86,6 +86,6 @@
 
 
 def sweep_periodically(loop: asyncio.AbstractEventLoop, acceptor: Acceptor) -> None:
-    """Have an acceptor end connections that are overdue, now and every `SWEEP_INTERVAL_S` seconds."""
+    """Close connections that have timed out, now and every `SWEEP_INTERVAL_S` seconds."""
     acceptor.sweep()
     loop.call_later(SWEEP_INTERVAL_S, sweep_periodically, loop, acceptor)
--- a/grebestack/program/cluster_member.py
+++ b/grebestack/program/cluster_member.py
@@ -1,4 +1,4 @@
-"""The dispatcher as a member of a cluster: its node, its cluster tasks, and their state for operators."""
+"""The dispatcher as a member of a cluster: its node, its cluster tasks, and their status for operators."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class ClusterMember:
-    """The member that a dispatcher is if the operators' file has a [fleet] section.
+    """This dispatcher as a cluster member; built if the operator's file has a [fleet] section.
 
     Raises
     ------
@@ -60,7 +60,7 @@
     """
 
     def __init__(self, dispatcher: ClusterDispatcher, config: ClusterConfig) -> None:
-        """Read the log; `start` connects the member."""
+        """Read the member's log; `start` connects it to the others."""
         self.dispatcher, self.config = dispatcher, config
         terms = LeaseTerms(config.lease_term_s * 1000.0, config.max_clock_drift, config.lease_guard_ms)
         exports = EXPORT_TASKS if config.metrics_export is not None else ()
@@ -81,7 +81,7 @@
         self.rolling_restart = rolling_restart.RollingRestart(dispatcher, self.node, times)
 
     async def start(self) -> None:
-        """Accept members' connections, and start the tasks."""
+        """Accept connections from other members, and start the cluster tasks."""
         loop = self.dispatcher.loop
         server = await loop.create_server(self.node.accept, *self.config.listen, backlog=BACKLOG)
         self.node.listen(server)
@@ -97,23 +97,23 @@
 
     def share(
         self,
-        listings: Sequence[WorkerListReceiver],
-        make: Callable[[Sequence[WorkerListReceiver]], shared_discovery.Source],
+        receivers: Sequence[WorkerListReceiver],
+        make_source: Callable[[Sequence[WorkerListReceiver]], shared_discovery.Source],
     ) -> shared_discovery.SharedSource:
-        """Return a source that one member reads for all; `make` makes the own source."""
-        return shared_discovery.SharedSource(self.node, self.dispatcher.engine.clock, listings, make)
+        """Return a source that one member reads for all; `make_source` makes this member's own source."""
+        return shared_discovery.SharedSource(self.node, self.dispatcher.engine.clock, receivers, make_source)
 
     def release_leases(self) -> None:
-        """Release all leases at once as a stop begins, so that other members need not wait."""
+        """Release all leases when a stop begins, so that other members need not wait for them to expire."""
         for task in self.tasks:
             self.node.release(task)
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close the node and its connections."""
         self.node.stop()
 
     def remove_member(self, name: str) -> CommandResponse:
-        """Remove a member that has been stopped; the others choose a membership without it."""
+        """Remove a stopped member: propose a membership without it."""
         replica, own_name = self.node.replica, self.node.settings.name
         if self.node.connections.get(name) is not None or name == own_name:
             return CommandResponse(False, f"{name} is connected: stop it first, or it is admitted again")
@@ -121,8 +121,8 @@
             refusal = replica.remove_member(name)
         else:
             refusal = f"{own_name} itself {replica.acceptor.describe()}"
-        done = f"{name} leaves the set; `fleet` shows the epoch after {replica.config.epoch}"
-        return CommandResponse(not refusal, refusal or done)
+        success = f"{name} leaves the set; `fleet` shows the epoch after {replica.config.epoch}"
+        return CommandResponse(not refusal, refusal or success)
 
     def members(self) -> dict[str, Any]:
         """Return the membership and the state of all members, as this member sees them."""
@@ -139,7 +139,7 @@
         }
 
     def leases(self) -> dict[str, Any]:
-        """Return the tasks and their lease holders; without a quorum this may be out of date."""
+        """Return the tasks and their lease holders, which may be out of date without a quorum."""
         now_ms, holders = self.node.clock(), self.node.replica.leases.participants
         rows = [self._lease_row(task, holder, now_ms) for task, holder in sorted(holders.items())]
         return {"tasks": rows, "restart": self.rolling_restart.describe()}
@@ -159,18 +159,18 @@
 
     def describe(self) -> str:
         """Return the members as one line for operators."""
-        known = self.members()
+        status = self.members()
         members = "; ".join(
             f"{m['member']}: {m['state']}" + ("" if m["in_set"] else " (not in the set)")
-            for m in known["members"]
+            for m in status["members"]
         )
-        quorum = "heard" if known["majority_heard"] else "not heard"
-        return f"epoch {known['epoch']}, a majority is {quorum}; {members}"
+        quorum = "heard" if status["majority_heard"] else "not heard"
+        return f"epoch {status['epoch']}, a majority is {quorum}; {members}"
 
     def describe_leases(self) -> str:
         """Return the tasks and their lease holders as one line for operators."""
-        known = self.leases()
-        return "; ".join([*map(_describe_lease, known["tasks"]), known["restart"]])
+        status = self.leases()
+        return "; ".join([*map(_describe_lease, status["tasks"]), status["restart"]])
 
 
 def _describe_lease(row: dict[str, Any]) -> str:
@@ -182,10 +182,11 @@
 
 
 def found_cluster(config: Config) -> str:
-    """Write the first log of a member that founds a cluster; return a line that says where.
+    """Write the first log of a founding member; return a line for the operator that names the folder.
 
     To be run once for each founding member, before its first start. A member whose disk was lost starts with
-    an empty folder instead and is admitted; founded again, it would vote under its former incarnation.
+    an empty folder instead and is admitted by the others; founded again, it would vote under its former
+    disk incarnation.
 
     Raises
     ------
@@ -193,7 +194,7 @@
         The file has no [fleet] section, or the log can't be written.
     """
     if config.cluster is None:
-        raise ConfigError("the file has no [fleet]")
+        raise ConfigError("the file has no [fleet] section")
     names = sorted({config.name, *config.cluster.peers})
     membership = MembershipConfig(1, tuple((name, FOUNDING_INCARNATION) for name in names))
     records: list[LogRecord] = [
@@ -204,5 +205,5 @@
         log_store.create_log(config.cluster.folder, [encode(record) for record in records])
     except OSError as error:
         raise ConfigError(str(error)) from error
-    fleet = config.cluster
-    return f"{config.name} founds the fleet {fleet.name} of {', '.join(names)} in {fleet.folder}"
+    cluster = config.cluster
+    return f"{config.name} founds the cluster {cluster.name} of {', '.join(names)} in {cluster.folder}"
--- a/grebestack/program/cluster_task.py
+++ b/grebestack/program/cluster_task.py
@@ -1,4 +1,4 @@
-"""The common part of cluster tasks: their messages to other members, and their ticks."""
+"""What all cluster tasks share: messages to other members, and periodic ticks."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class TaskRunner(Generic[T]):
-    """Runs one task: when its lease changes, when it asks for it, and when a tick is due.
+    """Runs one cluster task: ticks it when its lease changes, on request, and when a tick is due.
 
     Parameters
     ----------
@@ -27,8 +27,8 @@
     on_message
         Called with the sender and the decoded message.
     on_tick
-        Does what is due at a time of `clock`, in milliseconds (not of the node's clock), and returns the
-        milliseconds until the next tick; None ends the ticks.
+        Called with the time in milliseconds of `clock` (not of the node's clock); returns the milliseconds
+        until the next tick, or None to end the ticks.
     """
 
     def __init__(
@@ -40,28 +40,28 @@
         on_message: Callable[[str, T], None],
         on_tick: Callable[[float], float | None],
     ) -> None:
-        """Begin stopped."""
+        """Create the runner without starting it."""
         self.node, self.clock, self.task = node, clock, task
         self._decode, self._on_message, self._on_tick = decode, on_message, on_tick
         self.timer: Timer | None = None
 
     def start(self) -> None:
-        """Receive messages, and tick from now on."""
+        """Subscribe to messages and lease changes, and begin to tick."""
         self.node.message_handlers[self.task] = self._on_data
         self.node.lease_listeners[self.task] = self.tick
         self.tick()
 
     def tick(self) -> None:
-        """Do what is due now, and set the timer for the next tick."""
+        """Run a tick now and set the timer for the next one."""
         now_ms = self.clock.now_ms()
         delay_ms = None if self.node.stopped else self._on_tick(now_ms)
-        # Cancelled after the tick, which may have called this method and set a timer itself.
+        # Cancelled after the tick: `_on_tick` may have called this method, which set a timer.
         if self.timer is not None:
             self.timer.cancel()
         self.timer = None if delay_ms is None else self.clock.call_at(now_ms + delay_ms, self.tick)
 
     def send(self, body: bytes, to: str = "") -> None:
-        """Send a message to the task of one member, or of all that are connected."""
+        """Send a message to this task at one member, or at all connected members."""
         for name in [to] if to else list(self.node.connections):
             self.node.send_task_message(name, self.task, body)
 
--- a/grebestack/program/config/audit.py
+++ b/grebestack/program/config/audit.py
@@ -13,7 +13,7 @@
 
 
 def audit_config(raw: Mapping[str, Any], folder: str) -> AuditConfig:
-    """Return what [audit] holds; paths are relative to `folder`. ValueError: it can't be used."""
+    """Parse [audit]; paths are relative to `folder`. ValueError: the section is invalid."""
     return AuditConfig(
         folder=os.path.join(folder, read_string(raw, "folder", "audit")),
         max_size_mb=read_number(raw, "keep_mb", 256.0, 32.0, 1e6),
--- a/grebestack/program/config/cluster.py
+++ b/grebestack/program/config/cluster.py
@@ -1,4 +1,4 @@
-"""The section [fleet] of an operator's file, for a member that votes."""
+"""The section [fleet] of an operator's file, for a voting member."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     "name listen folder members term_s drift guard_ms return_s pause_s share_servers tallies follow"
     " place relays"
 )
-_GUARD_MS_PER_TERM_S = 300.0  # the longest guard, as a part of the lease's term
+_GUARD_MS_PER_TERM_S = 300.0  # the longest guard for each second of the lease term
 
 
 def cluster_config(raw: Mapping[str, Any], own_name: str, folder: str) -> ClusterConfig:
-    """Return what [fleet] holds for the member `own_name`; paths are relative to `folder`.
+    """Parse [fleet] for the member `own_name`; paths are relative to `folder`.
 
-    KeyError, ValueError: it can't be used.
+    KeyError, ValueError: the section is invalid.
     """
     addresses = member_addresses(raw)
     if own_name not in addresses:
@@ -33,8 +33,8 @@
     except ValueError as error:
         raise ValueError(f"[fleet] addresses must be HOST:PORT: {error}") from error
     term_s = read_number(raw, "term_s", 4.0, 0.5, 3600.0)
-    tallies = read_table(raw, "tallies", "collector path every_s", within="fleet")
-    path = _export_path(tallies)
+    export = read_table(raw, "tallies", "collector path every_s", within="fleet")
+    path = _export_path(export)
     return ClusterConfig(
         name=read_string(raw, "name", "fleet"),
         listen=listen,
@@ -46,12 +46,12 @@
         restart_timeout_s=read_number(raw, "return_s", 60.0, 1.0, 3600.0),
         restart_pause_s=read_number(raw, "pause_s", 5.0, 0.0, 3600.0),
         share_worker_source=read_flag(raw, "share_servers", "fleet"),
-        metrics_export=_metrics_export_config(tallies, path) if tallies else None,
+        metrics_export=_metrics_export_config(export, path) if export else None,
     )
 
 
 def member_addresses(raw: Mapping[str, Any]) -> dict[str, Address]:
-    """Return the address of each member in [fleet.members]. ValueError: they can't be used."""
+    """Return the address of each member in [fleet.members]. ValueError: the table is invalid."""
     members = read_table(raw, "members", " ".join(raw.get("members") or ()), within="fleet")
     try:
         addresses = {name: parse_address(str(address)) for name, address in members.items()}
--- a/grebestack/program/config/distribution.py
+++ b/grebestack/program/config/distribution.py
@@ -1,4 +1,4 @@
-"""What the section [fleet] of an operator's file says of relays and followers."""
+"""The keys for relays and followers in the section [fleet] of an operator's file."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 def distribution_config(raw: Mapping[str, Any], own_name: str, folder: str) -> DistributionConfig | None:
-    """Return how configuration reaches the dispatcher `own_name`; None: only by its local file.
+    """Return how the dispatcher `own_name` receives configuration updates; None: it uses only its local file.
 
-    Paths are relative to `folder`. ValueError: the section can't be used.
+    Paths are relative to `folder`. ValueError: the section is invalid.
     """
     is_follower = read_flag(raw, "follow", "fleet")
     relays, voters = _relays(raw), frozenset(member_addresses(raw))
--- a/grebestack/program/config/errors.py
+++ b/grebestack/program/config/errors.py
@@ -1,11 +1,11 @@
-"""The errors of a start, each with a text of one line for the operator."""
+"""Errors at the start of the program, each with a one-line message for the operator."""
 
 from __future__ import annotations
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text says why in one line."""
+    """The configuration is invalid; the message is one line."""
 
 
 class StartError(Exception):
-    """The program can't start, though its configuration can be read; the text says why in one line."""
+    """The program can't start although its configuration is valid; the message is one line."""
--- a/grebestack/program/config/files.py
+++ b/grebestack/program/config/files.py
@@ -1,4 +1,4 @@
-"""Reading configuration files, and addresses in them that both kinds of file have."""
+"""Reads configuration files, and the admin address that both kinds of file may have."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def read(path: str) -> str:
-    """Return a file's text. ConfigError: it can't be read, or isn't UTF-8."""
+    """Return the text of a file. ConfigError: it can't be read, or isn't UTF-8."""
     try:
         with open(path, encoding="utf-8") as file:
             return file.read()
@@ -21,7 +21,7 @@
 
 
 def control_address(raw: Any) -> Address | None:
-    """Return the admin address, None where there is none. ValueError: it is no address."""
+    """Parse the address of the admin server; None if it is not set. ValueError: it is malformed."""
     if raw is None or raw == "":
         return None
     if not isinstance(raw, str):
--- a/grebestack/program/config/jobs.py
+++ b/grebestack/program/config/jobs.py
@@ -16,7 +16,7 @@
 
 
 def jobs_config(raw: Mapping[str, Any], class_names: Iterable[str]) -> JobsConfig:
-    """Return what [jobs] holds; `class_names` are those of the settings. ValueError: it can't be used."""
+    """Parse [jobs]; `class_names` are those of the settings. ValueError: the section is invalid."""
     objectives: dict[str, float] = {}
     queued: set[str] = set()
     classes = read_table(raw, "classes", " ".join(class_names), within="jobs")
@@ -38,9 +38,9 @@
 
 
 def drmaa_config(raw: Mapping[str, Any], folder: str, jobs: JobsConfig) -> DrmaaConfig:
-    """Return what [drmaa] holds; paths are relative to `folder`.
+    """Parse [drmaa]; paths are relative to `folder`.
 
-    KeyError, ValueError: it can't be used.
+    KeyError, ValueError: the section is invalid.
     """
     retention_days = raw.get("keep_days", 30.0)
     is_number = isinstance(retention_days, int | float) and not isinstance(retention_days, bool)
--- a/grebestack/program/config/operator_file.py
+++ b/grebestack/program/config/operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file, in TOML, and the sections of it that a configuration version replaces."""
+"""Parses the operator's file (TOML), and the sections of it that a configuration version replaces."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def from_file(path: str) -> Config:
-    """Read an operator's file. ConfigError: it can't be read or used."""
+    """Read an operator's file. ConfigError: it is unreadable or invalid."""
     return from_text(path, read(path))
 
 
@@ -47,13 +47,13 @@
 
     Parameters
     ----------
-    path : of the file; paths in it are relative to its folder.
-    text : the file's.
-    version : the contents of a configuration version, whose sections replace the file's.
+    path : the path of the file; paths inside it are relative to its folder.
+    text : the contents of the file.
+    version : the contents of a configuration version, whose sections replace those of the file.
 
     Raises
     ------
-    ConfigError : the text or the version can't be used.
+    ConfigError : the text or the version is invalid.
     """
     try:
         raw = tomllib.loads(text)
@@ -70,7 +70,7 @@
 
 
 def version_sections(contents: bytes) -> Mapping[str, Any]:
-    """Return the sections in a configuration version. ConfigError: names field, value and what is allowed."""
+    """Parse a configuration version. ConfigError: names the field, its value and what is allowed."""
     try:
         raw = tomllib.loads(contents.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
@@ -84,7 +84,7 @@
 
 
 def _config_of(raw: Mapping[str, Any], path: str) -> Config:
-    """Sections are read in a fixed order, which decides what is reported where there are many mistakes."""
+    """Build the configuration; the order of sections decides which of several mistakes is reported."""
     if unknown := sorted(set(raw) - _KEYS):
         raise ValueError(f"unknown key {unknown[0]!r}")
     servers = read_table(raw, "servers", SERVERS_KEYS)
--- a/grebestack/program/config/platform.py
+++ b/grebestack/program/config/platform.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform gives: RELAY_CONFIG and the other variables of the environment."""
+"""The configuration given by the platform: RELAY_CONFIG and other environment variables."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 def from_platform(environ: Mapping[str, str] = os.environ, again: bool = False) -> Config:
-    """Read the file that RELAY_CONFIG names; the other variables take precedence over it.
+    """Read the file named by RELAY_CONFIG; other environment variables take precedence over it.
 
     Parameters
     ----------
-    environ : the environment of the start.
-    again : whether the file is read for a reload, where its address of discovery takes precedence.
+    environ : the environment variables.
+    again : whether this is a reload, where the file's discovery address takes precedence.
 
     Raises
     ------
-    ConfigError : the file can't be read or used.
+    ConfigError : the file is unreadable or invalid.
     """
     path = environ.get("RELAY_CONFIG")
     if not path:
@@ -42,9 +42,9 @@
 
 
 def check_reload(config: Config, current: Config) -> None:
-    """Raise ConfigError where a configuration that was read again can't replace the current one."""
+    """Raise ConfigError if a reloaded configuration can't replace the current one."""
     if not current.key_paths:
-        return  # an operator's file has defaults for most, and was checked when it was read
+        return  # an operator's file has defaults for most keys and was validated when it was read
     if missing := sorted(set(_required_paths(current)) - config.key_paths):
         raise ConfigError(f"the file lacks {missing[0].removeprefix('.')}, which the one in force has")
     try:
--- a/grebestack/program/config/validation.py
+++ b/grebestack/program/config/validation.py
@@ -1,4 +1,4 @@
-"""Typed reading of values in a table of TOML. Each error is a ValueError that names the key."""
+"""Reads typed values from TOML tables. Each error is a ValueError that names the key."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def read_table(raw: Mapping[str, Any], name: str, keys: str, within: str = "") -> Mapping[str, Any]:
-    """Return a table, empty where there is none, with no other keys than `keys` (separated by spaces)."""
+    """Return a table, empty if missing; only the given `keys` (separated by spaces) are allowed in it."""
     value, name = raw.get(name, {}), f"{within}.{name}" if within else name
     if not isinstance(value, dict):
         raise ValueError(f"[{name}] must be a table")
@@ -33,7 +33,7 @@
 
 
 def read_flag(raw: Mapping[str, Any], name: str, within: str) -> bool:
-    """Return a boolean, False where there is none."""
+    """Return a boolean, False if missing."""
     value = raw.get(name, False)
     if not isinstance(value, bool):
         raise ValueError(f"[{within}] {name} must be true or false, not {value!r}")
@@ -41,7 +41,7 @@
 
 
 def read_strings(raw: Mapping[str, Any], name: str) -> tuple[str, ...]:
-    """Return a list of strings, none of them empty."""
+    """Return a list of non-empty strings, empty if missing."""
     value = raw.get(name, [])
     if not isinstance(value, list) or not all(isinstance(string, str) and string for string in value):
         raise ValueError(f"{name} must be a list of words, not {value!r}")
@@ -49,7 +49,7 @@
 
 
 def read_string(raw: Mapping[str, Any], name: str, default: str = "", allowed: str = "") -> str:
-    """Return a string, one of `allowed` (separated by spaces) where that is given."""
+    """Return a string; if `allowed` (separated by spaces) is given, one of those."""
     value = raw.get(name, default)
     if not isinstance(value, str) or (allowed and value not in allowed.split()):
         expected = f"one of {allowed}" if allowed else "a word"
--- a/grebestack/program/config/worker_membership.py
+++ b/grebestack/program/config/worker_membership.py
@@ -14,7 +14,7 @@
 
 
 def worker_membership_config(raw: Mapping[str, Any]) -> WorkerMembershipConfig:
-    """Return what [membership] holds. ValueError: it can't be used."""
+    """Parse [membership]. ValueError: the section is invalid."""
     default = WorkerMembershipConfig()
     times_s = {
         name: read_number(raw, name, getattr(default, name), 0.0, _MAX_TIME_S)
--- a/grebestack/program/config/worker_source.py
+++ b/grebestack/program/config/worker_source.py
@@ -19,17 +19,17 @@
 
 
 def worker_source(raw: Mapping[str, Any], folder: str, options: Mapping[str, Any]) -> WorkerSource:
-    """Return what [servers] holds.
+    """Parse [servers].
 
     Parameters
     ----------
     raw : the section.
-    folder : paths are relative to it.
+    folder : paths in the section are relative to it.
     options : the section [settings].
 
     Raises
     ------
-    ConfigError, KeyError, ValueError : the section can't be used.
+    ConfigError, KeyError, ValueError : the section is invalid.
     """
     kind = source_kind(raw)
     if kind == "list":
@@ -40,7 +40,7 @@
 
 
 def source_kind(raw: Mapping[str, Any]) -> str:
-    """Return the kind of source that [servers] names. ValueError: there is no such kind."""
+    """Return the kind of source named in [servers]. ValueError: the kind is unknown."""
     kind = raw.get("source", "discovery")
     if kind not in _SOURCES:
         raise ValueError(f"[servers] has the unknown source {kind!r}")
@@ -48,7 +48,7 @@
 
 
 def _entries(raw: Mapping[str, Any], options: Mapping[str, Any]) -> tuple[Mapping[str, Any], ...]:
-    """Return the workers that the file lists; one bad entry makes the whole list unusable."""
+    """Return the workers listed in the file; one invalid entry invalidates the whole list."""
     entries, reader = raw["list"], WorkerListReader(options)
     if not isinstance(entries, list) or not all(isinstance(entry, dict) for entry in entries):
         raise ValueError(f"[servers] list must be a list of tables, not {entries!r:.60}")
@@ -97,5 +97,5 @@
     if networks:
         from grebestack.consul.instances import parse_networks
 
-        parse_networks(networks)  # ValueError: one of them is no network
+        parse_networks(networks)  # raises ValueError if one is not a network
     return networks
--- a/grebestack/program/config_reload.py
+++ b/grebestack/program/config_reload.py
@@ -1,4 +1,4 @@
-"""Puts a configuration that was read again in force, as far as it can be without a restart."""
+"""Applies a reloaded configuration, as far as this is possible without a restart."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from grebestack.transport.client import ConnectionPools
 
 log = logging.getLogger(__name__)
-# Fields that need a restart, and their names in logs and answers.
+# Fields that need a restart, and their names in logs and responses.
 _SHOWN_NAME_BY_FIELD = {
     "name": "name",
     "listen": "listen",
@@ -38,7 +38,7 @@
 
 
 class ReloadableDispatcher(Protocol):
-    """What a reload uses of the dispatcher, and what it replaces: `config` and `worker_source`."""
+    """What a reload uses of the dispatcher; it replaces `config` and `worker_source`."""
 
     config: Config
     worker_source: Source | None
@@ -52,7 +52,7 @@
 
 
 def fields_requiring_restart(config: Config, current: Config) -> list[str]:
-    """Return the shown names of the fields in which two configurations differ and that need a restart."""
+    """Return the shown names of the fields that differ between two configurations and need a restart."""
     shown_names = dict(_SHOWN_NAME_BY_FIELD)
     if current.drmaa is not None:
         shown_names["options"] = "options"  # stored jobs name their classes by number
@@ -71,11 +71,11 @@
     """
 
     def __init__(self, dispatcher: ReloadableDispatcher) -> None:
-        """Reload for a dispatcher, whose `config` and `worker_source` are replaced."""
+        """Reload the configuration of a dispatcher, whose `config` and `worker_source` are replaced."""
         self.dispatcher = dispatcher
 
     def reload(self) -> None:
-        """Read the configuration again and apply it; one that can't be used is logged and changes nothing."""
+        """Read the configuration again and apply it; an unusable one is logged and changes nothing."""
         try:
             config = self.dispatcher.read_config()
             check_reload(config, self.dispatcher.config)
@@ -85,28 +85,28 @@
         self.apply(config)
 
     def apply(self, config: Config) -> str:
-        """Apply a checked configuration, all of it or nothing.
+        """Apply a validated configuration, either completely or not at all.
 
-        Returns why it can't be applied; the empty string if it is. After `reloaded`, a `reload_failed` says
-        that all was undone.
+        Returns the reason if it can't be applied, else an empty string. A `reload_failed` in the log after
+        `reloaded` means that all changes were undone.
         """
         before = self.dispatcher.config
-        has_moved = (config.discovery, config.worker_source) != (before.discovery, before.worker_source)
-        waiting = fields_requiring_restart(config, before)
+        source_changed = (config.discovery, config.worker_source) != (before.discovery, before.worker_source)
+        needing_restart = fields_requiring_restart(config, before)
         # With [drmaa] settings need a restart: stored jobs name their classes by number.
-        has_new_settings = before.drmaa is None and config.options != before.options
-        if has_new_settings:
+        settings_changed = before.drmaa is None and config.options != before.options
+        if settings_changed:
             self._apply_settings(config)
         address = ":".join(map(str, config.discovery))
-        kv = {"servers": address, "moved": has_moved, "waits_for_restart": ",".join(waiting)}
+        kv = {"servers": address, "moved": source_changed, "waits_for_restart": ",".join(needing_restart)}
         log.info("reloaded", extra={"kv": kv})
-        if not has_moved or self.dispatcher.is_stopped:
+        if not source_changed or self.dispatcher.is_stopped:
             return ""
         try:
             source = self._create_worker_source(config)
-        except (ValueError, KeyError, TypeError) as error:  # a malformed list
+        except (ValueError, KeyError, TypeError) as error:  # a malformed list of workers
             log.error("reload_failed", extra={"kv": {"error": repr(error)}})
-            if has_new_settings:
+            if settings_changed:
                 self._apply_settings(self._with_settings_of(before))
             return f"servers: {error!r}"
         self._replace_worker_source(config, source)
@@ -146,7 +146,7 @@
         dispatcher.config = replace(
             dispatcher.config, options=config.options, settings=settings, key_paths=config.key_paths
         )
-        if dispatcher.audit_recorder is not None:  # first: decisions from now on belong to the new settings
+        if dispatcher.audit_recorder is not None:  # first: decisions from now on use the new settings
             dispatcher.audit_recorder.on_settings_changed(config.options)
         dispatcher.engine.update_settings(settings)
         dispatcher.platform_api.update_settings(settings)
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -1,7 +1,7 @@
-"""Configuration updates at a dispatcher: versions merged with the operator's file, and admin commands.
+"""Configuration updates at a dispatcher: merges versions with the operator's file, and runs admin commands.
 
-A version's sections replace those of the local file. The result is validated like a file that is read again,
-and put in force by the same code.
+The sections of a version replace those of the local file. The result is validated and applied by the same
+code as a reloaded file.
 """
 
 from __future__ import annotations
@@ -34,66 +34,66 @@
 
 log = logging.getLogger(__name__)
 PROPOSAL_TIMEOUT_S = 0.7  # shorter than admin.server.RESPONSE_TIMEOUT_S
-START_MARGIN_S = 0.3  # a start waits this long beyond the follower's own wait
-FOLDER = "configuration"  # within the cluster's folder
+START_MARGIN_S = 0.3  # added to the time that a follower itself waits at the start
+FOLDER = "configuration"  # inside the cluster's folder
 # Replaced in tests only.
 FILES: Callable[[], Files] = Files
 CLOCK: Callable[[], float] = monotonic_ms
 
 
 class ConfiguredDispatcher(Protocol):
-    """The dispatcher, as far as its configuration goes."""
+    """What configuration updates use of the dispatcher."""
 
     @property
     def config(self) -> Config:
-        """The configuration it has applied."""
+        """The applied configuration."""
 
     def fields_requiring_restart(self, config: Config) -> Sequence[str]:
         """List the fields that differ from the applied configuration and need a restart."""
 
     def apply_config(self, config: Config) -> str:
-        """Apply a validated configuration, all of it or nothing; return why not, or empty."""
+        """Apply a validated configuration completely, or return why it can't be applied; else return ""."""
 
 
 def config_value(config: Config, name: str) -> object:
-    """Return the value of a field that `ConfiguredDispatcher.fields_requiring_restart` has named."""
-    found: Any = config.options
+    """Return the value of a field named by `ConfiguredDispatcher.fields_requiring_restart`."""
+    value: Any = config.options
     for part in name.split("."):
-        found = found.get(part) if isinstance(found, Mapping) else None
-    return found
+        value = value.get(part) if isinstance(value, Mapping) else None
+    return value
 
 
-def merge(path: str, text: str, contents: bytes, former: Config | None = None) -> Config:
+def merge(path: str, text: str, contents: bytes, current: Config | None = None) -> Config:
     """Merge a version with an operator's file and validate the result.
 
     Parameters
     ----------
-    former
+    current
         The configuration in force, if any.
 
     Raises
     ------
     ConfigError
-        Field, value and what is allowed.
+        Names the field, its value and what is allowed.
     """
     if len(contents) > MAX_CONTENTS_BYTES:
         raise ConfigError(f"the size is {len(contents)} bytes; allowed: {MAX_CONTENTS_BYTES}")
     config = from_text(path, text, contents)
-    if former is not None:
-        check_reload(config, former)
+    if current is not None:
+        check_reload(config, current)
     return config
 
 
 class AppliedConfig:
-    """What is in force here: the local file as it was last read, merged with a version."""
+    """The configuration in force: the local file as last read, merged with a version."""
 
     def __init__(self, dispatcher: ConfiguredDispatcher) -> None:
-        """Begin with the local file alone."""
+        """Begin with the local file, without a version."""
         self.dispatcher = dispatcher
         self.path = dispatcher.config.path
         self.text = read(self.path)
-        self.contents: bytes | None = None  # of the version in force, if any
-        self.merged = dispatcher.config  # merged; the host has not applied what needs a restart
+        self.contents: bytes | None = None  # of the version in force; None: no version
+        self.merged = dispatcher.config  # may differ from the applied one in fields that need a restart
 
     def reread(self) -> Config:
         """Read the local file again and merge it with the version in force.
@@ -101,7 +101,7 @@
         Raises
         ------
         ConfigError
-            The file can't be used.
+            The file is unreadable or invalid.
         """
         text = read(self.path)
         config = from_text(self.path, text, self.contents)
@@ -114,7 +114,7 @@
         Raises
         ------
         ConfigError
-            The version can't be put in force.
+            The version can't be applied here.
         """
         config = merge(self.path, self.text, contents, self.dispatcher.config)
         before = self.dispatcher.fields_requiring_restart(self.merged)
@@ -130,37 +130,40 @@
         return config
 
     def apply(self, version: Version, contents: bytes) -> str:
-        """Put a version in force; return why it is refused, or empty."""
+        """Put a version in force, or return why it is refused; else return ""."""
         try:
             config = self.preview(contents)
         except ConfigError as error:
-            why = str(error).removeprefix(f"{self.path}: ")
+            refusal = str(error).removeprefix(f"{self.path}: ")
         else:
-            why = self.dispatcher.apply_config(config)
+            refusal = self.dispatcher.apply_config(config)
         kv: dict[str, object] = {"number": version.number, "digest": version.digest}
-        if why:
-            return why
+        if refusal:
+            return refusal
         self.contents, self.merged = contents, config
-        # Log what the dispatcher holds now, not what it was given.
-        now = self.dispatcher.config
-        # since_ms is Unix time, at_ms this machine's clock since its boot.
+        # Log what the dispatcher has applied, not what it was given.
+        applied = self.dispatcher.config
+        # since_ms is Unix time, at_ms the monotonic clock of this machine.
         kv |= {
             "by": version.proposed_by,
             "since_ms": version.proposed_at_ms,
             "at_ms": round(monotonic_ms(), 1),
         }
-        kv |= {"settings": digest(now.options), "servers": digest([*map(dict, now.worker_source.entries)])}
+        kv |= {
+            "settings": digest(applied.options),
+            "servers": digest([*map(dict, applied.worker_source.entries)]),
+        }
         log.info("configuration_laid", extra={"kv": kv})
         return ""
 
 
 class ConfigUpdates:
-    """A dispatcher's part in configuration distribution: a voter or a follower, and perhaps a relay.
+    """Runs configuration distribution at a dispatcher, as a voter or a follower and optionally as a relay.
 
     Raises
     ------
     StartError
-        The folder can't be used.
+        The folder is unusable or locked.
     """
 
     def __init__(
@@ -171,7 +174,7 @@
         name: str,
         node: Node | None,
     ) -> None:
-        """Open the folder and build the parts; `start` begins their work."""
+        """Open the folder and build the parts; `start` starts them."""
         self.loop, self.config, self.name = loop, config, name
         self.applied = AppliedConfig(dispatcher)
         self.reread = self.applied.reread
@@ -200,7 +203,7 @@
         relays = {
             name: RelayAddress(relay.address, relay.place)
             for name, relay in config.relays.items()
-            # A relay follows voters only, so that no two relays follow each other.
+            # A relay follows only voters, so that no two relays follow each other.
             if name != self.name and (self.name not in config.relays or name in config.voters)
         }
         return FollowerSettings(self.name, config.cluster, config.place, relays, folder)
@@ -208,28 +211,28 @@
     def _make_relay(self) -> RelayServer | None:
         if self.name not in self.config.relays:
             return None
-        fleet, address, random = self.config.cluster, self.config.relays[self.name].address, Random()
+        cluster, address, random = self.config.cluster, self.config.relays[self.name].address, Random()
         if self.voter is not None:
-            pure = Relay(
+            relay_state = Relay(
                 self.name,
-                fleet,
+                cluster,
                 self.voter.voter.incarnation,
                 random,
                 acknowledged_number=self.voter.voter.acknowledged_number,
             )
             relay = self.voter.relay = RelayServer(
-                self.loop, pure, address, self.voter.on_status_report, CLOCK
+                self.loop, relay_state, address, self.voter.on_status_report, CLOCK
             )
             return relay
         assert self.follower is not None
-        pure = Relay(self.name, fleet, self.follower.follower.incarnation, random)
+        relay_state = Relay(self.name, cluster, self.follower.follower.incarnation, random)
         relay = self.follower.relay = RelayServer(
-            self.loop, pure, address, self.follower.on_status_report, CLOCK
+            self.loop, relay_state, address, self.follower.on_status_report, CLOCK
         )
         return relay
 
     async def start(self) -> None:
-        """Start, and return once a version was applied, refused or confirmed, or the time to wait is over."""
+        """Start; return once a version was applied, refused or confirmed, or after the grace period."""
         if self.relay is not None:
             await self.relay.start()
         part = self.voter or self.follower
@@ -244,7 +247,7 @@
             self.start_finished.set_result(None)
 
     def stop(self) -> None:
-        """Stop."""
+        """Stop the relay, the follower and the voter."""
         for part in (self.relay, self.follower, self.voter):
             if part is not None:
                 part.stop()
@@ -252,7 +255,7 @@
     # Admin commands.
 
     def describe_lines(self) -> list[str]:
-        """Describe the version in force and what is known of other dispatchers, in lines."""
+        """Return lines that describe the version in force and the state of other dispatchers."""
         lines = self.voter.shown() if self.voter is not None else []
         if self.follower is not None:
             lines.append(self.follower.shown())
@@ -261,51 +264,53 @@
         return lines
 
     def describe(self) -> str:
-        """Return `lines` as one line."""
+        """Return the description as one line."""
         return "; ".join(self.describe_lines())
 
-    def propose_file(self, path: str, reply: Callable[[CommandResponse], None]) -> None:
-        """Propose a file's contents as the next version; `reply` gets the result."""
+    def propose_file(self, path: str, respond: Callable[[CommandResponse], None]) -> None:
+        """Propose a file's contents as the next version; `respond` receives the result."""
         if self.voter is None:
-            voters = ", ".join(sorted(self.config.voters)) or "a member of the fleet"
-            reply(CommandResponse(False, f"{self.name} does not vote; allowed: say it to {voters}"))
+            voters = ", ".join(sorted(self.config.voters)) or "a member of the cluster"
+            respond(
+                CommandResponse(False, f"{self.name} does not vote; allowed: send the command to {voters}")
+            )
             return
         try:
             contents = read_contents(os.path.join(os.path.dirname(self.applied.path), path))
             self.applied.preview(contents)
         except ConfigError as error:
-            why = str(error).removeprefix(f"{self.applied.path}: ")
-            reply(CommandResponse(False, f"{path}: {why}"))
+            reason = str(error).removeprefix(f"{self.applied.path}: ")
+            respond(CommandResponse(False, f"{path}: {reason}"))
             return
 
-        def ended(outcome: ProposalResult) -> None:
+        def on_proposal_ended(outcome: ProposalResult) -> None:
             version = outcome.version
             if outcome.won:
                 held = ", ".join(outcome.holders)
                 text = f"version {version.number} is in force, digest {version.digest[:16]}, held by {held}"
             else:
                 text = outcome.why
-            reply(CommandResponse(outcome.won, text))
+            respond(CommandResponse(outcome.won, text))
 
-        def late() -> None:  # only the first answer counts
-            text = "no majority has decided it yet; it may still come into force: look with `fleet`"
-            reply(CommandResponse(False, text))
+        def on_timeout() -> None:  # only the first response counts
+            text = "no majority has decided yet; the version may still come into force: check with `fleet`"
+            respond(CommandResponse(False, text))
 
-        self.loop.call_later(PROPOSAL_TIMEOUT_S, late)
-        self.voter.propose(contents, ended)
+        self.loop.call_later(PROPOSAL_TIMEOUT_S, on_timeout)
+        self.voter.propose(contents, on_proposal_ended)
 
 
 def read_contents(path: str) -> bytes:
-    """Read a file that is to be proposed.
+    """Read a file whose contents are to be proposed.
 
     Raises
     ------
     ConfigError
-        It can't be read, or is too large.
+        The file can't be read, or is too large.
     """
     try:
         if not stat.S_ISREG(os.stat(path).st_mode):
-            raise ConfigError("no regular file")
+            raise ConfigError("not a regular file")
         with open(path, "rb") as file:
             contents = file.read(MAX_CONTENTS_BYTES + 1)
     except OSError as error:
--- a/grebestack/program/console.py
+++ b/grebestack/program/console.py
@@ -1,7 +1,7 @@
-"""`python -m grebestack console`: one command that asks a running dispatcher over its DRMAA front.
+"""`python -m grebestack console`: sends one command to the DRMAA API of a running dispatcher.
 
-Exit codes: 0 done; 1 the dispatcher refused it; 2 bad arguments; 3 no dispatcher responded; 4 to be tried
-later; 5 (submit --wait, wait) the job ended as FAILED.
+Exit codes: 0 done; 1 the dispatcher refused the command; 2 invalid arguments; 3 no dispatcher responded;
+4 try again later; 5 (submit --wait, wait) the job ended as FAILED.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 class CommandResult:
     """The outcome of a command."""
 
-    answer: Any  # the response, for --json
-    text: str  # the same for a person
+    response: Any  # decoded JSON, for --json
+    text: str  # the response as text for a terminal
     exit_code: ExitCode = ExitCode.DONE
 
 
@@ -37,7 +37,7 @@
     except ConsoleError as error:
         print(f"grebestack console: {error}", file=sys.stderr)
         return error.code
-    print(json.dumps(result.answer, indent=2) if options.json else result.text)
+    print(json.dumps(result.response, indent=2) if options.json else result.text)
     return result.exit_code
 
 
@@ -86,8 +86,8 @@
 
 
 def _accept(client: DispatcherClient, options: argparse.Namespace) -> CommandResult:
-    answer = client.post("/console/accept", {"source": options.source})
-    return CommandResult(answer, f"{answer['source']}  accepted")
+    response = client.post("/console/accept", {"source": options.source})
+    return CommandResult(response, f"{response['source']}  accepted")
 
 
 def _jobs(client: DispatcherClient, options: argparse.Namespace) -> CommandResult:
@@ -117,8 +117,8 @@
     if options.hold:
         template["submitAsHold"] = True
     if options.after:
-        conditions = [condition.partition(":")[::2] for condition in options.after]
-        extensions["after"] = [{"job": job, "on": on or "done"} for job, on in conditions]
+        dependencies = [dependency.partition(":")[::2] for dependency in options.after]
+        extensions["after"] = [{"job": job, "on": on or "done"} for job, on in dependencies]
     if options.any:
         extensions["afterMode"] = "any"
     if options.wanted is not None:
@@ -129,10 +129,10 @@
 def _submit(client: DispatcherClient, options: argparse.Namespace) -> CommandResult:
     template = _job_template(options)
     key = options.key or str(uuid.uuid4())
-    answer = client.post("/drmaa2/jobs", template, key)
+    response = client.post("/drmaa2/jobs", template, key)
     if not options.wait:
-        return CommandResult(answer, f"{answer['jobId']}  {answer['jobState']}  key={key}")
-    options.job = answer["jobId"]
+        return CommandResult(response, f"{response['jobId']}  {response['jobState']}  key={key}")
+    options.job = response["jobId"]
     return _wait(client, options)
 
 
@@ -145,14 +145,14 @@
 
 def _change_job(client: DispatcherClient, options: argparse.Namespace) -> CommandResult:
     operation = "terminate" if options.command == "cancel" else options.command
-    answer = client.post(f"{_job_path(options)}/{operation}")
-    return CommandResult(answer, f"{answer['jobId']}  {answer['jobState']}")
+    response = client.post(f"{_job_path(options)}/{operation}")
+    return CommandResult(response, f"{response['jobId']}  {response['jobState']}")
 
 
 def _drain(client: DispatcherClient, options: argparse.Namespace) -> CommandResult:
-    answer = client.post("/console/drain", {"server": options.server, "on": not options.undo})
-    state = "drains" if answer["drained_here"] else "drains no more"
-    return CommandResult(answer, f"{answer['server']}  {state}")
+    response = client.post("/console/drain", {"server": options.server, "on": not options.undo})
+    state = "drains" if response["drained_here"] else "no longer drains"
+    return CommandResult(response, f"{response['server']}  {state}")
 
 
 _COMMANDS: dict[str, Callable[[DispatcherClient, argparse.Namespace], CommandResult]] = {
--- a/grebestack/program/console_client.py
+++ b/grebestack/program/console_client.py
@@ -1,4 +1,4 @@
-"""HTTP requests of the operator's console to a dispatcher, and the exit codes of their failures."""
+"""The HTTP client of the operator's console, and the exit codes for failed requests."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 class ConsoleError(Exception):
-    """A command has failed; the text is one line for the operator."""
+    """A command has failed; the message is one line for the operator."""
 
     def __init__(self, message: str, code: ExitCode) -> None:
-        """Fail with a message and the exit code of the process."""
+        """Create the error; `code` becomes the exit code of the process."""
         super().__init__(message)
         self.code = code
 
 
 class DispatcherClient:
-    """Sends requests to the DRMAA front of one dispatcher."""
+    """Sends requests to the DRMAA API of one dispatcher."""
 
     def __init__(self, address: str, timeout_s: float) -> None:
-        """Use a dispatcher at HOST:PORT. ConsoleError: that is no address."""
+        """Use the dispatcher at HOST:PORT. ConsoleError: the address is invalid."""
         try:
             self.address = parse_address(address)
         except ValueError as error:
@@ -58,23 +58,23 @@
 
         Parameters
         ----------
-        body : sent as JSON; None: no body.
-        wait_s : how long the dispatcher may take beyond the client's timeout.
+        body : sent as JSON; None sends no body.
+        wait_s : added to the timeout, for requests that wait at the dispatcher.
 
         Raises
         ------
-        ConsoleError : there is no response, or it is an error.
+        ConsoleError : there is no response, or its status is an error.
         """
         response, text = self._exchange(method, path, body, idempotency_key, wait_s)
         try:
-            answer = json.loads(text) if text else None
+            content = json.loads(text) if text else None
         except ValueError as error:
             raise ConsoleError(
-                f"{path} is not answered as a dispatcher would", ExitCode.NO_RESPONSE
+                f"the response to {path} is not JSON: not a dispatcher?", ExitCode.NO_RESPONSE
             ) from error
         if response.status >= _FIRST_ERROR_STATUS:
-            raise _error_of(response, answer)
-        return answer
+            raise _error_from(response, content)
+        return content
 
     def _exchange(
         self, method: str, path: str, body: Any, idempotency_key: str, wait_s: float
@@ -89,15 +89,15 @@
             return response, response.read()
         except (OSError, http.client.HTTPException) as error:
             host, port = self.address
-            message = f"no answer from {host}:{port}: {error or type(error).__name__}"
+            message = f"no response from {host}:{port}: {error or type(error).__name__}"
             raise ConsoleError(message, ExitCode.NO_RESPONSE) from error
         finally:
             connection.close()
 
 
-def _error_of(response: http.client.HTTPResponse, answer: Any) -> ConsoleError:
-    fields = answer if isinstance(answer, dict) else {}
+def _error_from(response: http.client.HTTPResponse, content: Any) -> ConsoleError:
+    fields = content if isinstance(content, dict) else {}
     message = f"{fields.get('error', response.status)}: {fields.get('message', response.reason)}"
     if retry_after := response.getheader("Retry-After"):
-        return ConsoleError(f"{message}; come back in {retry_after} s", ExitCode.TRY_LATER)
+        return ConsoleError(f"{message}; try again in {retry_after} s", ExitCode.TRY_LATER)
     return ConsoleError(message, ExitCode.REFUSED)
--- a/grebestack/program/console_text.py
+++ b/grebestack/program/console_text.py
@@ -1,4 +1,4 @@
-"""Responses as text for a terminal."""
+"""Formats responses as text for a terminal."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def as_table(rows: Sequence[dict[str, Any]], columns: Sequence[str]) -> str:
-    """Return rows in columns under the columns' names."""
+    """Return rows as aligned columns under a header line."""
     lines = [list(columns)]
     for row in rows:
         lines.append(["" if row.get(column) is None else str(row[column]) for column in columns])
@@ -19,7 +19,7 @@
 
 
 def as_pairs(value: dict[str, Any], indent: str = "") -> str:
-    """Return an object with one line for each of its values, nested objects indented."""
+    """Return one `name: value` line for each value of an object, with nested objects indented."""
     lines = []
     for name, item in value.items():
         if isinstance(item, dict):
--- a/grebestack/program/dispatcher.py
+++ b/grebestack/program/dispatcher.py
@@ -1,7 +1,6 @@
-"""Builds one dispatcher from its parts and runs it until it is stopped.
+"""Builds a dispatcher from its parts and runs it until it is stopped.
 
-Parts that the platform's dispatchers don't have are imported where they are built, so that a start there
-loads nothing of them.
+Optional parts are imported where they are built, so that a dispatcher without them starts faster.
 """
 
 from __future__ import annotations
@@ -52,11 +51,11 @@
     from grebestack.protocol.membership_adapter import MembershipAdapter
 
 log = logging.getLogger(__name__)
-_LIST_TIMEOUT_S = 1.0  # ready without an up-to-date endpoint list after this
+_LIST_TIMEOUT_S = 1.0  # after this, become ready without an up-to-date endpoint list
 _LIST_CHECK_INTERVAL_S = 0.01
 _ADMIN_BACKLOG = 64
 _DEFAULT_IDLE_TIMEOUT_MS = 10_000.0
-_IDLE_TIMEOUT_FRACTION = 0.6  # idle connections are closed before the workers close them
+_IDLE_TIMEOUT_FRACTION = 0.6  # of the workers' own timeout, so that this side closes first
 
 
 class Dispatcher:
@@ -65,7 +64,7 @@
     def __init__(
         self, config: Config, loop: asyncio.AbstractEventLoop, read_config: Callable[[], Config]
     ) -> None:
-        """Build the parts; `read_config` reads the configuration again. StartError: a part can't be built."""
+        """Build the parts; `read_config` rereads the configuration. StartError: a part can't be built."""
         self.config, self.loop, self.read_config = config, loop, read_config
         self.list_reader = WorkerListReader(config.options)
         self.table = WorkerTable()
@@ -93,7 +92,7 @@
         self.worker_source: Source | None = self.worker_sources.create(config)
         self.reloader = ConfigReloader(self)
         self.lifecycle_control = LifecycleControl(self)
-        self.traffic_log = TrafficLog(loop, self.engine, self.pools, self.acceptor, self._list_calls)
+        self.traffic_log = TrafficLog(loop, self.engine, self.pools, self.acceptor, self._count_list_requests)
 
     def _build_membership_adapter(self) -> MembershipAdapter | None:
         if self.config.membership is None:
@@ -128,48 +127,48 @@
 
         return audit_recording.AuditRecorder(self, self.config.audit)
 
-    def _list_calls(self) -> int:
+    def _count_list_requests(self) -> int:
         return self.worker_source.request_count if isinstance(self.worker_source, DiscoveryWatcher) else 0
 
-    # What the parts use.
+    # Used by the parts.
 
     @property
     def clock(self) -> Clock:
-        """Monotonic time and the loop's timers."""
+        """The monotonic clock with the timers of the event loop."""
         return self.engine.clock
 
     def limit_connections(self, processes: int) -> None:
-        """Use a part of the connections that so many processes of a hot restart share."""
+        """Limit connections to the share of one of `processes` processes in a hot restart."""
         limits = connection_limits(self.config, processes)
         self.acceptor.set_max_connections(limits.clients)
         self.pools.set_max_connections(limits.workers)
 
     def stop_listening(self) -> None:
-        """Close this process's own copy of the clients' listener."""
+        """Close this process's copy of the client listener."""
         self.listener.close()
 
     def fields_requiring_restart(self, config: Config) -> list[str]:
-        """Return the fields in which a configuration differs from the current one and that need a restart."""
+        """Return the fields that differ from the current configuration and need a restart."""
         return fields_requiring_restart(config, self.config)
 
     def apply_config(self, config: Config) -> str:
-        """Apply a checked configuration, all of it or nothing; return why it can't be, or nothing."""
+        """Apply a validated configuration completely, or return why it can't be applied; else return ""."""
         return self.reloader.apply(config)
 
     def apply_lifecycle(self) -> None:
-        """Have readiness and the clients' connections follow `lifecycle`."""
+        """Update readiness and client connections to the state of `lifecycle`."""
         self.lifecycle_control.apply()
 
     def stop(self) -> None:
-        """Begin a stop, which is over when all requests are answered."""
+        """Begin a stop, which ends when all requests are answered."""
         self.lifecycle_control.stop()
 
-    # The run.
+    # Running.
 
     async def run(self, sighup_received: Callable[[], bool] = lambda: False) -> None:
-        """Serve until SIGTERM or SIGINT has come and all requests are answered.
+        """Serve until SIGTERM or SIGINT arrives and all requests are answered.
 
-        `sighup_received` returns whether a SIGHUP came before its handler was there.
+        `sighup_received` returns whether a SIGHUP arrived before its handler was installed.
         """
         self._handle_signals(sighup_received)
         if self.config.listen_fd is not None:
@@ -189,7 +188,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop)
         self.loop.add_signal_handler(signal.SIGHUP, self.reloader.reload)
-        if sighup_received():  # perhaps after the configuration was read
+        if sighup_received():  # it may have come after the configuration was read
             self.loop.call_soon(self.reloader.reload)
 
     async def _begin_hot_restart(self) -> None:
@@ -203,15 +202,15 @@
         await self.hot_restart.begin()
 
     def _start_worker_source(self) -> None:
-        known = self.config.cached_list
-        if known and isinstance(self.worker_source, DiscoveryWatcher) and not self.table.workers:
-            self.worker_source.load_cached_list(known)
-        self.config = replace(self.config, cached_list={})  # may be large, and is for the start only
+        cached_list = self.config.cached_list
+        if cached_list and isinstance(self.worker_source, DiscoveryWatcher) and not self.table.workers:
+            self.worker_source.load_cached_list(cached_list)
+        self.config = replace(self.config, cached_list={})  # may be large, and is only used at the start
         if self.worker_source is not None:
             self.worker_source.start()
 
     async def _start_servers(self) -> None:
-        if self.config_updates is not None:  # first, so that no client is served under an older version
+        if self.config_updates is not None:  # first, so that no client is served under an outdated version
             await self._start_cluster()
             await self.config_updates.start()
         if self.config.drmaa is not None:
@@ -243,14 +242,14 @@
         from grebestack.program.admin_operations import LocalOperations
 
         operations = LocalOperations(self) if self.hot_restart is None else self.hot_restart
-        reuse_port = True if self.hot_restart is not None else None  # for both processes of a hot restart
+        reuse_port = True if self.hot_restart is not None else None  # both processes of a hot restart listen
         await self.loop.create_server(
             AdminServer(self.loop, operations), *address, backlog=_ADMIN_BACKLOG, reuse_port=reuse_port
         )
         log.info("control_listening", extra={"kv": {"address": ":".join(map(str, address))}})
 
     def _wait_for_list(self, until_s: float) -> None:
-        """Serve once the endpoint list is up to date: a remembered one may name workers that drain."""
+        """Serve once the endpoint list is up to date, since a cached list may name draining workers."""
         if self.lifecycle.stage is Stage.STOPPING:
             return
         if not self.table.has_live_list and time.monotonic() < until_s:
@@ -264,7 +263,7 @@
             self.hot_restart.started()
 
     async def accept_and_serve(self) -> None:
-        """Accept clients and become ready: when the start is over, or again when the successor is lost."""
+        """Accept clients and become ready, after the start or when the successor is lost."""
         await self.listener.open()
         self._serve()
 
@@ -301,11 +300,11 @@
 def run(
     config: Config, read_config: Callable[[], Config], sighup_received: Callable[[], bool] = lambda: False
 ) -> None:
-    """Run one dispatcher on uvloop; `read_config` reads its configuration again.
+    """Run one dispatcher on uvloop; `read_config` rereads its configuration.
 
     Raises
     ------
-    StartError, OSError : it can't start.
+    StartError, OSError : the dispatcher can't start.
     """
 
     async def main() -> None:
--- a/grebestack/program/lifecycle_control.py
+++ b/grebestack/program/lifecycle_control.py
@@ -1,4 +1,4 @@
-"""Carries out the lifecycle of a dispatcher: readiness, its clients' connections, and the stop."""
+"""Applies the lifecycle of a dispatcher: readiness, client connections, and the stop."""
 
 from __future__ import annotations
 
@@ -19,15 +19,17 @@
     from grebestack.program.hot_restart import HotRestartRunner
 
 log = logging.getLogger(__name__)
-_READ_ANSWER_S = 0.5  # a stop waits this long for a client to read its last answer, or to end a request
-_HANDOVER_BEFORE_DEADLINE_S = 0.6  # a predecessor gives up its last requests before late answers are due
+_READ_ANSWER_S = 0.5  # a stop waits this long for a client to read its last answer or to finish its request
+_HANDOVER_BEFORE_DEADLINE_S = (
+    0.6  # a predecessor hands over its last requests this long before late answers are due
+)
 _IDLE_CHECK_INTERVAL_S = 0.02
-_FLUSH_S = 0.05  # for the last answers to leave
+_FLUSH_S = 0.05  # for the last answers to be sent
 _MIN_TIMER_S = 0.001
 
 
 class StoppableDispatcher(Protocol):
-    """What the lifecycle acts on."""
+    """What the lifecycle control uses of the dispatcher."""
 
     config: Config
     loop: asyncio.AbstractEventLoop
@@ -41,20 +43,20 @@
 
 
 class LifecycleControl:
-    """Applies the lifecycle's state to a dispatcher. `stopped` is done when the process may end."""
+    """Applies the state of the lifecycle to a dispatcher. `stopped` completes when the process may end."""
 
     def __init__(self, dispatcher: StoppableDispatcher) -> None:
-        """Act for a dispatcher; nothing is applied yet."""
+        """Control a dispatcher; nothing is applied until `apply` is called."""
         self.dispatcher = dispatcher
         self.stopped: asyncio.Future[None] = dispatcher.loop.create_future()
-        self._is_ending = False
+        self._is_waiting_for_idle = False
         self._next_change: asyncio.TimerHandle | None = None
 
     def _longest_deadline_ms(self) -> float:
         return max(c.deadline_ms for c in self.dispatcher.config.settings.classes)
 
     def apply(self) -> None:
-        """Have readiness and the clients' connections follow the state, now and when it changes with time."""
+        """Update readiness and client connections to the state, now and whenever it changes with time."""
         dispatcher, lifecycle = self.dispatcher, self.dispatcher.lifecycle
         now_ms = dispatcher.engine.clock.now_ms()
         handling, change_ms = lifecycle.client_handling(now_ms, self._longest_deadline_ms())
@@ -68,12 +70,12 @@
         if change_ms < math.inf:
             delay_s = max(_MIN_TIMER_S, (change_ms - now_ms) / 1000.0)
             self._next_change = dispatcher.loop.call_later(delay_s, self.apply)
-        elif is_stopping and not self._is_ending:  # an admin command applies the state again
-            self._is_ending = True
+        elif is_stopping and not self._is_waiting_for_idle:  # admin commands may apply the state again
+            self._is_waiting_for_idle = True
             self._end_when_idle()
 
     def stop(self) -> None:
-        """Begin a stop: not ready any more; it is over when all requests are answered."""
+        """Begin a stop: become not ready; the stop ends when all requests are answered."""
         dispatcher = self.dispatcher
         now_ms = dispatcher.engine.clock.now_ms()
         if not dispatcher.lifecycle.stop(now_ms):
@@ -95,16 +97,16 @@
         self.apply()
 
     def _end_when_idle(self) -> None:
-        """End once the last answers are read and requests that have begun to arrive are answered.
+        """Complete `stopped` once clients have read their answers and no request is open or partly received.
 
-        A process that has handed over waits longer: its clients move to the successor as they become idle.
+        A process that has been replaced waits longer, since clients move to the successor when idle.
         """
         dispatcher, retired = self.dispatcher, self.dispatcher.lifecycle.retired
         longest_ms = KILL_DEADLINE_MS if retired else self._longest_deadline_ms()
         deadline_ms = dispatcher.lifecycle.late_answer_deadline_ms(longest_ms)
-        engaged = dispatcher.acceptor.has_unfinished_requests(math.inf if retired else _READ_ANSWER_S)
-        is_due = dispatcher.engine.clock.now_ms() >= deadline_ms
-        if dispatcher.engine.open_by_call_id or (engaged and not is_due):
+        has_unfinished = dispatcher.acceptor.has_unfinished_requests(math.inf if retired else _READ_ANSWER_S)
+        is_overdue = dispatcher.engine.clock.now_ms() >= deadline_ms
+        if dispatcher.engine.open_by_call_id or (has_unfinished and not is_overdue):
             dispatcher.loop.call_later(_IDLE_CHECK_INTERVAL_S, self._end_when_idle)
         elif not self.stopped.done():
             log.info("stopped", extra={"kv": dict(dispatcher.engine.counts)})
--- a/grebestack/program/log.py
+++ b/grebestack/program/log.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error: one event a line, as key=value pairs."""
+"""Logging to standard error: one event per line, as key=value pairs."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 _SPECIAL_CHARACTERS = ' "=\\'
 
 
-def quoted(value: object) -> str:
-    """Return a value as it is written to a line, in quotes where it would not read as one word."""
+def format_value(value: object) -> str:
+    """Return a value as it is logged, in quotes if it would not parse as a single word."""
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
     if text and text.isprintable() and not any(character in text for character in _SPECIAL_CHARACTERS):
         return text
@@ -22,10 +22,10 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """Formats `ts=... level=... event=... name=value ...`; the pairs come as `extra={"kv": {...}}`."""
+    """Formats `ts=... level=... event=... name=value ...`; pairs are passed as `extra={"kv": {...}}`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return a record's line; times are UTC with milliseconds."""
+        """Return the line of a record; times are UTC with milliseconds."""
         seconds = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs = {
             "ts": f"{seconds}.{int(record.msecs):03d}Z",
@@ -35,11 +35,11 @@
         }
         if record.exc_info:
             pairs["traceback"] = self.formatException(record.exc_info)
-        return " ".join(f"{name}={quoted(value)}" for name, value in pairs.items())
+        return " ".join(f"{name}={format_value(value)}" for name, value in pairs.items())
 
 
 def set_up(level: str = "info") -> None:
-    """Have the program log to standard error from a level on."""
+    """Log to standard error, at a level and above."""
     handler = logging.StreamHandler()
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/grebestack/program/metrics_exporter.py
+++ b/grebestack/program/metrics_exporter.py
@@ -1,4 +1,4 @@
-"""Runs the export of the cluster's counters: collects them under the lease and posts them."""
+"""Exports the cluster's counters: the lease holder collects them and posts them to a collector."""
 
 from __future__ import annotations
 
@@ -25,40 +25,40 @@
 log = logging.getLogger(__name__)
 MAX_TICK_INTERVAL_MS = 1000.0
 EXPORT_TIMEOUT_MS = 2000.0
-TOKEN_REJECTED_STATUS = 409  # the collector has seen a later token
+TOKEN_REJECTED_STATUS = 409  # the collector has seen a later fencing token
 
 
 class ExportRequest:
-    """The HTTP request of one export; it is sent only under the token that it was collected under."""
+    """The HTTP request of one export, sent only while the lease under which it was collected is valid."""
 
     delays_last_byte = False
 
-    def __init__(self, owner: MetricsExporter, export: Export) -> None:
-        """Begin unsent: the connection pool calls `on_connection_ready`."""
-        self.owner, self.export = owner, export
-        self.over = False
+    def __init__(self, exporter: MetricsExporter, export: Export) -> None:
+        """Create the request; the connection pool calls `on_connection_ready` to send it."""
+        self.exporter, self.export = exporter, export
+        self.ended = False
 
     def on_connection_ready(self) -> bytes | None:
-        """Return the request for a connection that is up, or None if the lease is over by now."""
-        if self.over or self.owner.node.valid_token(self.export.task) != self.export.token:
-            self.end("the lease is over")
+        """Return the bytes to send on a new connection, or None if the lease has ended meanwhile."""
+        if self.ended or self.exporter.node.valid_token(self.export.task) != self.export.token:
+            self.end("the lease has ended")
             return None
         body = msgspec.json.encode(self.export)
-        host, port = self.owner.config.collector
+        host, port = self.exporter.config.collector
         head = (
-            f"POST {self.owner.config.path} HTTP/1.1\r\nHost: {host}:{port}\r\n"
+            f"POST {self.exporter.config.path} HTTP/1.1\r\nHost: {host}:{port}\r\n"
             f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
             f"X-Fleet-Task: {self.export.task}\r\nX-Fleet-Token: {self.export.token}\r\n\r\n"
         )
         return head.encode() + body
 
     def on_last_byte(self) -> None:
-        """Ignore that the request has been sent: the response decides."""
+        """Do nothing: the response decides the outcome."""
 
     def on_response(self, response: Response) -> None:
         """Handle the collector's response."""
         if response.status == TOKEN_REJECTED_STATUS:
-            self.owner.node.on_fenced(self.export.task)
+            self.exporter.node.on_fenced(self.export.task)
             self.end("a later holder has acted")
         else:
             self.end("" if response.status < 300 else f"status {response.status}")
@@ -68,18 +68,18 @@
         self.end("the collector can't be reached")
 
     def on_response_lost(self) -> None:
-        """Handle a connection that ended without a response; the next export holds these counts too."""
+        """Handle a connection that ended without a response; the next export includes these counts."""
         self.end("the collector did not answer")
 
     def end(self, failure: str) -> None:
-        """Report the end once, with the reason of a failure or nothing."""
-        if not self.over:
-            self.over = True
-            self.owner.on_request_ended(self, failure)
+        """Report the end once; `failure` is the reason of a failure, or empty."""
+        if not self.ended:
+            self.ended = True
+            self.exporter.on_request_ended(self, failure)
 
 
 class MetricsExporter:
-    """Runs one export task.
+    """Runs one metrics export task.
 
     Parameters
     ----------
@@ -102,7 +102,7 @@
         cluster, name = node.settings.cluster, node.settings.name
         self.collector = CountersCollector(cluster, task, name, config.interval_s * 1000.0)
         self.request: ExportRequest | None = None
-        self.logged_failure = ""
+        self.last_logged_failure = ""
         self.runner: TaskRunner[Message] = TaskRunner(
             node, clock, task, decode, self._on_message, self._on_tick
         )
@@ -136,19 +136,19 @@
             self.pools.pool(self.config.collector).submit(request)
 
     def _on_timeout(self, request: ExportRequest) -> None:
-        if not request.over:
+        if not request.ended:
             pool = self.pools.pool(self.config.collector)
             if not pool.withdraw(request):
                 pool.abort(request)
             request.end("no answer in time")
 
     def on_request_ended(self, request: ExportRequest, failure: str) -> None:
-        """Handle the end of an export; a failure is logged if it differs from the last one."""
+        """Handle the end of an export; log its outcome if it differs from the last one."""
         if request is self.request:
             self.request = None
-        if failure != self.logged_failure:
-            self.logged_failure = failure
+        if failure != self.last_logged_failure:
+            self.last_logged_failure = failure
             export = request.export
-            kv = {"task": export.task, "token": export.token, "why": failure or "well again"}
+            kv = {"task": export.task, "token": export.token, "why": failure or "recovered"}
             log.info("fleet_export", extra={"kv": kv})
         self.runner.tick()
--- a/grebestack/program/reload_signal.py
+++ b/grebestack/program/reload_signal.py
@@ -1,23 +1,23 @@
-"""Keeps a SIGHUP that arrives before the dispatcher handles it, which would end the process otherwise.
+"""Records a SIGHUP that arrives before the dispatcher handles it, since it would end the process by default.
 
-Must be imported before the modules that are slow to import.
+Must be imported before any module that is slow to import.
 """
 
 from __future__ import annotations
 
 import signal
 
-_sighup_received = False
+_received = False
 
 
-def _keep(number: int, frame: object) -> None:
-    global _sighup_received
-    _sighup_received = True
+def _on_sighup(number: int, frame: object) -> None:
+    global _received
+    _received = True
 
 
-signal.signal(signal.SIGHUP, _keep)
+signal.signal(signal.SIGHUP, _on_sighup)
 
 
 def sighup_received() -> bool:
     """Return whether a SIGHUP has arrived so far."""
-    return _sighup_received
+    return _received
--- a/grebestack/program/rolling_restart.py
+++ b/grebestack/program/rolling_restart.py
@@ -1,4 +1,4 @@
-"""Runs the rolling restart: reports this member's state, and carries out the coordinator's actions."""
+"""Runs the rolling restart: reports this member's state and executes the coordinator's actions."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 TASK = "restart"
 REPORT_INTERVAL_MS = 1000.0
 TICK_INTERVAL_MS, HOLDER_TICK_INTERVAL_MS = 1000.0, 100.0
-STOP_DELAY_MS = 400.0  # after the clients have had time to leave
-# Also sent when a proposal for the plan is open here or a higher ballot came; calling again is right, too.
-NO_QUORUM = "no majority has answered; look with `fleet`, then call again"
+STOP_DELAY_MS = 400.0  # after clients have had time to reconnect elsewhere
+# Also sent if a proposal for the plan is open here or a higher ballot came, where a retry is right too.
+NO_QUORUM = "no majority has answered; check with `fleet`, then try again"
 
 
 class RestartedDispatcher(Protocol):
-    """The dispatcher that is restarted."""
+    """What a rolling restart uses of the dispatcher."""
 
     lifecycle: Lifecycle
 
@@ -61,15 +61,15 @@
 
 
 class RollingRestart:
-    """One member's part in rolling restarts."""
+    """Runs rolling restarts at one member."""
 
     def __init__(self, dispatcher: RestartedDispatcher, node: Node, times: RestartTimes) -> None:
-        """Begin stopped."""
+        """Create the task without starting it."""
         self.dispatcher, self.node, self.clock = dispatcher, node, dispatcher.clock
         self.coordinator = RestartCoordinator(node.settings.name, times, self.clock.now_ms())
         self.states: dict[str, ReceivedState] = {}  # of all members, by name
         self.next_report_ms = 0.0
-        self.highest_token = 0  # of the requests to restart
+        self.highest_token = 0  # fencing token of restart requests
         self.is_restarting = False
         self.next_candidacy_ms = 0.0
         self.action_handlers: dict[type[Action], Callable[[int | None, Any], None]] = {
@@ -110,12 +110,12 @@
             self.runner.send(msgspec.msgpack.encode(action.request), action.name)
 
     def _plan(self) -> RestartPlan | None:
-        """Return the plan that this member's acceptor holds."""
+        """Return the plan in this member's acceptor."""
         state = self.node.replica.acceptor.state.registers.get(REGISTER)
         return state.value if state is not None and isinstance(state.value, RestartPlan) else None
 
     def _update_candidacy(self, now_ms: float) -> None:
-        """Want the lease only during a restart: each renewal costs all members a sync."""
+        """Be a candidate for the lease only during a restart, since each renewal costs all members a sync."""
         plan, is_candidate = self._plan(), self.node.replica.leases.participants[TASK].is_candidate
         is_in_progress = plan is not None and plan.state == IN_PROGRESS
         may_become_candidate = not self.is_restarting and now_ms >= self.next_candidacy_ms
@@ -125,9 +125,9 @@
             self.node.become_candidate(TASK)
 
     def _on_proposal_ended(self, token: int | None, is_chosen: bool, value: Value) -> None:
-        former = self.coordinator.plan
+        previous = self.coordinator.plan
         self.coordinator.on_proposal_ended(self.clock.now_ms(), token, value, is_chosen)
-        if is_chosen and isinstance(value, RestartPlan) and value != former:
+        if is_chosen and isinstance(value, RestartPlan) and value != previous:
             kv = {"plan": describe_plan(value), "step": value.restarting}
             log.info("fleet_restart", extra={"kv": kv})
 
@@ -148,37 +148,37 @@
         self.dispatcher.apply_lifecycle()
         self.clock.call_at(now_ms + QUIESCE_DRAIN_MS + STOP_DELAY_MS, self.dispatcher.stop)
 
-    # Commands of operators.
+    # Admin commands.
 
-    def begin(self, reply: Callable[[CommandResponse], None]) -> None:
-        """Begin a restart of the cluster."""
+    def begin(self, respond: Callable[[CommandResponse], None]) -> None:
+        """Begin a rolling restart of the cluster."""
         own_name, names = self.node.settings.name, tuple(sorted(self.node.replica.config.names()))
         if len(names) < 2:
-            reply(CommandResponse(False, "a restart one after the other needs two members at least"))
+            respond(CommandResponse(False, "a rolling restart needs at least two members"))
             return
 
         def on_ended(is_chosen: bool, value: Value) -> None:
             if not is_chosen:
-                reply(CommandResponse(False, NO_QUORUM))
+                respond(CommandResponse(False, NO_QUORUM))
             elif isinstance(value, RestartPlan):
                 has_begun = value.requested_by == own_name and not value.restarted and not value.restarting
-                reply(CommandResponse(has_begun, describe_plan(value)))
+                respond(CommandResponse(has_begun, describe_plan(value)))
 
         self.node.propose(REGISTER, begin_restart(own_name, names), on_ended)
 
-    def halt(self, reply: Callable[[CommandResponse], None]) -> None:
-        """Stop the restart; a member that has been requested to restart does so all the same."""
+    def halt(self, respond: Callable[[CommandResponse], None]) -> None:
+        """Halt the rolling restart; a member that was already requested to restart still does so."""
 
         def on_ended(is_chosen: bool, value: Value) -> None:
             if not is_chosen:
-                reply(CommandResponse(False, NO_QUORUM))
+                respond(CommandResponse(False, NO_QUORUM))
                 return
             plan = value if isinstance(value, RestartPlan) else None
             is_stopped = plan is not None and plan.state != IN_PROGRESS
-            reply(CommandResponse(is_stopped, describe_plan(plan)))
+            respond(CommandResponse(is_stopped, describe_plan(plan)))
 
         self.node.propose(REGISTER, stop_restart(f"halted at {self.node.settings.name}"), on_ended)
 
     def describe(self) -> str:
-        """Return the plan as a text for operators."""
+        """Return a description of the plan for operators."""
         return describe_plan(self._plan())
--- a/grebestack/program/shared_discovery.py
+++ b/grebestack/program/shared_discovery.py
@@ -1,4 +1,4 @@
-"""Runs shared discovery: between a dispatcher's source of workers and the listings that it updates."""
+"""Runs shared discovery, between a dispatcher's worker source and the receivers of its worker lists."""
 
 from __future__ import annotations
 
@@ -31,74 +31,74 @@
 TASK = "servers"
 TICK_INTERVAL_MS = 200.0
 CANDIDACY_PAUSE_TERMS = 3.0  # lease terms, after the source did not respond
-NO_ADDRESS = ("", 0)  # of a worker that is gone
+NO_ADDRESS = ("", 0)  # of a removed worker
 _decoder = msgspec.msgpack.Decoder(WorkerEndpoint)
 
 
 class Source(Protocol):
-    """A dispatcher's own source of workers."""
+    """A source of worker lists."""
 
     def start(self) -> None:
-        """Begin to read it."""
+        """Begin to read the source."""
 
     def retire(self) -> None:
-        """Stop since another source follows."""
+        """Stop because another source replaces this one."""
 
     def stop(self) -> None:
-        """Stop."""
+        """Stop reading."""
 
 
-class SharedListing:
-    """A listing as the own source sees it: passes updates on to the listing and to shared discovery."""
+class SharedListReceiver:
+    """The receiver given to the own source: forwards updates to the real receiver and to shared discovery."""
 
-    def __init__(self, owner: SharedSource, index: int, listing: WorkerListReceiver) -> None:
-        """Begin with the listing's present contents."""
-        self.owner, self.index, self.listing = owner, index, listing
+    def __init__(self, owner: SharedSource, index: int, receiver: WorkerListReceiver) -> None:
+        """Forward to `receiver`, which has number `index`."""
+        self.owner, self.index, self.receiver = owner, index, receiver
 
     @property
     def has_live_list(self) -> bool:
-        """Whether a list from a live source has come."""
-        return self.listing.has_live_list
+        """Whether a list from a live source has arrived."""
+        return self.receiver.has_live_list
 
-    def update(self, kind: ListKind, servers: Iterable[WorkerEndpoint]) -> None:
-        """Apply a list or changes to it."""
-        servers = tuple(servers)
-        self.listing.update(kind, servers)
+    def update(self, kind: ListKind, workers: Iterable[WorkerEndpoint]) -> None:
+        """Apply a full list or changes."""
+        workers = tuple(workers)
+        self.receiver.update(kind, workers)
         if kind in (ListKind.FULL, ListKind.CHANGES):
-            self.owner.on_source_update(self.index, kind is ListKind.FULL, servers)
+            self.owner.on_source_update(self.index, kind is ListKind.FULL, workers)
 
     def on_unchanged(self) -> None:
         """Note that the source has responded and nothing has changed."""
-        self.listing.on_unchanged()
+        self.receiver.on_unchanged()
         self.owner.discovery.on_source_responded(self.owner.clock.now_ms())
 
-    def on_silent(self, why: str) -> None:
+    def on_silent(self, reason: str) -> None:
         """Note that the source did not respond."""
-        self.listing.on_silent(why)
+        self.receiver.on_silent(reason)
         self.owner.discovery.on_source_failed()
 
 
 class SharedSource:
-    """Reads the own source or follows the lease holder, as `SharedDiscovery` decides.
+    """Reads the member's own source or follows the lease holder, as `SharedDiscovery` decides.
 
     Parameters
     ----------
-    listings
-        Those of the own source, in its order.
+    receivers
+        The receivers of the source's worker lists, in its order.
     make_source
-        Makes the own source for listings.
+        Makes this member's own source, which updates the given receivers.
     """
 
     def __init__(
         self,
         node: Node,
         clock: Clock,
-        listings: Sequence[WorkerListReceiver],
+        receivers: Sequence[WorkerListReceiver],
         make_source: Callable[[Sequence[WorkerListReceiver]], Source],
     ) -> None:
-        """Begin stopped."""
-        self.node, self.clock, self.listings, self.make_source = node, clock, listings, make_source
-        self.discovery = SharedDiscovery(len(listings), clock.now_ms(), rank=node.replica.rank)
+        """Create the source without starting it."""
+        self.node, self.clock, self.receivers, self.make_source = node, clock, receivers, make_source
+        self.discovery = SharedDiscovery(len(receivers), clock.now_ms(), rank=node.replica.rank)
         self.own_source: Source | None = None
         self.stopped = False
         self.action_handlers: dict[type[Action], Callable[[Any], None]] = {
@@ -113,16 +113,16 @@
         )
 
     def start(self) -> None:
-        """Wait for the holder's list for a moment, then read the own source."""
+        """Wait briefly for the lease holder's list before reading the own source."""
         self.discovery.holder_last_seen_ms = self.clock.now_ms()
         self.runner.start()
 
     def retire(self) -> None:
-        """Stop since another source follows; the lists stay as they are until then."""
+        """Stop because another source replaces this one; the lists stay until that one updates them."""
         self.stop()
 
     def stop(self) -> None:
-        """Read and send no more."""
+        """Stop reading the source and sending messages."""
         self.stopped = True
         self._stop_own_source()
 
@@ -138,23 +138,23 @@
         return TICK_INTERVAL_MS
 
     def _tick(self, now_ms: float) -> None:
-        self._carry_out(self.discovery.tick(now_ms, self.node.valid_token(TASK)))
+        self._execute(self.discovery.tick(now_ms, self.node.valid_token(TASK)))
 
-    def on_source_update(self, index: int, is_complete_list: bool, servers: Iterable[WorkerEndpoint]) -> None:
-        """Handle a list or changes from the own source."""
+    def on_source_update(self, index: int, is_complete_list: bool, workers: Iterable[WorkerEndpoint]) -> None:
+        """Handle a full list or changes from the own source."""
         if not self.stopped:
             now_ms = self.clock.now_ms()
             self._tick(now_ms)
-            entries = [encode_entry(now_ms, server) for server in servers]
-            self._carry_out(self.discovery.on_source_update(now_ms, index, is_complete_list, entries))
+            entries = [encode_entry(now_ms, worker) for worker in workers]
+            self._execute(self.discovery.on_source_update(now_ms, index, is_complete_list, entries))
 
     def _on_message(self, name: str, message: Message) -> None:
         if not self.stopped:
             now_ms = self.clock.now_ms()
             self._tick(now_ms)
-            self._carry_out(self.discovery.on_message(now_ms, name, message))
+            self._execute(self.discovery.on_message(now_ms, name, message))
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             self.action_handlers[type(action)](action)
 
@@ -162,8 +162,8 @@
         self.runner.send(action.body, action.to)
 
     def _confirm_lists(self, action: ConfirmLists) -> None:
-        for listing in self.listings:
-            listing.on_unchanged()
+        for receiver in self.receivers:
+            receiver.on_unchanged()
 
     def _release_lease(self, action: ReleaseLease) -> None:
         log.warning("fleet_source_ill", extra={"kv": {"task": TASK}})
@@ -180,36 +180,36 @@
         log.info("fleet_reading", extra={"kv": kv})
         self._stop_own_source()
         if action.enabled:
-            listings = [SharedListing(self, n, listing) for n, listing in enumerate(self.listings)]
-            self.own_source = self.make_source(listings)
+            receivers = [SharedListReceiver(self, n, receiver) for n, receiver in enumerate(self.receivers)]
+            self.own_source = self.make_source(receivers)
             self.own_source.start()
 
     def _update_list(self, action: UpdateList) -> None:
         now_ms = self.clock.now_ms()
         try:
-            servers = [decode_entry(now_ms, entry) for entry in action.entries]
+            workers = [decode_entry(now_ms, entry) for entry in action.entries]
         except msgspec.DecodeError as error:
             log.warning("fleet_list_unknown", extra={"kv": {"error": error}})
             return
         kind = ListKind.FULL if action.is_complete_list else ListKind.CHANGES
-        self.listings[action.source].update(kind, servers)
+        self.receivers[action.source].update(kind, workers)
 
 
-def encode_entry(now_ms: float, server: WorkerEndpoint) -> ListEntry:
-    """Encode a worker for other members, with its start as an age: each member's clock is its own."""
-    entry = server.entry
+def encode_entry(now_ms: float, worker: WorkerEndpoint) -> ListEntry:
+    """Encode a worker for other members; its start is sent as an age, since their clocks differ."""
+    entry = worker.entry
     if entry.state is WorkerState.GONE:
         return ListEntry(entry.worker, b"")
     if entry.started_ms is not None:
-        server = replace(server, entry=replace(entry, started_ms=now_ms - entry.started_ms))
-    return ListEntry(entry.worker, msgspec.msgpack.encode(server))
+        worker = replace(worker, entry=replace(entry, started_ms=now_ms - entry.started_ms))
+    return ListEntry(entry.worker, msgspec.msgpack.encode(worker))
 
 
 def decode_entry(now_ms: float, entry: ListEntry) -> WorkerEndpoint:
     """Decode a worker that another member has encoded; raises msgspec.DecodeError."""
     if not entry.data:
         return WorkerEndpoint(WorkerEntry(entry.name, state=WorkerState.GONE), NO_ADDRESS)
-    server = _decoder.decode(entry.data)
-    if server.entry.started_ms is not None:
-        server = replace(server, entry=replace(server.entry, started_ms=now_ms - server.entry.started_ms))
-    return server
+    worker = _decoder.decode(entry.data)
+    if worker.entry.started_ms is not None:
+        worker = replace(worker, entry=replace(worker.entry, started_ms=now_ms - worker.entry.started_ms))
+    return worker
--- a/grebestack/program/traffic_log.py
+++ b/grebestack/program/traffic_log.py
@@ -1,4 +1,4 @@
-"""The log lines that appear at intervals: `event=stats` and `event=tally`."""
+"""The periodic log lines: `event=stats` (totals) and `event=tally` (changes)."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 
 class TrafficCounts:
-    """Makes the pairs of one `event=tally` line from counts since the start."""
+    """Derives the pairs of each `event=tally` line from counts since the start."""
 
     def __init__(self) -> None:
-        """Count from the start."""
+        """Begin with no counts logged."""
         self.logged: Counter[str] = Counter()
 
     def pairs(
         self, counts: Mapping[str, int], sent: Mapping[str, int], in_flight: Mapping[str, int]
     ) -> dict[str, object]:
-        """Return what has changed since the last line.
+        """Return the pairs that have changed since the last line.
 
         Parameters
         ----------
         counts : since the start, by name.
-        sent : attempts since the last line, by worker.
-        in_flight : attempts now, by worker.
+        sent : attempts sent since the last line, by worker.
+        in_flight : attempts in flight now, by worker.
         """
         kv: dict[str, object] = {
             name: value - self.logged[name] for name, value in counts.items() if value != self.logged[name]
@@ -47,7 +47,7 @@
 
 
 class TrafficLog:
-    """Logs what one dispatcher does, as totals and as changes."""
+    """Logs the counters of one dispatcher, as totals and as changes."""
 
     def __init__(
         self,
@@ -55,15 +55,15 @@
         engine: Engine,
         pools: ConnectionPools,
         acceptor: Acceptor,
-        list_calls: Callable[[], int],
+        count_list_requests: Callable[[], int],
     ) -> None:
-        """Parameters: `list_calls` returns how often discovery was called since the start."""
+        """Create the log; `count_list_requests` returns the number of discovery requests since the start."""
         self.loop, self.engine, self.pools, self.acceptor = loop, engine, pools, acceptor
-        self.list_calls = list_calls
+        self.count_list_requests = count_list_requests
         self.traffic_counts = TrafficCounts()
 
     def start(self) -> None:
-        """Log now and from now on."""
+        """Log now and periodically."""
         self._log_statistics()
         self._log_traffic()
 
@@ -77,13 +77,13 @@
         self.loop.call_later(STATISTICS_INTERVAL_S, self._log_statistics)
 
     def _log_traffic(self) -> None:
-        """Write the line by which the logs of many dispatchers are summed; see benchmarks/fleet_counts.py."""
+        """Log the changes, which benchmarks/fleet_counts.py sums over many dispatchers."""
         self.loop.call_later(TRAFFIC_INTERVAL_S, self._log_traffic)
         sent, in_flight = self.engine.take_traffic_counts()
         counts = dict(self.engine.counts) | {
             "dials": self.pools.connects_started,
             "not_up": self.pools.connects_failed,
-            "list_calls": self.list_calls(),
+            "list_calls": self.count_list_requests(),
         }
         if kv := self.traffic_counts.pairs(counts, sent, in_flight):
             log.info("tally", extra={"kv": kv})
--- a/grebestack/program/worker_sources.py
+++ b/grebestack/program/worker_sources.py
@@ -1,4 +1,4 @@
-"""Creates the source that feeds the worker table: discovery, Consul, another member, or the file's list."""
+"""Creates the source of the worker table: discovery, Consul, another member, or the file's own list."""
 
 from __future__ import annotations
 
@@ -34,41 +34,41 @@
         self,
         loop: asyncio.AbstractEventLoop,
         engine: Engine,
-        reader: WorkerListReader,
+        list_reader: WorkerListReader,
         membership_adapter: MembershipAdapter | None,
         cluster_member: ClusterMember | None,
     ) -> None:
         """Parameters: `membership_adapter` checks what sources report, `cluster_member` may share one."""
-        self.loop, self.engine, self.list_reader = loop, engine, reader
+        self.loop, self.engine, self.list_reader = loop, engine, list_reader
         self.membership_adapter, self.cluster_member = membership_adapter, cluster_member
 
     def create(self, config: Config, previous: DiscoveryWatcher | None = None) -> Source | None:
-        """Return a source that is not started; None where the file lists the workers.
+        """Return a source without starting it; None if the file itself lists the workers.
 
         Parameters
         ----------
         config : names the source.
-        previous : a watch of discovery whose list the new one takes over.
+        previous : a discovery watcher whose list the new one takes over.
 
         Raises
         ------
-        ValueError, KeyError, TypeError : the file's list can't be used.
+        ValueError, KeyError, TypeError : the list in the file is invalid.
         """
         is_list = config.worker_source.kind == "list"
         entries = config.worker_source.entries if is_list else ()
         workers = [self.list_reader.read_worker(raw, strict=True) for raw in entries]
-        listings = self._listings(config)
+        receivers = self._receivers(config)
         if is_list:
-            self.loop.call_soon(listings[0].update, ListKind.FULL, workers)
+            self.loop.call_soon(receivers[0].update, ListKind.FULL, workers)
             return None
         if self.cluster_member is not None and self.cluster_member.config.share_worker_source:
             return self.cluster_member.share(
-                listings, lambda shared_listings: self._own_source(config, shared_listings, None)
+                receivers, lambda shared_receivers: self._own_source(config, shared_receivers, None)
             )
-        return self._own_source(config, listings, previous)
+        return self._own_source(config, receivers, previous)
 
-    def _listings(self, config: Config) -> Sequence[WorkerListReceiver]:
-        """Return what the source updates: the worker table, or one listing for each service."""
+    def _receivers(self, config: Config) -> Sequence[WorkerListReceiver]:
+        """Return what the source updates: the worker table, or the membership adapter for each service."""
         if self.membership_adapter is None or config.membership is None:
             return [self.engine.table]
         source = config.worker_source
@@ -80,11 +80,11 @@
         return [*self.membership_adapter.replace_sources(names, stale_s * 1000.0, source.snapshot_path)]
 
     def _own_source(
-        self, config: Config, listings: Sequence[WorkerListReceiver], previous: DiscoveryWatcher | None
+        self, config: Config, receivers: Sequence[WorkerListReceiver], previous: DiscoveryWatcher | None
     ) -> DiscoveryWatcher | ConsulSource:
         consul = config.worker_source.consul
         if consul is not None:
-            from grebestack.program import appliance  # the platform's path does without it
+            from grebestack.program import appliance  # not needed on the platform
 
             pools = ConnectionPools(
                 self.loop,
@@ -93,9 +93,9 @@
                 _CONSUL_IDLE_TIMEOUT_S,
                 max_body_bytes=_CONSUL_MAX_BODY_BYTES,
             )
-            return appliance.build_consul_source(consul, pools, self.engine.clock, config.options, listings)
+            return appliance.build_consul_source(consul, pools, self.engine.clock, config.options, receivers)
         warn_unknown_discovery(config.options)
         settings = watch_settings(config.settings)
         return DiscoveryWatcher(
-            self.loop, config.discovery, self.list_reader, listings[0], previous, settings
+            self.loop, config.discovery, self.list_reader, receivers[0], previous, settings
         )
