--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -143,7 +143,7 @@
         self.contents, self.merged = contents, config
         # Log what the dispatcher has applied, not what it was given.
         applied = self.dispatcher.config
-        # since_ms is Unix time, at_ms the monotonic clock of this machine.
+        # since_ms is Unix time, at_ms this machine's monotonic clock, since its boot.
         kv |= {
             "by": version.proposed_by,
             "since_ms": version.proposed_at_ms,
--- a/grebestack/program/loop_clock.py
+++ b/grebestack/program/loop_clock.py
@@ -18,6 +18,6 @@
         """Return the monotonic time."""
         return time.monotonic() * 1000.0
 
-    def call_at(self, at_ms: float, callback: Callable[[], None]) -> asyncio.TimerHandle:
+    def call_at(self, at_ms: float, call: Callable[[], None]) -> asyncio.TimerHandle:
         """Schedule a callback at a time."""
-        return self.loop.call_later(max(0.0, at_ms / 1000.0 - time.monotonic()), callback)
+        return self.loop.call_later(max(0.0, at_ms / 1000.0 - time.monotonic()), call)
