--- a/tests/golden_settings.py
+++ b/tests/golden_settings.py
@@ -1,4 +1,4 @@
-"""What files of settings come to, and the texts for mistakes in one: by value, never by Python name."""
+"""Parses sample configuration files, valid and invalid; values are collected without their Python names."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 DEPLOY = FOLDER.parent.parent / "deploy"
 PATH = "/etc/grebestack/operator.toml"
-SEED = b"\x00\x01\x02\x03\x04\x05\x06\x07"  # what is drawn for a file that says none
+SEED = b"\x00\x01\x02\x03\x04\x05\x06\x07"  # the random seed of an operator's file
 ENVIRONMENT = {
     "RELAY_NAME": "d-8",
     "RELAY_LISTEN": "127.0.0.1:8201",
@@ -30,32 +30,32 @@
     "RELAY_CONTROL": "127.0.0.1:8203",
     "RELAY_LISTEN_FD": "5",
 }
-PARSERS_WORDS = re.compile(r"(not (?:TOML|JSON): ).*", re.DOTALL)  # they differ between versions of Python
+PARSER_MESSAGE = re.compile(r"(not (?:TOML|JSON): ).*", re.DOTALL)  # differs between versions of Python
 
 
 def values_of(value: Any) -> Any:
-    """What an object holds, as JSON can: of a dataclass its values in the order of their declaration."""
+    """Return an object as JSON values; a dataclass becomes a list of its values in declaration order."""
     if is_dataclass(value):
         return [values_of(getattr(value, field.name)) for field in fields(value)]
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, Mapping):
-        return {str(key): values_of(one) for key, one in value.items()}
+        return {str(key): values_of(item) for key, item in value.items()}
     if isinstance(value, frozenset | set):
-        return sorted(values_of(one) for one in value)
+        return sorted(values_of(item) for item in value)
     if isinstance(value, list | tuple):
-        return [values_of(one) for one in value]
+        return [values_of(item) for item in value]
     return value
 
 
-def operators_config(text: str) -> Config:
-    """What an operator's file says, with the seed that is drawn held still."""
+def operator_config(text: str) -> Config:
+    """Parse an operator's file, with a fixed random seed."""
     with patch("os.urandom", return_value=SEED):
         return from_text(PATH, text)
 
 
-def platforms_config(raw: Any, environment: Mapping[str, str], again: bool = False) -> Config:
-    """What the platform's file says."""
+def platform_config(raw: Any, environment: Mapping[str, str], again: bool = False) -> Config:
+    """Parse a platform's file."""
     with TemporaryDirectory() as folder:
         path = os.path.join(folder, "relay.json")
         text = raw if isinstance(raw, str) else json.dumps(raw)
@@ -67,33 +67,33 @@
 
 
 def golden_text(name: str) -> str:
-    """A file that was laid down with the golden files."""
+    """Return the text of a file in the golden folder."""
     return (FOLDER / name).read_text(encoding="utf-8")
 
 
 def all_settings() -> dict[str, Any]:
-    """What each sample of a file of settings comes to."""
-    full, least = json.loads(golden_text("settings.json")), json.loads(golden_text("settings_least.json"))
+    """Return the values of each sample file."""
+    full, minimal = json.loads(golden_text("settings.json")), json.loads(golden_text("settings_least.json"))
     voter = golden_text("operator_voter.toml")
     appliance = (DEPLOY / "appliance.toml").read_text(encoding="utf-8")
     configs = {
-        "platform": platforms_config(full, {}),
-        "platform with its environment": platforms_config(full, ENVIRONMENT),
-        "platform with its environment, read again": platforms_config(full, ENVIRONMENT, True),
-        "platform with defaults": platforms_config(least, {}),
-        "appliance": operators_config(appliance),
-        "operator with defaults": operators_config(golden_text("operator_least.toml")),
-        "operator who votes": operators_config(voter),
-        "operator who follows": operators_config(golden_text("operator_follower.toml")),
+        "platform": platform_config(full, {}),
+        "platform with its environment": platform_config(full, ENVIRONMENT),
+        "platform with its environment, read again": platform_config(full, ENVIRONMENT, True),
+        "platform with defaults": platform_config(minimal, {}),
+        "appliance": operator_config(appliance),
+        "operator with defaults": operator_config(golden_text("operator_least.toml")),
+        "operator who votes": operator_config(voter),
+        "operator who follows": operator_config(golden_text("operator_follower.toml")),
     }
     settings = {
         "settings": parse_settings(full["settings"]),
-        "settings with defaults": parse_settings(least["settings"]),
+        "settings with defaults": parse_settings(minimal["settings"]),
     }
     return {name: values_of(value) for name, value in (configs | settings).items()}
 
 
-OPERATORS_MISTAKES = {
+OPERATOR_MISTAKES = {
     "no TOML": ("sockets = 513", "sockets ="),
     "unknown key": ("sockets = 513", "plugs = 513"),
     "unknown key of servers": ("wait_s = 31.0", "waits = 31.0"),
@@ -132,7 +132,7 @@
     "an aim that is no number": ("aimMs = 600.0", 'aimMs = "soon"'),
     "no deadline": ("hardLimitMs = 10000.0", ""),
 }
-FOLLOWERS_MISTAKES = {
+FOLLOWER_MISTAKES = {
     "a state that is none": ('state = "Ready"', 'state = "Well"'),
     "a server without a name": ('uid = "runner-1"', 'uid = ""'),
     "a server without a port": ('endpoint = "10.0.0.7:8007"', 'endpoint = "10.0.0.7"'),
@@ -140,7 +140,7 @@
     "a follower that is a member": ('m-1 = "10.0.0.1:9001"', 'd-1 = "10.0.0.1:9001"'),
     "a follower with a term": ("follow = true", "follow = true\nterm_s = 4.0"),
 }
-PLATFORMS_MISTAKES: dict[str, Any] = {
+PLATFORM_MISTAKES: dict[str, Any] = {
     "no JSON": "{",
     "no object": [],
     "no settings": {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"},
@@ -148,7 +148,7 @@
     "services that are no list": {"listen": "a:1", "discovery": "b:2", "settings": {"services": 5}},
 }
 ONE_CLASS = {"name": "order", "aimMs": 600, "hardLimitMs": 1000, "effect": "free"}
-FIGURES_MISTAKES: dict[str, Any] = {
+SETTINGS_MISTAKES: dict[str, Any] = {
     "no classes": {"services": []},
     "one name twice": {"services": [ONE_CLASS, ONE_CLASS]},
     "an aim of nothing": {"services": [{**ONE_CLASS, "aimMs": 0}]},
@@ -158,7 +158,7 @@
     "half a try": {"services": [ONE_CLASS], "limits": {"mostTries": 1.5}},
     "a rule that is a list": {"services": [ONE_CLASS], "limits": {"mostTries": 1}, "rules": {"coldFrom": []}},
 }
-VERSIONS_MISTAKES = {
+VERSION_MISTAKES = {
     "no TOML": b"[settings",
     "no UTF-8": b"\xff",
     "unknown key": b"[drmaa]\n",
@@ -167,12 +167,12 @@
 
 
 def error_of(call: Any, *arguments: Any) -> str:
-    """What a call says is wrong."""
+    """Return the message of the error that a call raises."""
     try:
         call(*arguments)
     except (ConfigError, FormatError) as error:
-        return PARSERS_WORDS.sub(r"\1...", str(error))
-    raise AssertionError(f"nothing is wrong with {arguments!r:.200}")
+        return PARSER_MESSAGE.sub(r"\1...", str(error))
+    raise AssertionError(f"no error for {arguments!r:.200}")
 
 
 def _changed(text: str, change: tuple[str, str]) -> str:
@@ -181,23 +181,23 @@
 
 
 def all_errors() -> dict[str, dict[str, str]]:
-    """What is said of each mistake."""
+    """Return the error message for each mistake."""
     voter, follower = golden_text("operator_voter.toml"), golden_text("operator_follower.toml")
-    full, least = json.loads(golden_text("settings.json")), json.loads(golden_text("settings_least.json"))
-    in_force = platforms_config(full, {})
+    full, minimal = json.loads(golden_text("settings.json")), json.loads(golden_text("settings_least.json"))
+    current = platform_config(full, {})
     return {
         "operator": {
-            name: error_of(operators_config, _changed(voter, change))
-            for name, change in OPERATORS_MISTAKES.items()
+            name: error_of(operator_config, _changed(voter, change))
+            for name, change in OPERATOR_MISTAKES.items()
         },
         "follower": {
-            name: error_of(operators_config, _changed(follower, change))
-            for name, change in FOLLOWERS_MISTAKES.items()
+            name: error_of(operator_config, _changed(follower, change))
+            for name, change in FOLLOWER_MISTAKES.items()
         },
-        "platform": {name: error_of(platforms_config, raw, {}) for name, raw in PLATFORMS_MISTAKES.items()},
-        "figures": {name: error_of(check_numbers, raw) for name, raw in FIGURES_MISTAKES.items()},
-        "version": {name: error_of(version_sections, raw) for name, raw in VERSIONS_MISTAKES.items()},
+        "platform": {name: error_of(platform_config, raw, {}) for name, raw in PLATFORM_MISTAKES.items()},
+        "figures": {name: error_of(check_numbers, raw) for name, raw in SETTINGS_MISTAKES.items()},
+        "version": {name: error_of(version_sections, raw) for name, raw in VERSION_MISTAKES.items()},
         "read again": {
-            "a key that is missing": error_of(check_reload, platforms_config(least, {}), in_force)
+            "a key that is missing": error_of(check_reload, platform_config(minimal, {}), current)
         },
     }
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -23,7 +23,7 @@
 from grebestack.program.dispatcher import Dispatcher
 from grebestack.program.lifecycle import Stage
 from tests.golden_samples import DIGEST, FEED, VERSION, load
-from tests.golden_settings import golden_text, operators_config
+from tests.golden_settings import golden_text, operator_config
 
 LINK = 1
 
@@ -113,8 +113,8 @@
 
 def waits_for_restart() -> list[str]:
     """The names of what has changed in an operator's file and waits for a restart."""
-    former = operators_config(golden_text("operator_voter.toml"))
-    new = operators_config(golden_text("operator_follower.toml"))
+    former = operator_config(golden_text("operator_voter.toml"))
+    new = operator_config(golden_text("operator_follower.toml"))
     return Dispatcher.fields_requiring_restart(MagicMock(config=former), new)
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door: lines in pieces, bad callers, bans and drains of a running dispatcher."""
+"""The admin server: split lines, misbehaving clients, cordoned workers and quiesced dispatchers."""
 
 from __future__ import annotations
 
@@ -42,26 +42,28 @@
 )
 
 
-@given(line=LINES, end=st.sampled_from([b"\n", b"\r\n"]), more=st.binary(max_size=9), chance=st.randoms())
-def test_a_line_is_the_same_call_however_it_is_cut(
-    line: bytes, end: bytes, more: bytes, chance: random.Random
+@given(
+    line=LINES, end=st.sampled_from([b"\n", b"\r\n"]), rest=st.binary(max_size=9), random_sizes=st.randoms()
+)
+def test_a_line_gives_the_same_command_however_it_is_split(
+    line: bytes, end: bytes, rest: bytes, random_sizes: random.Random
 ) -> None:
-    whole, reader, got = line + end + more, commands.LineReader(), list[Any]()
-    while whole:
-        size = chance.randint(1, len(whole))
-        if (result := reader.feed(whole[:size])) is not None:
-            got.append(result)
-        whole = whole[size:]
+    data, reader, results = line + end + rest, commands.LineReader(), list[Any]()
+    while data:
+        size = random_sizes.randint(1, len(data))
+        if (result := reader.feed(data[:size])) is not None:
+            results.append(result)
+        data = data[size:]
         assert len(reader.rest) <= commands.MAX_LINE_BYTES + 1
-    assert len(got) == 1 and reader.feed_eof() is None
+    assert len(results) == 1 and reader.feed_eof() is None
     if len(line) > commands.MAX_LINE_BYTES:
-        assert got[0] == commands.CommandResponse(False, "the line is longer than 256 bytes")
+        assert results[0] == commands.CommandResponse(False, "the line is longer than 256 bytes")
     else:
-        assert got[0] == commands.parse(line)
+        assert results[0] == commands.parse(line)
 
 
 @pytest.mark.parametrize(
-    "line, says",
+    "line, message",
     [
         (b"", "empty"),
         (b"reboot", "unknown call 'reboot'"),
@@ -71,135 +73,137 @@
         (b"\xff", "not ASCII"),
     ],
 )
-def test_a_failure_names_what_was_wrong_and_what_is_allowed(line: bytes, says: str) -> None:
-    answer = commands.parse(line)
-    assert isinstance(answer, commands.CommandResponse) and answer.line.startswith(b"FAILURE ")
-    assert says in answer.text and "cordon ID" in answer.text
+def test_a_failure_names_the_mistake_and_what_is_allowed(line: bytes, message: str) -> None:
+    response = commands.parse(line)
+    assert isinstance(response, commands.CommandResponse) and response.line.startswith(b"FAILURE ")
+    assert message in response.text and "cordon ID" in response.text
 
 
-def test_no_word_of_any_list_lifts_a_ban() -> None:
+def test_no_list_update_uncordons_a_worker() -> None:
     table = WorkerTable()
 
-    def listed(kind: ListKind, *states: tuple[str, WorkerState]) -> None:
+    def update_list(kind: ListKind, *states: tuple[str, WorkerState]) -> None:
         table.update(
             kind, [WorkerEndpoint(WorkerEntry(name, state=state), ("h", 1)) for name, state in states]
         )
 
-    listed(ListKind.FULL, ("a", WorkerState.READY), ("b", WorkerState.READY))
+    update_list(ListKind.FULL, ("a", WorkerState.READY), ("b", WorkerState.READY))
     with pytest.raises(KeyError):
         table.set_cordoned("never", True)
     table.set_cordoned("a", True)
     for kind in ListKind.FULL, ListKind.CHANGES, ListKind.CACHED:
-        listed(kind, ("a", WorkerState.READY))
+        update_list(kind, ("a", WorkerState.READY))
         assert not table.accepts_work("a")
-    listed(ListKind.FULL, ("b", WorkerState.READY))  # gone, and it comes again
+    update_list(ListKind.FULL, ("b", WorkerState.READY))  # removed, then listed again
     table.set_cordoned("a", True)
-    listed(ListKind.CHANGES, ("a", WorkerState.READY))
+    update_list(ListKind.CHANGES, ("a", WorkerState.READY))
     assert not table.accepts_work("a") and table.accepts_work("b")
-    told: list[bool] = []
-    table.on_change = lambda kind, entries: told.extend(entry.put_back for entry in entries)
+    reinstated: list[bool] = []
+    table.on_change = lambda kind, entries: reinstated.extend(entry.put_back for entry in entries)
     table.set_cordoned("a", False)
-    listed(ListKind.CHANGES, ("a", WorkerState.READY))
-    assert table.accepts_work("a") and told == [True, False]
+    update_list(ListKind.CHANGES, ("a", WorkerState.READY))
+    assert table.accepts_work("a") and reinstated == [True, False]
 
 
 @given(
     st.lists(st.tuples(st.sampled_from(["finish_start", "quiesce", "resume", "stop"]), st.floats(0, 3000)))
 )
-def test_never_ready_while_quiesced_and_a_stop_wins(steps: list[tuple[str, float]]) -> None:
-    life, now, started, quiesced, stopped, since = Lifecycle(), 0.0, False, False, False, 0.0
-    for what, wait in steps:
-        now += wait
-        if what == "quiesce" and not quiesced:
-            since = now
-        result = getattr(life, what)(now)
-        started, stopped = started or what == "finish_start", stopped or what == "stop"
-        quiesced = what == "quiesce" or (quiesced and what != "resume")
-        assert what != "resume" or result is not stopped
-        assert life.is_ready is (started and not quiesced and not stopped)
+def test_a_quiesced_dispatcher_is_never_ready_and_a_stop_takes_precedence(
+    steps: list[tuple[str, float]],
+) -> None:
+    lifecycle, now_ms, started, quiesced, stopped, since_ms = Lifecycle(), 0.0, False, False, False, 0.0
+    for step, delay_ms in steps:
+        now_ms += delay_ms
+        if step == "quiesce" and not quiesced:
+            since_ms = now_ms
+        result = getattr(lifecycle, step)(now_ms)
+        started, stopped = started or step == "finish_start", stopped or step == "stop"
+        quiesced = step == "quiesce" or (quiesced and step != "resume")
+        assert step != "resume" or result is not stopped
+        assert lifecycle.is_ready is (started and not quiesced and not stopped)
         if quiesced and not stopped:
-            assert life.client_handling(since + QUIESCE_KEEP_MS - 1)[0] is ClientHandling.KEEP
-            assert life.client_handling(since + QUIESCE_KEEP_MS)[0] is ClientHandling.DRAIN
-            assert life.client_handling(since + QUIESCE_DRAIN_MS)[0] is ClientHandling.REJECT
+            assert lifecycle.client_handling(since_ms + QUIESCE_KEEP_MS - 1)[0] is ClientHandling.KEEP
+            assert lifecycle.client_handling(since_ms + QUIESCE_KEEP_MS)[0] is ClientHandling.DRAIN
+            assert lifecycle.client_handling(since_ms + QUIESCE_DRAIN_MS)[0] is ClientHandling.REJECT
         elif not stopped:
-            assert life.client_handling(now) == (ClientHandling.KEEP, float("inf"))
-    assert (life.stage is Stage.STOPPING) is stopped
+            assert lifecycle.client_handling(now_ms) == (ClientHandling.KEEP, float("inf"))
+    assert (lifecycle.stage is Stage.STOPPING) is stopped
 
 
-def test_bad_callers_delay_nobody(world: World) -> None:
+def test_misbehaving_clients_delay_no_command(world: World) -> None:
     world.runner("s-1")
     world.start()
-    door = world.door
-    silent = [socket.create_connection(door, 30) for _ in range(40)]
-    for n, caller in enumerate(silent):
-        caller.sendall((b"cordon s-1", b"", b"x" * 300, os.urandom(8).replace(b"\n", b"") + b"\n")[n % 4])
-    assert say(door, "health") == "SUCCESS ready\n"
-    assert say(door, "health\nquiesce\n" + "x" * 100_000).startswith("SUCCESS")
-    assert say(door, "nonsense\r").startswith("FAILURE unknown call 'nonsense'")
-    with socket.create_connection(door, 30) as half:
-        half.sendall(b"cordon s-1")
-        half.shutdown(socket.SHUT_WR)
-        assert half.makefile().read() == "FAILURE the line 'cordon s-1' has no end\n"
-    for caller in silent:
-        caller.close()
+    admin = world.door
+    silent = [socket.create_connection(admin, 30) for _ in range(40)]
+    for n, client in enumerate(silent):
+        client.sendall((b"cordon s-1", b"", b"x" * 300, os.urandom(8).replace(b"\n", b"") + b"\n")[n % 4])
+    assert say(admin, "health") == "SUCCESS ready\n"
+    assert say(admin, "health\nquiesce\n" + "x" * 100_000).startswith("SUCCESS")
+    assert say(admin, "nonsense\r").startswith("FAILURE unknown call 'nonsense'")
+    with socket.create_connection(admin, 30) as client:
+        client.sendall(b"cordon s-1")
+        client.shutdown(socket.SHUT_WR)
+        assert client.makefile().read() == "FAILURE the line 'cordon s-1' has no end\n"
+    for client in silent:
+        client.close()
     assert call(world.front, "POST", "/api", b"", {"X-Call-Id": "a", "X-Call-Class": "order"})[0] == 200
 
 
-def test_a_call_from_the_command_line(world: World) -> None:
+def test_a_command_from_the_command_line(world: World) -> None:
     world.start()
-    door = f"127.0.0.1:{world.door[1]}"
-    for words, code, says in (
-        ([door, "health"], 0, "SUCCESS ready"),
-        ([door, "cordon", "nobody"], 1, "FAILURE 'nobody'"),
+    admin = f"127.0.0.1:{world.door[1]}"
+    for arguments, code, message in (
+        ([admin, "health"], 0, "SUCCESS ready"),
+        ([admin, "cordon", "nobody"], 1, "FAILURE 'nobody'"),
         (["nowhere", "health"], 2, "is no HOST:PORT"),
         ([f"127.0.0.1:{reserved_port()}", "health"], 3, "refused"),
     ):
-        command = [sys.executable, "-m", "grebestack", "say", *words]
+        command = [sys.executable, "-m", "grebestack", "say", *arguments]
         result = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
-        assert (result.returncode, says in result.stdout) == (code, True), result
+        assert (result.returncode, message in result.stdout) == (code, True), result
 
 
-def test_a_cordoned_runner_gets_nothing_until_the_call_back(world: World) -> None:
-    one, two = world.runner("s-1"), world.runner("s-2")
-    front = world.start()
+def test_a_cordoned_worker_gets_no_jobs_until_it_is_uncordoned(world: World) -> None:
+    first, second = world.runner("s-1"), world.runner("s-2")
+    dispatcher = world.start()
     job = {"X-Call-Class": "order", "X-Call-Id": "x"}
     assert say(world.door, "cordon nobody").startswith("FAILURE 'nobody' was never listed")
     for _ in range(2):
         assert say(world.door, "cordon s-1") == "SUCCESS s-1 is left out\n"
-    world.set_state(two, "Ready")  # the whole list comes again
+    world.set_state(second, "Ready")  # sends the full list again
     wait_until(lambda: world.discovery.told == world.discovery.rev)
     for n in range(6):
-        assert call(front, "POST", "/api", b"", job | {"X-Call-Id": f"c{n}"})[0] == 200
-    assert (len(one.jobs), len(two.jobs)) == (0, 6)
+        assert call(dispatcher, "POST", "/api", b"", job | {"X-Call-Id": f"c{n}"})[0] == 200
+    assert (len(first.jobs), len(second.jobs)) == (0, 6)
     assert say(world.door, "uncordon s-1") == say(world.door, "uncordon s-1") == "SUCCESS s-1 is used again\n"
     assert say(world.door, "cordon s-2").startswith("SUCCESS")
-    assert call(front, "POST", "/api", b"", job)[0] == 200 and len(one.jobs) == 1
+    assert call(dispatcher, "POST", "/api", b"", job)[0] == 200 and len(first.jobs) == 1
 
 
-def test_a_quiesced_dispatcher_leads_its_clients_out_and_comes_back(world: World) -> None:
-    runner = world.runner("s-1", seconds=2.5)
-    front = world.start()
-    idle = http.client.HTTPConnection(*front, timeout=30)
-    runner.seconds, late = 0.0, {"X-Call-Class": "order", "X-Call-Id": "late"}
+def test_a_quiesced_dispatcher_closes_client_connections_and_can_resume(world: World) -> None:
+    worker = world.runner("s-1", seconds=2.5)
+    dispatcher = world.start()
+    idle = http.client.HTTPConnection(*dispatcher, timeout=30)
+    worker.seconds, late = 0.0, {"X-Call-Class": "order", "X-Call-Id": "late"}
     idle.request("POST", "/api", b"", late | {"X-Call-Id": "first"})
     idle.getresponse().read()
-    runner.seconds = 2.5
-    busy = world.in_background(lambda: call(front, "POST", "/api", b"", late | {"X-Call-Id": "busy"}))
-    wait_until(lambda: len(runner.jobs) == 2)
+    worker.seconds = 2.5
+    busy = world.in_background(lambda: call(dispatcher, "POST", "/api", b"", late | {"X-Call-Id": "busy"}))
+    wait_until(lambda: len(worker.jobs) == 2)
     assert say(world.door, "quiesce") == "SUCCESS quiesced\n"
-    assert call(front, "GET", "/health/ready", b"", {})[0] == 503
+    assert call(dispatcher, "GET", "/health/ready", b"", {})[0] == 503
     assert say(world.door, "health") == "FAILURE not ready: quiesced\n"
     assert idle.sock.recv(1) == b""  # closed by the dispatcher
-    wait_until(lambda: call(front, "POST", "/api", b"", late | {"X-Call-Class": "none"})[0] == 400)
-    told = time.monotonic()
-    while (answer := call(front, "POST", "/api", b"", late | {"X-Budget": "0.05"}))[0] != 503 or (
-        "retry-after" not in answer[1]
+    wait_until(lambda: call(dispatcher, "POST", "/api", b"", late | {"X-Call-Class": "none"})[0] == 400)
+    started_s = time.monotonic()
+    while (response := call(dispatcher, "POST", "/api", b"", late | {"X-Budget": "0.05"}))[0] != 503 or (
+        "retry-after" not in response[1]
     ):
-        assert time.monotonic() < told + 20
+        assert time.monotonic() < started_s + 20
     assert busy()[0] == 200
     assert say(world.door, "resume") == "SUCCESS serving\n"
-    assert call(front, "GET", "/health/ready", b"", {})[0] == 200
-    runner.seconds = 0.0
+    assert call(dispatcher, "GET", "/health/ready", b"", {})[0] == 200
+    worker.seconds = 0.0
     idle.close()
     idle.request("POST", "/api", b"", late | {"X-Call-Id": "again"})
     assert idle.getresponse().read() == b"result of again"
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -1,4 +1,4 @@
-"""Settings, operators' files, their errors and the operators' door: all as the golden files have them."""
+"""Compares settings, configuration files, their errors and admin commands with the golden files."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 CONTROL, TEXTS = "control.json", "texts.json"
 
 
-def test_files_of_settings_come_to_the_golden_values() -> None:
+def test_configuration_files_parse_to_the_golden_values() -> None:
     actual, golden = all_settings(), load(SETTINGS)
     assert set(actual) == set(golden)
     for name in sorted(golden):
         assert actual[name] == golden[name], name
 
 
-def test_mistakes_in_settings_are_named_as_in_the_golden_file() -> None:
+def test_error_messages_are_those_of_the_golden_file() -> None:
     actual, golden = all_errors(), load(ERRORS)
     assert set(actual) == set(golden)
     for group in sorted(golden):
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("part", ["parsed", "pieces", "answers", "shown", "operated", "logged"])
-def test_the_door_says_what_the_golden_file_has(part: str) -> None:
+def test_admin_commands_and_log_lines_are_those_of_the_golden_file(part: str) -> None:
     assert all_control()[part] == load(CONTROL)[part]
 
 
@@ -47,7 +47,7 @@
     assert {verb.value.encode() for verb in Verb} <= {line.split(b" ")[0] for line in LINES}
 
 
-def test_golden_tallies_are_counted_by_the_benchmark() -> None:
+def test_golden_tally_lines_are_counted_by_the_benchmark() -> None:
     counts = Counts()
     for line in load(CONTROL)["logged"]:
         counts.line(line)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change at run time: broken files change nothing, and jobs keep the class they came with."""
+"""Settings that change at run time: invalid files change nothing, and jobs keep their class."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.policy_driver import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT, Dispatcher, sends, settings
 from tests.standins import OPTIONS, World, call, wait_until
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "name": "n0",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
@@ -30,10 +30,10 @@
 }
 
 
-BAD: list[Any] = [0, -1, True, float("nan"), float("inf"), "5", [], {}]
+INVALID: list[Any] = [0, -1, True, float("nan"), float("inf"), "5", [], {}]
 
 
-def at(path: str, value: Any) -> Callable[[Any], None]:
+def set_at(path: str, value: Any) -> Callable[[Any], None]:
     def change(raw: Any) -> None:
         *inner, last = path.split(".")
         for name in inner:
@@ -49,36 +49,36 @@
 @pytest.mark.parametrize(
     "change, message",
     [
-        (at("settings", None), "lacks 'settings'"),
-        (at("discovery", None), "lacks 'discovery'"),
-        (at("name", None), "lacks name"),
-        (at("limits", None), "lacks limits"),
-        (at("settings.limits", None), "lacks settings.limits"),
-        (at("settings.services", None), "services"),
-        (at("settings.rules", None), "lacks settings.rules"),
-        (at("settings.limits.mostTries", None), "mostTries"),
-        (at("settings.services", []), "no class"),
-        (at("settings.services.0.hardLimitMs", None), "hardLimitMs"),
-        (at("settings.extra", None), "extra"),
-        (at("settings.services.1.effect", "maybe"), "effect"),
-        (at("settings.services.1.name", "order"), "once"),
+        (set_at("settings", None), "lacks 'settings'"),
+        (set_at("discovery", None), "lacks 'discovery'"),
+        (set_at("name", None), "lacks name"),
+        (set_at("limits", None), "lacks limits"),
+        (set_at("settings.limits", None), "lacks settings.limits"),
+        (set_at("settings.services", None), "services"),
+        (set_at("settings.rules", None), "lacks settings.rules"),
+        (set_at("settings.limits.mostTries", None), "mostTries"),
+        (set_at("settings.services", []), "no class"),
+        (set_at("settings.services.0.hardLimitMs", None), "hardLimitMs"),
+        (set_at("settings.extra", None), "extra"),
+        (set_at("settings.services.1.effect", "maybe"), "effect"),
+        (set_at("settings.services.1.name", "order"), "once"),
         *(
-            (at(f"settings.{field}", value), field.rpartition(".")[2])
+            (set_at(f"settings.{field}", value), field.rpartition(".")[2])
             for field in ("services.0.hardLimitMs", "services.1.aimMs", "limits.mostTries")
-            for value in BAD
+            for value in INVALID
         ),
-        (at("settings.limits.mostTries", 2.5), "whole number"),
-        (at("settings.rules.drainGraceMs", float("nan")), "drainGraceMs"),
+        (set_at("settings.limits.mostTries", 2.5), "whole number"),
+        (set_at("settings.rules.drainGraceMs", float("nan")), "drainGraceMs"),
     ],
 )
 def test_a_broken_file_is_rejected_with_a_message_that_names_the_fault(
     change: Callable[[Any], None], message: str, tmp_path: Any
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(GOOD))
+    path.write_text(json.dumps(VALID))
     former = from_platform({"RELAY_CONFIG": str(path)})
     check_reload(former, former)
-    raw = deepcopy(GOOD)
+    raw = deepcopy(VALID)
     change(raw)
     path.write_text(json.dumps(raw))
     with pytest.raises(ConfigError, match=message):
