--- a/grebestack/admin/server.py
+++ b/grebestack/admin/server.py
@@ -119,9 +119,8 @@
         """Create the server; the instance is the protocol factory of a listener."""
         self.loop, self.operations = loop, operations
         self.connections: set[AdminConnection] = set()
-        self.reading: OrderedDict[AdminConnection, None] = (
-            OrderedDict()
-        )  # those without a complete line, oldest first
+        # The connections without a complete line, oldest first.
+        self.reading: OrderedDict[AdminConnection, None] = OrderedDict()
 
     def __call__(self) -> AdminConnection:
         """Return the protocol for a client that is being accepted."""
--- a/grebestack/program/bootstrap_command.py
+++ b/grebestack/program/bootstrap_command.py
@@ -22,9 +22,7 @@
         "--config", metavar="FILE", required=True, help="the operator's file, with a [fleet] section"
     )
     options = parser.parse_args(arguments)
-    from grebestack.program.cluster_member import (
-        found_cluster,
-    )  # slow to import, not needed if parsing fails
+    from grebestack.program.cluster_member import found_cluster  # slow to import, so only after parsing
 
     try:
         print(found_cluster(from_file(options.config)))
--- a/grebestack/program/lifecycle_control.py
+++ b/grebestack/program/lifecycle_control.py
@@ -20,9 +20,7 @@
 
 log = logging.getLogger(__name__)
 _READ_ANSWER_S = 0.5  # a stop waits this long for a client to read its last answer or to finish its request
-_HANDOVER_BEFORE_DEADLINE_S = (
-    0.6  # a predecessor hands over its last requests this long before late answers are due
-)
+_HANDOVER_BEFORE_DEADLINE_S = 0.6  # between the handover of the last requests and their late answers
 _IDLE_CHECK_INTERVAL_S = 0.02
 _FLUSH_S = 0.05  # for the last answers to be sent
 _MIN_TIMER_S = 0.001
