--- a/tests/consensus_model.py
+++ b/tests/consensus_model.py
@@ -1,16 +1,15 @@
-"""Every state that registers and leases can reach, within a bound: three disks, and two that want a task.
+"""A model of registers and leases whose reachable states are explored: three acceptors, two lease candidates.
 
     python -m tests.consensus_model [--states N] [--variant NAME] [--start NAME] [--end TIME] [--rounds N N]
 
-The code that is explored is `grebestack.consensus` itself. Messages are never taken off the wire: each may
-come late, more than once, in any order or not at all. Members may stop and start anew, give an proposal up at
-any time, and look at what lies on any disk. After each step at most one of them may act, and no token is held
-by two.
+The model runs the code of `grebestack.consensus` itself. Sent messages stay available: each may be delivered
+late, repeatedly, in any order or not at all. Members may restart, abandon a proposal at any time, and observe
+the value on any disk. In every state at most one member may act, and no token is held by two members.
 
-Left out, since it only hinders: a promise that its proposer does not receive (it makes others' proposals
-fail, as giving them up does), and a rejection (who gives up may or may not have heard of a higher ballot).
-Steps that can't lead to another proposal are left out too: who has none left neither looks, gives up nor
-starts anew.
+Omitted, because they allow no additional outcome: the loss of a promise (it makes other proposals fail, as
+abandoning them does), and rejections (a member that abandons a proposal may or may not know of a higher
+ballot). Steps that cannot lead to another proposal are omitted too: a member with no proposals left does not
+observe, abandon or restart.
 """
 
 from __future__ import annotations
@@ -42,246 +41,274 @@
 DISKS = 3
 TERMS = LeaseTerms(term_ms=2.0, max_clock_drift=0.0, guard_ms=0.0, renew_fraction=0.5, stagger_ms=0.0)
 STARTS = ("fresh", "held", "released")
-VARIANTS = ("no sync", "counted from the answer", "votes without its disk", "token from memory", "same marks")
-Request = tuple[Ballot, bool, Any]  # its ballot, whether it asks to accept, and what
+VARIANTS = (
+    "no sync",
+    "term from response",
+    "votes after disk loss",
+    "token from observed value",
+    "no proposal numbers",
+)
+Request = tuple[Ballot, bool, Any]  # the ballot, whether it is an accept request, and the value
 
 
 class Proposer(NamedTuple):
-    """One that wants the task, and its proposal."""
+    """A candidate for the lease, and its proposal."""
 
-    holder: LeaseParticipant
-    before: LeaseParticipant  # as it was when it asked: what it asks for follows from it
-    last: Ballot
+    participant: LeaseParticipant
+    when_proposed: LeaseParticipant  # its state at the proposal, from which the proposed change follows
+    last_ballot: Ballot
     round: Round | None = None
-    rounds: int = 0
-    late: frozenset[tuple[int, AcceptorResponse]] = (
-        frozenset()
-    )  # answers on their way that would end its phase
+    round_count: int = 0
+    late_responses: frozenset[tuple[int, AcceptorResponse]] = frozenset()  # by disk; would end the phase
 
 
 class World(NamedTuple):
-    """One state."""
+    """One state of the model."""
 
     now: int
     disks: tuple[AcceptorState, ...]
-    unsynced: tuple[
-        AcceptorState, ...
-    ]  # what the members believe; another than the disk only where nothing is synced
+    in_memory: tuple[AcceptorState, ...]  # of the acceptors; differs from the disks in broken variants
     proposers: tuple[Proposer, ...]
     sent: frozenset[Request] = frozenset()
-    acted: frozenset[tuple[int, str, int]] = frozenset()  # tokens that could be acted under, and by whom
+    valid_tokens: frozenset[tuple[int, str, int]] = frozenset()  # token, member, process incarnation
     crashes: int = 0
 
 
 class Model:
-    """The steps from each state, and what must hold in it."""
+    """The steps from each state, and the invariants."""
 
     def __init__(
         self,
         variant: str = "",
         start: str = "fresh",
         end: int = 3,
-        rounds: tuple[int, int] = (1, 1),
-        crashes: int = 0,
+        max_rounds: tuple[int, int] = (1, 1),
+        max_crashes: int = 0,
     ) -> None:
-        self.variant, self.begins, self.end, self.rounds, self.crashes = variant, start, end, rounds, crashes
+        self.variant, self.start_name, self.end, self.max_rounds, self.max_crashes = (
+            variant,
+            start,
+            end,
+            max_rounds,
+            max_crashes,
+        )
 
     def start(self) -> World:
-        """Both have read that nobody has it. Since then a, or one that gave it back, took it by two disks."""
+        """Return the first state: both members have read a free lease, which may have changed since.
+
+        In "held" a has acquired it on two acceptors. In "released" another member has held and released it.
+        """
         a, b = (LeaseParticipant(name, 1, TERMS, has_observed=True) for name in ("a", "b"))
-        slot, acted = AcceptorState(), frozenset[tuple[int, str, int]]()
-        if self.begins == "held":
-            lease = Lease("a", 1, 1, 0 if self.variant == "same marks" else 1)
+        state, valid_tokens = AcceptorState(), frozenset[tuple[int, str, int]]()
+        if self.start_name == "held":
+            lease = Lease("a", 1, 1, 0 if self.variant == "no proposal numbers" else 1)
             a = replace(a, observed=lease, proposal_count=1, valid_until_ms=TERMS.usable_ms)
-            slot, acted = AcceptorState(Ballot(1, "a", 1), Ballot(1, "a", 1), lease), frozenset({(1, "a", 1)})
-        elif self.begins == "released":
+            state, valid_tokens = (
+                AcceptorState(Ballot(1, "a", 1), Ballot(1, "a", 1), lease),
+                frozenset({(1, "a", 1)}),
+            )
+        elif self.start_name == "released":
             lease = Lease("", 0, 1, 2)
-            slot, acted = AcceptorState(Ballot(1, "", 1), Ballot(1, "", 1), lease), frozenset({(1, "", 1)})
-        number = int(self.begins == "held")
+            state, valid_tokens = (
+                AcceptorState(Ballot(1, "", 1), Ballot(1, "", 1), lease),
+                frozenset({(1, "", 1)}),
+            )
+        number = int(self.start_name == "held")
         proposers = (Proposer(a, a, Ballot(number, "a", 1)), Proposer(b, b, Ballot(0, "b", 1)))
-        believed = (slot, slot, AcceptorState())
-        disks = (AcceptorState(),) * DISKS if self.variant == "no sync" else believed
-        return World(0, disks, believed, proposers, acted=acted)
+        in_memory = (state, state, AcceptorState())
+        disks = (AcceptorState(),) * DISKS if self.variant == "no sync" else in_memory
+        return World(0, disks, in_memory, proposers, valid_tokens=valid_tokens)
 
     def clock(self, world: World) -> float:
-        """What the proposers' clocks show."""
+        """Return the time on the proposers' clocks."""
         return float(world.now)
 
-    def wrong(self, world: World) -> str:
-        """Which rule a state breaks, if any."""
-        acting = [a.holder for a in world.proposers if a.holder.valid_token(self.clock(world)) is not None]
+    def violation_of(self, world: World) -> str:
+        """Return the invariant that a state violates, if any."""
+        acting = [
+            p.participant for p in world.proposers if p.participant.valid_token(self.clock(world)) is not None
+        ]
         if len(acting) > 1:
             return "two holders may act"
-        if len({token for token, *_ in world.acted}) < len(world.acted):
-            return "a token was held by two"
+        if len({token for token, *_ in world.valid_tokens}) < len(world.valid_tokens):
+            return "two members held the same token"
         return ""
 
     def steps(self, world: World) -> Iterator[tuple[str, World]]:
-        """What may happen next, each with the state after it."""
+        """Yield each possible step with the state after it."""
         if world.now < self.end:
-            yield "a moment passes", self._noted(world._replace(now=world.now + 1))
+            yield "time passes", self._record_valid_tokens(world._replace(now=world.now + 1))
         for i, proposer in enumerate(world.proposers):
-            yield from self._proposer(world, i, proposer)
+            yield from self._proposer_steps(world, i, proposer)
         for disk in range(DISKS):
             for request in world.sent:
-                yield from self._ask_disk(world, disk, request)
-            if world.crashes < self.crashes and self.variant in ("no sync", "votes without its disk"):
-                lost = world.disks[disk] if self.variant == "no sync" else AcceptorState()
+                yield from self._acceptor_steps(world, disk, request)
+            if world.crashes < self.max_crashes and self.variant in ("no sync", "votes after disk loss"):
+                recovered = world.disks[disk] if self.variant == "no sync" else AcceptorState()
                 yield (
-                    f"member {disk} starts anew",
-                    world._replace(unsynced=put(world.unsynced, disk, lost), crashes=world.crashes + 1),
+                    f"acceptor {disk} restarts",
+                    world._replace(
+                        in_memory=put(world.in_memory, disk, recovered), crashes=world.crashes + 1
+                    ),
                 )
 
-    def _proposer(self, world: World, i: int, proposer: Proposer) -> Iterator[tuple[str, World]]:
-        now, name = self.clock(world), proposer.holder.name
-        holder, change = proposer.holder.propose(now)
-        left = proposer.rounds < self.rounds[i]
-        if change is not None and left:
-            ballot = proposer.last.next_above(NO_BALLOT)
+    def _proposer_steps(self, world: World, i: int, proposer: Proposer) -> Iterator[tuple[str, World]]:
+        now, name = self.clock(world), proposer.participant.name
+        participant, change = proposer.participant.propose(now)
+        may_propose_again = proposer.round_count < self.max_rounds[i]
+        if change is not None and may_propose_again:
+            ballot = proposer.last_ballot.next_above(NO_BALLOT)
             after = proposer._replace(
-                holder=holder,
-                before=proposer.holder,
-                last=ballot,
-                rounds=proposer.rounds + 1,
+                participant=participant,
+                when_proposed=proposer.participant,
+                last_ballot=ballot,
+                round_count=proposer.round_count + 1,
                 round=Round(ballot, DISKS // 2 + 1),
-                late=frozenset(),
+                late_responses=frozenset(),
             )
             yield (
-                f"{name} asks",
+                f"{name} proposes",
                 world._replace(
                     proposers=put(world.proposers, i, after), sent=world.sent | {(ballot, False, None)}
                 ),
             )
         if proposer.round is not None:
-            given_up = proposer._replace(holder=proposer.holder.on_failed(now), round=None, late=frozenset())
+            abandoned = proposer._replace(
+                participant=proposer.participant.on_failed(now), round=None, late_responses=frozenset()
+            )
             highest = max(ballot.number for ballot, *_ in world.sent)
-            for number in {proposer.last.number, highest} if left else ():
-                after = given_up._replace(last=proposer.last._replace(number=number))
+            for number in {proposer.last_ballot.number, highest} if may_propose_again else ():
+                after = abandoned._replace(last_ballot=proposer.last_ballot._replace(number=number))
                 yield (
-                    f"{name} gives its proposal up",
+                    f"{name} abandons its proposal",
                     world._replace(proposers=put(world.proposers, i, after)),
                 )
-            for disk, answer in proposer.late:
-                what = f"{name} hears late from member {disk}"
-                yield what, self._on_response(world, i, disk, answer)
-        if world.crashes < self.crashes and left:
-            holder = LeaseParticipant(name, proposer.holder.process_incarnation + 1, TERMS)
+            for disk, response in proposer.late_responses:
+                step = f"{name} receives the late response of acceptor {disk}"
+                yield step, self._on_response(world, i, disk, response)
+        if world.crashes < self.max_crashes and may_propose_again:
+            participant = LeaseParticipant(name, proposer.participant.process_incarnation + 1, TERMS)
             restarted = Proposer(
-                holder,
-                holder,
-                Ballot(proposer.last.number, name, holder.process_incarnation),
-                rounds=proposer.rounds,
+                participant,
+                participant,
+                Ballot(proposer.last_ballot.number, name, participant.process_incarnation),
+                round_count=proposer.round_count,
             )
             yield (
-                f"{name} starts anew",
+                f"{name} restarts",
                 world._replace(proposers=put(world.proposers, i, restarted), crashes=world.crashes + 1),
             )
-        for value in {slot.value for slot in world.disks} if left else ():
-            observing = proposer._replace(holder=proposer.holder.observe(now, value))
+        for value in {state.value for state in world.disks} if may_propose_again else ():
+            observing = proposer._replace(participant=proposer.participant.observe(now, value))
             if observing != proposer:
-                yield f"{name} sees {value}", world._replace(proposers=put(world.proposers, i, observing))
+                yield (
+                    f"{name} observes {value}",
+                    world._replace(proposers=put(world.proposers, i, observing)),
+                )
 
-    def _ask_disk(self, world: World, disk: int, request: Request) -> Iterator[tuple[str, World]]:
-        """A request reaches a disk; its answer is lost, is heard at once, or, where it matters, later.
+    def _acceptor_steps(self, world: World, disk: int, request: Request) -> Iterator[tuple[str, World]]:
+        """An acceptor handles a request; its response is lost, received immediately, or received later.
 
-        One that does not end its phase changes nothing but a count: to hear it later is to hear it at once.
+        Receiving late is only explored for responses that end a phase: others change nothing but a count.
         """
-        ballot, accepts, value = request
-        slot = world.unsynced[disk]
-        slot, answer = accept(slot, ballot, value) if accepts else prepare(slot, ballot)
-        unsynced = put(world.unsynced, disk, slot)
-        disks = world.disks if self.variant == "no sync" else unsynced
-        after = world._replace(unsynced=unsynced, disks=disks)
-        verb = "accept" if accepts else "promise"
-        what = f"member {disk} is asked to {verb} {ballot.number}{ballot.member}"
-        if after != world and accepts and isinstance(answer, AcceptGranted):
-            yield f"{what}, its answer is lost", after
+        ballot, is_accept, value = request
+        state = world.in_memory[disk]
+        state, response = accept(state, ballot, value) if is_accept else prepare(state, ballot)
+        in_memory = put(world.in_memory, disk, state)
+        disks = world.disks if self.variant == "no sync" else in_memory
+        after = world._replace(in_memory=in_memory, disks=disks)
+        verb = "accept" if is_accept else "promise"
+        step = f"acceptor {disk} is requested to {verb} {ballot.number}{ballot.member}"
+        if after != world and is_accept and isinstance(response, AcceptGranted):
+            yield f"{step}, its response is lost", after
         for i, proposer in enumerate(world.proposers):
             if (
                 proposer.round is not None
                 and proposer.round.ballot == ballot
-                and not isinstance(answer, BallotRejected)
+                and not isinstance(response, BallotRejected)
             ):
-                heard = self._on_response(after, i, disk, answer)
-                if heard != after:
-                    yield what, heard
-                round_ = heard.proposers[i].round
+                received = self._on_response(after, i, disk, response)
+                if received != after:
+                    yield step, received
+                round_ = received.proposers[i].round
                 if round_ is None or round_.phase is not proposer.round.phase:
-                    late = proposer._replace(late=proposer.late | {(disk, answer)})
+                    delayed = proposer._replace(late_responses=proposer.late_responses | {(disk, response)})
                     yield (
-                        f"{what}, its answer is late",
-                        after._replace(proposers=put(after.proposers, i, late)),
+                        f"{step}, its response is late",
+                        after._replace(proposers=put(after.proposers, i, delayed)),
                     )
 
-    def _on_response(self, world: World, i: int, disk: int, answer: AcceptorResponse) -> World:
+    def _on_response(self, world: World, i: int, disk: int, response: AcceptorResponse) -> World:
         proposer, now = world.proposers[i], self.clock(world)
-        assert proposer.round is not None and proposer.holder.proposed_ms is not None
-        change = proposer.before.propose(proposer.holder.proposed_ms)[1]
+        assert proposer.round is not None and proposer.participant.proposed_ms is not None
+        change = proposer.when_proposed.propose(proposer.participant.proposed_ms)[1]
         assert change is not None
-        round_ = proposer.round.on_response(disk, answer, change)
+        round_ = proposer.round.on_response(disk, response, change)
         if round_ == proposer.round:
             return world
-        if self.variant == "token from memory" and round_.proposed_value != round_.previous_value:
+        if self.variant == "token from observed value" and round_.proposed_value != round_.previous_value:
             mine = lease_of(round_.proposed_value)
-            if mine.holder == proposer.holder.name and not proposer.before.is_held:
-                mine = msgspec.structs.replace(mine, token=proposer.before.observed.token + 1)
+            if mine.holder == proposer.participant.name and not proposer.when_proposed.is_held:
+                mine = msgspec.structs.replace(mine, token=proposer.when_proposed.observed.token + 1)
                 round_ = replace(round_, proposed_value=mine)
-        if self.variant == "same marks" and isinstance(round_.proposed_value, Lease):
+        if self.variant == "no proposal numbers" and isinstance(round_.proposed_value, Lease):
             round_ = replace(
                 round_, proposed_value=msgspec.structs.replace(round_.proposed_value, proposal_number=0)
             )
         after, sent = proposer._replace(round=round_), world.sent
         if round_.phase is Phase.ACCEPTING and proposer.round.phase is Phase.PREPARING:
             sent = sent | {(round_.ballot, True, round_.proposed_value)}
-            after = after._replace(late=frozenset())
+            after = after._replace(late_responses=frozenset())
         elif round_.phase is Phase.CHOSEN:
-            holder = proposer.holder.on_chosen(now, round_.previous_value, round_.proposed_value)
-            if self.variant == "counted from the answer" and holder.valid_until_ms > NOT_HELD_MS:
-                holder = replace(holder, valid_until_ms=now + TERMS.usable_ms)
-            after = after._replace(holder=holder, round=None, late=frozenset())
-        return self._noted(world._replace(proposers=put(world.proposers, i, after), sent=sent))
+            participant = proposer.participant.on_chosen(now, round_.previous_value, round_.proposed_value)
+            if self.variant == "term from response" and participant.valid_until_ms > NOT_HELD_MS:
+                participant = replace(participant, valid_until_ms=now + TERMS.usable_ms)
+            after = after._replace(participant=participant, round=None, late_responses=frozenset())
+        return self._record_valid_tokens(world._replace(proposers=put(world.proposers, i, after), sent=sent))
 
-    def _noted(self, world: World) -> World:
+    def _record_valid_tokens(self, world: World) -> World:
         now = self.clock(world)
-        acted = {
-            (token, a.holder.name, a.holder.process_incarnation)
-            for a in world.proposers
-            if (token := a.holder.valid_token(now)) is not None
+        valid_tokens = {
+            (token, p.participant.name, p.participant.process_incarnation)
+            for p in world.proposers
+            if (token := p.participant.valid_token(now)) is not None
         }
-        return world._replace(acted=world.acted | acted)
+        return world._replace(valid_tokens=world.valid_tokens | valid_tokens)
 
 
-def one_of_alike(world: World) -> World:
-    """Members' disks are alike: of states that differ by their order alone one stands for all."""
-    heard = [a.round.responders if a.round is not None else frozenset() for a in world.proposers]
+def canonical(world: World) -> World:
+    """Return one representative of all states that differ only in the order of the acceptors."""
+    responders = [p.round.responders if p.round is not None else frozenset() for p in world.proposers]
 
-    def look(disk: int) -> int:
-        late = (frozenset(answer for at, answer in a.late if at == disk) for a in world.proposers)
-        return hash((world.disks[disk], world.unsynced[disk], *(disk in h for h in heard), *late))
+    def hash_of(disk: int) -> int:
+        late = (frozenset(r for at, r in p.late_responses if at == disk) for p in world.proposers)
+        return hash((world.disks[disk], world.in_memory[disk], *(disk in r for r in responders), *late))
 
-    looks = [look(disk) for disk in range(DISKS)]
-    order = sorted(range(DISKS), key=lambda disk: looks[disk])
+    hashes = [hash_of(disk) for disk in range(DISKS)]
+    order = sorted(range(DISKS), key=lambda disk: hashes[disk])
     if order == list(range(DISKS)):
         return world
-    place: dict[object, int] = {disk: order.index(disk) for disk in range(DISKS)}
+    new_index: dict[object, int] = {disk: order.index(disk) for disk in range(DISKS)}
     proposers = tuple(
-        a._replace(
-            late=frozenset((place[disk], answer) for disk, answer in a.late),
-            round=a.round and replace(a.round, responders=frozenset(place[disk] for disk in h)),
+        p._replace(
+            late_responses=frozenset((new_index[disk], response) for disk, response in p.late_responses),
+            round=p.round and replace(p.round, responders=frozenset(new_index[disk] for disk in r)),
         )
-        for a, h in zip(world.proposers, heard, strict=True)
+        for p, r in zip(world.proposers, responders, strict=True)
     )
     disks = tuple(world.disks[disk] for disk in order)
-    return world._replace(disks=disks, unsynced=tuple(world.unsynced[d] for d in order), proposers=proposers)
+    return world._replace(
+        disks=disks, in_memory=tuple(world.in_memory[d] for d in order), proposers=proposers
+    )
 
 
-def explore(model: Model, most: int) -> ExplorationResult:
-    """See every state, the nearest first, up to so many."""
-    return state_exploration.explore(model.start(), model.steps, model.wrong, most, one_of_alike)
+def explore(model: Model, max_states: int) -> ExplorationResult:
+    """Explore up to `max_states` states, breadth first."""
+    return state_exploration.explore(model.start(), model.steps, model.violation_of, max_states, canonical)
 
 
 def main() -> int:
-    """Explore by command, as far as is wanted."""
+    """Explore from the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--states", type=int, default=1_000_000)
     parser.add_argument("--variant", default="", choices=("", *VARIANTS))
--- a/tests/state_exploration.py
+++ b/tests/state_exploration.py
@@ -1,4 +1,4 @@
-"""An explicit-state exploration: every state that can be reached, the nearest first."""
+"""Explicit-state model checking: breadth-first exploration of every reachable state."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class ExplorationResult(NamedTuple):
-    """What an exploration came to."""
+    """The result of an exploration."""
 
     states: int
-    is_complete: bool  # whether every state within the bound was seen
+    is_complete: bool  # whether every reachable state was visited
     violation: str = ""
     trace: tuple[str, ...] = ()
 
     def report(self) -> int:
-        """Print it; the exit code."""
+        """Print the result; return the exit code."""
         print("\n".join(self.trace))
         print(f"states={self.states} complete={self.is_complete} violation={self.violation!r}")
         return 1 if self.violation else 0
@@ -28,55 +28,55 @@
 def explore(
     first: S,
     steps: Callable[[S], Iterable[tuple[str, S]]],
-    wrong: Callable[[S], str],
-    most: int,
-    alike: Callable[[S], S] = lambda world: world,
+    violation_of: Callable[[S], str],
+    max_states: int,
+    canonical: Callable[[S], S] = lambda state: state,
 ) -> ExplorationResult:
-    """See every state, up to so many; a wrong one ends it with the shortest way there.
+    """Visit up to `max_states` states; stop at the first violation, with the shortest trace to it.
 
-    Of states that `alike` makes the same one stands for all.
+    States for which `canonical` returns the same state count as one.
     """
-    first = alike(first)
-    came: dict[S, tuple[S, str] | None] = {first: None}
+    first = canonical(first)
+    predecessors: dict[S, tuple[S, str] | None] = {first: None}
     queue = deque([first])
     while queue:
-        world = queue.popleft()
-        for what, after in steps(world):
-            after = alike(after)
-            if after in came:
+        state = queue.popleft()
+        for step, following in steps(state):
+            following = canonical(following)
+            if following in predecessors:
                 continue
-            came[after] = (world, what)
-            if why := wrong(after):
-                return ExplorationResult(len(came), False, why, _trace(came, after))
-            if len(came) >= most:
-                return ExplorationResult(len(came), False)
-            queue.append(after)
-    return ExplorationResult(len(came), True)
+            predecessors[following] = (state, step)
+            if violation := violation_of(following):
+                return ExplorationResult(len(predecessors), False, violation, _trace(predecessors, following))
+            if len(predecessors) >= max_states:
+                return ExplorationResult(len(predecessors), False)
+            queue.append(following)
+    return ExplorationResult(len(predecessors), True)
 
 
 def run_command(
-    explored: Callable[[str, str, int], ExplorationResult],
+    run_exploration: Callable[[str, str, int], ExplorationResult],
     variants: Iterable[str],
     starts: Iterable[str],
     start: str,
 ) -> int:
-    """Explore from the command line, by variant, start and how many states at most; the exit code."""
+    """Run an exploration with the command line's variant, start and state limit; return the exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--states", type=int, default=100_000)
     parser.add_argument("--variant", default="", choices=("", *variants))
     parser.add_argument("--start", default=start, choices=tuple(starts))
     args = parser.parse_args()
-    return explored(args.variant, args.start, args.states).report()
+    return run_exploration(args.variant, args.start, args.states).report()
 
 
-def _trace(came: dict[S, tuple[S, str] | None], world: S) -> tuple[str, ...]:
+def _trace(predecessors: dict[S, tuple[S, str] | None], state: S) -> tuple[str, ...]:
     trace = []
-    while (step := came[world]) is not None:
-        world, what = step
-        trace.append(what)
+    while (predecessor := predecessors[state]) is not None:
+        state, step = predecessor
+        trace.append(step)
     return tuple(reversed(trace))
 
 
-def put(items: tuple[Any, ...], place: int, item: Any) -> tuple[Any, ...]:
-    """The same with one item changed."""
-    return (*items[:place], item, *items[place + 1 :])
+def put(items: tuple[Any, ...], index: int, item: Any) -> tuple[Any, ...]:
+    """Return a copy of a tuple with one item replaced."""
+    return (*items[:index], item, *items[index + 1 :])
--- a/tests/test_member_removal.py
+++ b/tests/test_member_removal.py
@@ -1,4 +1,4 @@
-"""A member's removal from the cluster, as an operator requests it."""
+"""The removal of a member from the cluster by an operator."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def member_of_three() -> tuple[Any, Replica]:
-    """Member a of a, b and c as the operators' commands see it, and its replica, which has just started."""
+    """Return member a of three, as operators' commands use it, and its replica, which has just started."""
     state = RecoveredState()
     config = MembershipConfig(1, (("a", "1"), ("b", "1"), ("c", "1")))
     state.apply(IncarnationStarted("f", "1", config))
@@ -23,11 +23,11 @@
     return SimpleNamespace(node=node), replica
 
 
-def test_a_removal_that_is_refused_is_not_carried_out_later() -> None:
-    # Guards against a member that is removed after an operator was told that it is not.
+def test_a_rejected_removal_is_not_carried_out_later() -> None:
+    # Guards against removing a member after the operator was told that the removal failed.
     member, replica = member_of_three()
-    refused = ClusterMember.remove_member(cast(ClusterMember, member), "c")
-    assert not refused.succeeded and "waits for other members" in refused.text
+    rejected = ClusterMember.remove_member(cast(ClusterMember, member), "c")
+    assert not rejected.succeeded and "waits for other members" in rejected.text
     for name in ("b", "c"):
         replica.on_connected(10.0, Handshake(2, "f", name, "1", 1, 1, {}))
     assert replica.acceptor.may_vote and not replica.membership.pending_removals
