--- a/tests/test_follower_checker.py
+++ b/tests/test_follower_checker.py
@@ -1,4 +1,4 @@
-"""The judge of configurations in force is itself judged: each rule on a history that breaks it alone."""
+"""The checker of versions in force finds each violation, on histories that break one rule each."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.follower_cluster import BOUND_MS, Asked, Due, InForce, Line
 
 
-def good() -> InForce:
-    """Two versions reach two processes; one starts again; no majority between 5,000 and 6,000."""
+def valid_history() -> InForce:
+    """Two versions reach two processes; one process restarts; no majority from 5,000 to 6,000 ms."""
     lines = [
         Line(1100.0, "m0", 1, 1, "d1", "s1", "l1"),
         Line(1200.0, "f0", 1, 1, "d1", "s1", "l1"),
@@ -23,13 +23,13 @@
     return InForce(lines, asked, [Due(2050.0, 2, ("m0", "f0"))], [(5000.0, 6000.0)])
 
 
-def test_a_right_history_passes_whole() -> None:
-    assert good().wrong() == []
+def test_a_valid_history_has_no_violations() -> None:
+    assert valid_history().wrong() == []
 
 
-def change(place: int, **kv: object) -> Callable[[InForce], None]:
+def change(index: int, **kv: object) -> Callable[[InForce], None]:
     def changed(history: InForce) -> None:
-        history.lines[place] = history.lines[place]._replace(**kv)  # type: ignore[arg-type]
+        history.lines[index] = history.lines[index]._replace(**kv)  # type: ignore[arg-type]
 
     return changed
 
@@ -38,16 +38,16 @@
     return lambda history: history.lines.extend(lines)
 
 
-def both(*changes: Callable[[InForce], None]) -> Callable[[InForce], None]:
+def combined(*changes: Callable[[InForce], None]) -> Callable[[InForce], None]:
     def changed(history: InForce) -> None:
-        for one in changes:
-            one(history)
+        for step in changes:
+            step(history)
 
     return changed
 
 
 @pytest.mark.parametrize(
-    ("spoil", "says"),
+    ("corrupt", "reason"),
     [
         (add(Line(3000.0, "f0", 1, 1, "d1", "s1", "l1")), "back: "),
         (change(4, number=1, digest="d1", settings="s1"), "back: "),
@@ -58,22 +58,22 @@
         (change(1, digest="d2", settings="s2", at=2010.0), "two of one number: "),
         (add(Line(5500.0, "m0", 1, 3, "d2", "s2", "l1")), "without a majority: "),
         (
-            both(change(3, at=2051.0 + BOUND_MS), change(4, at=2052.0 + BOUND_MS)),
+            combined(change(3, at=2051.0 + BOUND_MS), change(4, at=2052.0 + BOUND_MS)),
             "late: f0 has version 2 9001 ms",
         ),
         (lambda history: history.lines.__delitem__(slice(3, 5)), "late: f0 has version 2 inf ms"),
         (lambda history: history.faults.append("m0: a traceback"), "m0: a traceback"),
     ],
 )
-def test_a_wrong_history_is_found_and_for_its_reason(spoil: Callable[[InForce], None], says: str) -> None:
-    history = good()
-    spoil(history)
-    wrong = history.wrong()
-    assert wrong and all(why.startswith(says) for why in wrong), wrong
+def test_a_violation_is_found_with_its_reason(corrupt: Callable[[InForce], None], reason: str) -> None:
+    history = valid_history()
+    corrupt(history)
+    violations = history.wrong()
+    assert violations and all(why.startswith(reason) for why in violations), violations
 
 
-def test_an_old_disk_may_be_seen_only_in_the_life_in_which_nobody_could_be_reached() -> None:
-    history = good()
+def test_an_old_disk_may_be_in_force_only_in_an_incarnation_that_could_reach_nobody() -> None:
+    history = valid_history()
     history.lines[4] = history.lines[4]._replace(number=1, digest="d1", settings="s1")
     history.alone.add(("f0", 2))
     assert history.wrong() == []
@@ -83,8 +83,8 @@
     assert [why[:6] for why in history.wrong()] == ["back: "]
 
 
-def test_what_came_into_force_just_before_the_majority_was_lost_is_not_held_against_it() -> None:
-    history = good()
+def test_a_version_in_force_just_before_the_majority_was_lost_is_no_violation() -> None:
+    history = valid_history()
     history.powerless = [(2101.0, 2400.0)]
     assert history.wrong() == []
     assert replace(history, powerless=[(2099.0, 2400.0)]).wrong() != []
--- a/tests/test_follower_cluster.py
+++ b/tests/test_follower_cluster.py
@@ -79,7 +79,7 @@
 
 
 def relay_of(cluster: FollowerCluster, name: str) -> str:
-    found = re.search(r"relay (\w+), heard", cluster.shown(name))
+    found = re.search(r"relay (\w+), no message", cluster.shown(name))
     return found[1] if found else ""
 
 
@@ -89,7 +89,7 @@
 
 def confirmed(cluster: FollowerCluster, name: str) -> bool:
     """Whether a process knows of a majority that lately knew nothing newer."""
-    found = re.search(r"a majority known (\d+\.\d) s ago", cluster.shown(name))
+    found = re.search(r"confirmed by a majority (\d+\.\d) s ago", cluster.shown(name))
     return found is not None and float(found[1]) < 4.0
 
 
