--- a/grebestack/config_distribution/follower.py
+++ b/grebestack/config_distribution/follower.py
@@ -46,13 +46,14 @@
 )
 from grebestack.consensus.actions import LogMessage
 
-PAUSED, DIALLING, GREETING, LINKED = "paused", "dialling", "greeting", "linked"
+# Waiting to reconnect; connecting; waiting for the response to `Subscribe`; subscribed.
+PAUSED, CONNECTING, SUBSCRIBING, ACTIVE = "paused", "dialling", "greeting", "linked"
 MAX_REASON_LENGTH = 500  # characters
 
 _TIMEOUT_REASONS = {
-    DIALLING: f"no connection within {timeouts.CONNECT_TIMEOUT_MS / 1000.0:g} s",
-    GREETING: f"no response to Subscribe within {timeouts.SUBSCRIBE_TIMEOUT_MS / 1000.0:g} s",
-    LINKED: f"no response within {timeouts.RESPONSE_TIMEOUT_MS / 1000.0:g} s",
+    CONNECTING: f"no connection within {timeouts.CONNECT_TIMEOUT_MS / 1000.0:g} s",
+    SUBSCRIBING: f"no response to Subscribe within {timeouts.SUBSCRIBE_TIMEOUT_MS / 1000.0:g} s",
+    ACTIVE: f"no response within {timeouts.RESPONSE_TIMEOUT_MS / 1000.0:g} s",
 }
 
 
@@ -132,21 +133,21 @@
                 self.refused, self.refused_why = 0, ""
             kv = {"number": number, "digest": version.digest, "by": version.proposed_by, "relay": self.relay}
             actions.append(LogMessage("configuration_in_force", kv))
-        if self.state == LINKED:
+        if self.state == ACTIVE:
             actions += self._send_poll(now_ms)
         return actions + self._begin_next(now_ms)
 
     def on_status_report(self, now_ms: float, report: StatusReport) -> list[FollowerAction]:
         """Forward a status report upstream: of this process's relay, or of one that follows it."""
-        return [Send(self.link, report)] if self.state == LINKED else []
+        return [Send(self.link, report)] if self.state == ACTIVE else []
 
     # Events of the link.
 
     def on_connected(self, now_ms: float, link: int) -> list[FollowerAction]:
         """The connection is established: subscribe."""
-        if link != self.link or self.state != DIALLING:
+        if link != self.link or self.state != CONNECTING:
             return []
-        self.state, self.deadline_ms = GREETING, now_ms + timeouts.SUBSCRIBE_TIMEOUT_MS
+        self.state, self.deadline_ms = SUBSCRIBING, now_ms + timeouts.SUBSCRIBE_TIMEOUT_MS
         number, digest = self.version.number, self._remember_base()
         return [
             Send(
@@ -165,13 +166,13 @@
 
     def on_message(self, now_ms: float, link: int, message: Message) -> list[FollowerAction]:
         """Handle a message from the relay."""
-        if link != self.link or self.state in (PAUSED, DIALLING):
+        if link != self.link or self.state in (PAUSED, CONNECTING):
             return []
         self.last_message_ms = now_ms
         handler = _HANDLERS.get((self.state, type(message)))
         if handler is not None:
             return handler(self, now_ms, message)
-        allowed = "welcome or full" if self.state == GREETING else "news or still"
+        allowed = "welcome or full" if self.state == SUBSCRIBING else "news or still"
         return self._reject_message(now_ms, invalid_value("message", tag_of(message), allowed))
 
     def _on_rejected(self, now_ms: float, message: SubscribeRejected) -> list[FollowerAction]:
@@ -189,7 +190,7 @@
             if value != allowed:
                 return self._reject_message(now_ms, invalid_value(field, value, repr(allowed)))
         self.min_number = max(self.min_number, message.acknowledged_number)
-        self.state, self.deadline_ms, self.announced = LINKED, now_ms + timeouts.RESPONSE_TIMEOUT_MS, 0
+        self.state, self.deadline_ms, self.announced = ACTIVE, now_ms + timeouts.RESPONSE_TIMEOUT_MS, 0
         self.preferred_retry_ms = (
             inf
             if self.relay == self.order[0]
@@ -261,9 +262,7 @@
             logged = []
             if number < self.min_number and number > highest:
                 why = invalid_value(
-                    "number",
-                    number,
-                    f"{self.min_number} and more, which this follower had acknowledged",
+                    "number", number, f"{self.min_number} and more, which this follower had acknowledged"
                 )
                 logged = self._log_invalid_once(f"floor/{self.relay}", why)
             return logged + self._on_relay_number(now_ms, number, update.confirmed_age_ms)
@@ -276,7 +275,7 @@
                 contents = apply_delta(self._base_contents(update.delta.base), update.delta, version)
             except DeltaError as error:
                 actions = self._on_relay_number(now_ms, number, update.confirmed_age_ms)
-                if self.state == LINKED:
+                if self.state == ACTIVE:
                     self.deadline_ms = now_ms + timeouts.RESPONSE_TIMEOUT_MS
                     actions.append(Send(self.link, FetchFullContents(number)))
                 return [*self._log_invalid(str(error)), *actions]
@@ -312,14 +311,14 @@
         return untried[0]
 
     def _connect(self) -> list[FollowerAction]:
-        self.relay, self.state = self._next_relay(), DIALLING
+        self.relay, self.state = self._next_relay(), CONNECTING
         self.link += 1
         return [Connect(self.link, self.relay)]
 
     def _leave_relay(self, now_ms: float, why: str, closed: bool = False) -> list[FollowerAction]:
         """Leave the relay; connect to another after a backoff."""
         kv = {"relay": self.relay, "why": why}
-        event = LogMessage("configuration_link_ended", kv, is_debug=self.state != LINKED)
+        event = LogMessage("configuration_link_ended", kv, is_debug=self.state != ACTIVE)
         actions: list[FollowerAction] = [event] if closed else [event, Close(self.link, why)]
         self.tried |= {self.relay}
         max_backoff_ms = min(
@@ -352,14 +351,14 @@
             self.deadline_ms = now_ms + timeouts.CONNECT_TIMEOUT_MS
             actions += self._connect()
         elif (
-            self.state == LINKED
+            self.state == ACTIVE
             and now_ms >= self.preferred_retry_ms
             and not self.announced
             and not self.stay_until_ms
         ):
             actions += self._leave_relay(now_ms, "reconnecting to its preferred relay")
             self.reconnect_ms, self.failures, self.tried = now_ms, 0, frozenset()
-        elif self.state == LINKED and now_ms >= self.poll_ms:
+        elif self.state == ACTIVE and now_ms >= self.poll_ms:
             actions += self._send_poll(now_ms)
         return actions
 
@@ -378,7 +377,7 @@
         parts = [f"version {self.version.number}" if self.version.number else "no version"]
         if self.version.number:
             parts.append(f"digest {self.version.digest[:12]} by {self.version.proposed_by}")
-        parts.append(f"relay {self.relay}" if self.state == LINKED else "no relay")
+        parts.append(f"relay {self.relay}" if self.state == ACTIVE else "no relay")
         parts.append(f"no message for {(now_ms - since_ms) / 1000.0:.1f} s")
         if self.confirmed_ms is None:
             parts.append("not confirmed by a majority")
@@ -393,8 +392,8 @@
 
 Handler = Callable[[Follower, float, Any], list[FollowerAction]]
 _HANDLERS: dict[tuple[str, type[Message]], Handler] = {
-    (GREETING, SubscribeRejected): lambda follower, now_ms, message: follower._on_rejected(now_ms, message),
-    (GREETING, SubscribeAccepted): lambda follower, now_ms, message: follower._on_accepted(now_ms, message),
-    (LINKED, NotModified): lambda follower, now_ms, message: follower._on_not_modified(now_ms, message),
-    (LINKED, ConfigUpdate): lambda follower, now_ms, message: follower._on_update(now_ms, message),
+    (SUBSCRIBING, SubscribeRejected): lambda follower, now_ms, msg: follower._on_rejected(now_ms, msg),
+    (SUBSCRIBING, SubscribeAccepted): lambda follower, now_ms, msg: follower._on_accepted(now_ms, msg),
+    (ACTIVE, NotModified): lambda follower, now_ms, msg: follower._on_not_modified(now_ms, msg),
+    (ACTIVE, ConfigUpdate): lambda follower, now_ms, msg: follower._on_update(now_ms, msg),
 }
--- a/tests/configuration_states.py
+++ b/tests/configuration_states.py
@@ -30,9 +30,9 @@
 CONTENTS = {n: f"weight = {n}\n".encode() * 3 for n in range(1, 4)}
 VERSIONS = {n: Version(n, digest_of(c), len(c), "v", 0) for n, c in CONTENTS.items()}
 VARIANTS = (
-    "goes back",
-    "half in force",
-    "a lost push is never asked for again",
+    "accepts any number",
+    "accepts incomplete contents",
+    "never polls again after a lost push",
     "stays with a stale relay",
     "stays with a silent relay",
     "applies before it stores",
@@ -69,14 +69,14 @@
     variant = ""
 
     def _on_update(self, now_ms: float, update: ConfigUpdate) -> list[act.FollowerAction]:
-        if self.variant == "goes back" and update.contents is not None and self.pending is None:
+        if self.variant == "accepts any number" and update.contents is not None and self.pending is None:
             self.next_version = update.version, update.contents
             return [
                 *self._begin_next(now_ms),
                 *self._on_relay_number(now_ms, update.version.number, update.confirmed_age_ms),
             ]
         if (
-            self.variant == "half in force"
+            self.variant == "accepts incomplete contents"
             and update.contents is not None
             and (update.version.number > self._highest_number() and self.pending is None)
         ):
@@ -89,7 +89,7 @@
 
     def _on_relay_number(self, now_ms: float, number: int, confirmed_ms: int) -> list[act.FollowerAction]:
         actions = super()._on_relay_number(now_ms, number, confirmed_ms)
-        if self.variant == "a lost push is never asked for again":
+        if self.variant == "never polls again after a lost push":
             self.poll_ms = float("inf")
         return actions
 
@@ -225,7 +225,7 @@
     lose: int = 0  # a message
     duplicate: int = 0  # a message
     reorder: int = 0  # two messages
-    late: int = 0  # a message
+    delay: int = 0  # a message
     corrupt: int = 0  # a message
     kill: int = 0  # a relay, and its connections end
     lose_machine: int = 0  # a relay with its machine: nobody gets a connection end
@@ -257,23 +257,23 @@
 
 STARTS: dict[str, tuple[int, Budget]] = {
     "lost": (1, Budget(1, lose=1, duplicate=1)),
-    "overtaken": (1, Budget(2, reorder=1)),
-    "spoilt": (1, Budget(1, corrupt=1)),
+    "reordered": (1, Budget(2, reorder=1)),
+    "corrupted": (1, Budget(1, corrupt=1)),
     "relay lost": (1, Budget(1, kill=1, lose_machine=1, recover=1)),
-    "relay alone": (1, Budget(1, cut_off=1)),
+    "relay cut off": (1, Budget(1, cut_off=1)),
     "restarts": (1, Budget(1, restart=1, old_disk=1)),
-    "late": (1, Budget(1, late=1)),
+    "delayed": (1, Budget(1, delay=1)),
     "restart, no relay": (1, Budget(1, lose_both_machines=1, restart=1)),
     "two followers": (2, Budget(1)),
-    "two faults, relay alone": (1, Budget(1, cut_off=1, lose=1)),
-    "two faults, spoilt": (1, Budget(2, lose=1, corrupt=1)),
+    "two faults, relay cut off": (1, Budget(1, cut_off=1, lose=1)),
+    "two faults, corrupted": (1, Budget(2, lose=1, corrupt=1)),
     "two restarts": (1, Budget(2, restart=2, old_disk=1)),
-    "two changes, lost, twice, overtaken": (1, Budget(2, lose=1, duplicate=1, reorder=1)),
+    "two changes, lost, duplicated, reordered": (1, Budget(2, lose=1, duplicate=1, reorder=1)),
     "two changes, relay lost": (1, Budget(2, kill=1, lose_machine=1, recover=1)),
-    "two changes, late and lost": (1, Budget(2, late=1, lose=1)),
+    "two changes, delayed and lost": (1, Budget(2, delay=1, lose=1)),
     "two followers, lost": (2, Budget(1, lose=1)),
     "two followers, relay killed": (2, Budget(1, kill=1)),
-    "two followers, relay gone": (2, Budget(1, lose_machine=1)),
+    "two followers, relay machine lost": (2, Budget(1, lose_machine=1)),
     "two followers, restart": (2, Budget(1, restart=1)),
 }
 
@@ -359,7 +359,7 @@
                 number = world.relays[index].part.version.number
                 relay.publish(world.now, VERSIONS[number], CONTENTS[number])
                 yield (
-                    f"{name} is back",
+                    f"{name} is restarted",
                     world._replace(
                         relays=put(world.relays, index, Snapshot(relay)),
                         up=put(world.up, index, "up"),
@@ -373,18 +373,18 @@
             yield f"{name} is killed", self._lose_relay(world, index, "killed", budget_left)
         if budget.lose_machine:
             yield (
-                f"{name} is gone",
+                f"{name} is lost with its machine",
                 self._lose_relay(world, index, "gone", budget._replace(lose_machine=budget.lose_machine - 1)),
             )
         if budget.lose_both_machines and index == 0:
             budget_left = budget._replace(lose_both_machines=0)
             yield (
-                "both relays are gone",
+                "both relays are lost with their machines",
                 self._lose_relay(self._lose_relay(world, 0, "gone", budget_left), 1, "gone", budget_left),
             )
         if budget.cut_off:
             yield (
-                f"{name} is alone",
+                f"{name} is cut off from the majority",
                 world._replace(
                     up=put(world.up, index, "alone"),
                     last_event_ms=world.now,
@@ -409,14 +409,14 @@
 
     def _restart_steps(self, world: World, index: int, disk: Disk) -> Iterator[tuple[str, World]]:
         budget = world.budget._replace(restart=world.budget.restart - 1)
-        yield f"f{index} starts again", self._restart(world, index, disk.numbers, budget)
+        yield f"f{index} restarts", self._restart(world, index, disk.numbers, budget)
         if disk.writing is not None:
             number, beside = disk.writing
             numbers = (number, *(n for n in disk.numbers if n in beside))
-            yield f"f{index} starts again, written", self._restart(world, index, numbers, budget)
+            yield f"f{index} restarts, written", self._restart(world, index, numbers, budget)
         if budget.old_disk and disk.previous != disk.numbers:
             yield (
-                f"f{index} starts again, old disk",
+                f"f{index} restarts, old disk",
                 self._restart(world, index, disk.previous, budget._replace(old_disk=0)),
             )
 
@@ -479,7 +479,7 @@
                 )
             if budget.duplicate:
                 yield (
-                    f"twice {step}",
+                    f"duplicated {step}",
                     world._replace(
                         wire=(*wire, sent), budget=budget._replace(duplicate=budget.duplicate - 1)
                     ),
@@ -487,7 +487,7 @@
             if budget.corrupt and isinstance(sent.item, ConfigUpdate):
                 corrupted = sent._replace(item=_corrupted(sent.item))
                 yield (
-                    f"spoilt {step}",
+                    f"corrupted {step}",
                     world._replace(
                         wire=put(wire, index, corrupted),
                         last_event_ms=world.now,
@@ -555,9 +555,9 @@
         if any(disk.writing is not None for disk in world.disks):
             return
         if world.wire:
-            if len(world.wire) > 1 or not budget.late:
+            if len(world.wire) > 1 or not budget.delay:
                 return
-            budget = budget._replace(late=budget.late - 1)
+            budget = budget._replace(delay=budget.delay - 1)
             world = world._replace(last_event_ms=world.now)
         due = min(snapshot.part.due_ms(world.now) for snapshot in world.followers)
         passed_ms = min(due, timeouts.PROPAGATION_BOUND_MS + 1.0) - world.now
--- a/tests/configuration_voters.py
+++ b/tests/configuration_voters.py
@@ -6,7 +6,7 @@
 arrive late, repeatedly, in any order or never. A voter may crash and restart with its disk. The register runs
 its own code: a majority promises in one step (`tests.consensus_model` explores the single steps), each
 acceptor accepts at any time or never, and the proposer may miss the result. Time passes in steps of a
-heartbeat interval. In the starts named `held`, v2 has stored the contents of v1's proposal and the register
+heartbeat interval. In the starts named `stored`, v2 has stored the contents of v1's proposal and the register
 is being changed.
 """
 
@@ -33,11 +33,11 @@
 NAMES = ("v1", "v2", "v3")
 STEP_MS = 1000.0
 VARIANTS = (
-    "asks before a majority holds the contents",
-    "offers before the register says so",
-    "confirms what one other says",
-    "confirms from when the answer came",
-    "takes an accepted number for decided",
+    "changes the register before a majority holds the contents",
+    "publishes before the register is changed",
+    "confirms after a single response",
+    "confirms the time of the response",
+    "treats an accepted number as decided",
 )
 
 
@@ -47,11 +47,11 @@
     variant = ""
 
     def advance(self, now_ms: float, view: VoterView) -> list[act.ConfigurationAction]:
-        if self.variant == "asks before a majority holds the contents":
+        if self.variant == "changes the register before a majority holds the contents":
             view = view._replace(majority=1)
         actions = super().advance(now_ms, view)
         proposal = self.state.proposal
-        if self.variant == "offers before the register says so" and proposal is not None:
+        if self.variant == "publishes before the register is changed" and proposal is not None:
             actions += [
                 act.PublishVersion(proposal.version, proposal.contents)
                 for a in actions
@@ -66,10 +66,10 @@
     variant = ""
 
     def confirm(self, now_ms: float, view: VoterView) -> list[act.ConfigurationAction]:
-        if self.variant == "confirms what one other says":
+        if self.variant == "confirms after a single response":
             view = view._replace(majority=1)
         actions = super().confirm(now_ms, view)
-        if self.variant == "confirms from when the answer came":
+        if self.variant == "confirms the time of the response":
             return [
                 act.MajorityConfirmed(now_ms) if isinstance(a, act.MajorityConfirmed) else a for a in actions
             ]
@@ -83,7 +83,7 @@
 
     def compare_accepted(self, now_ms: float, accepted: int) -> None:
         state = self.state
-        if self.variant == "takes an accepted number for decided" and accepted > state.decided.number:
+        if self.variant == "treats an accepted number as decided" and accepted > state.decided.number:
             for digest, (contents, _) in self.undecided.on_disk.items():
                 state.decided = state.version = Version(accepted, digest, len(contents), "", 0)
         super().compare_accepted(now_ms, accepted)
@@ -169,9 +169,9 @@
 
 
 STARTS = {
-    "race, all heard": Budget(steps=0, lost_result=0),
+    "race, no lost result": Budget(steps=0, lost_result=0),
     "one change": Budget((1, 0, 0), steps=0),
-    "one change, one beat": Budget((1, 0, 0), steps=1, lost_result=0),
+    "one change, one heartbeat": Budget((1, 0, 0), steps=1, lost_result=0),
     "race": Budget(),
     "race, just started": Budget(),
     "one change, just started": Budget((1, 0, 0), steps=0),
@@ -179,10 +179,10 @@
     "crash": Budget((1, 0, 0), steps=2, crash=1),
     "crash in a race": Budget(steps=2, crash=1),
     "one after the other": Budget((2, 0, 0), steps=1, lost_result=0),
-    "held": Budget((0, 0, 0), steps=1),
-    "held, crash": Budget((0, 0, 0), steps=1, crash=1, lost_result=0),
-    "held, beats": Budget((0, 0, 0), steps=2, lost_result=0),
-    "beats": Budget((1, 0, 0), steps=2, lost_result=0),
+    "stored": Budget((0, 0, 0), steps=1),
+    "stored, crash": Budget((0, 0, 0), steps=1, crash=1, lost_result=0),
+    "stored, heartbeats": Budget((0, 0, 0), steps=2, lost_result=0),
+    "heartbeats": Budget((1, 0, 0), steps=2, lost_result=0),
 }
 
 
@@ -196,7 +196,7 @@
         return FaultyVoter(NAMES[index], "f", incarnation, LongestDraws(), now, self.variant)  # type: ignore[arg-type]
 
     def first(self) -> World:
-        """Return the first state: nothing is decided, or the start `held`."""
+        """Return the first state: nothing is decided, or a start named `stored`."""
         voters = [self._voter(i, 1, 0.0) for i in range(3)]
         for voter in voters:  # else each voter reads the register before it changes it
             voter.state.is_number_known = "just started" not in self.start
@@ -217,7 +217,7 @@
             (),
             STARTS[self.start],
         )
-        if self.start.startswith("held"):
+        if self.start.startswith("stored"):
             voter = world.voters[0].copy()
             actions = voter.propose(0.0, 1, b"v1", 0, self.view(world, 0))
             world = self._perform(world, 0, voter, actions)
@@ -244,9 +244,9 @@
                 contents = f"{name} {left}".encode()
                 voter = world.voters[index].copy()
                 actions = voter.propose(world.now, index * 10 + left, contents, 0, self.view(world, index))
-                yield f"{name} is asked", self._perform(after, index, voter, actions)
+                yield f"{name} gets a proposal", self._perform(after, index, voter, actions)
             if budget.crash:
-                yield f"{name} starts again", self._restart(world, index)
+                yield f"{name} restarts", self._restart(world, index)
             if world.accesses[index] is not None:
                 yield from self._register_steps(world, index)
         for ballot, version in world.late_accepts:
@@ -266,7 +266,7 @@
                 voter = after.voters[index].copy()
                 actions = voter.tick(after.now, self.view(after, index))
                 after = self._perform(after, index, voter, actions)
-            yield "a beat passes", after
+            yield "a heartbeat interval passes", after
 
     def _restart(self, world: World, index: int) -> World:
         incarnation = world.incarnations[index] + 1
@@ -299,7 +299,7 @@
                 left = left._replace(
                     late_accepts=left.late_accepts | {(round_.ballot, round_.proposed_value)}
                 )
-            yield f"{name} hears nothing", self._finish_access(left, index, False, None)
+            yield f"{name} misses the result", self._finish_access(left, index, False, None)
         if round_.phase is Phase.PREPARING:
             for quorum in combinations(range(3), 2):
                 acceptors, after = list(world.acceptors), round_
@@ -316,7 +316,7 @@
                     )
                     yield f"{name} has promises of {[NAMES[p] for p in quorum]}", promised
                 else:
-                    yield f"{name} is beaten", self._finish_access(world, index, False, None)
+                    yield f"{name} is preempted", self._finish_access(world, index, False, None)
             return
         acceptances = 0
         for acceptor_index, acceptor in enumerate(world.acceptors):
@@ -329,12 +329,12 @@
                 )
         if acceptances >= 2:
             yield (
-                f"{name} hears that it is in force",
+                f"{name} gets the result",
                 self._finish_access(world, index, True, round_.proposed_value),
             )
         if any(acceptor.promised > round_.ballot for acceptor in world.acceptors):
             left = world._replace(late_accepts=world.late_accepts | {(round_.ballot, round_.proposed_value)})
-            yield f"{name} is refused", self._finish_access(left, index, False, None)
+            yield f"{name} is rejected", self._finish_access(left, index, False, None)
 
     def _accept(self, world: World, acceptor_index: int, ballot: Ballot, value: Any) -> World:
         acceptor, _ = accept(world.acceptors[acceptor_index], ballot, value)
--- a/tests/test_configuration_states.py
+++ b/tests/test_configuration_states.py
@@ -9,11 +9,11 @@
 
 # Starts that are explored completely, with a minimum of states: fewer mean that the start has changed.
 COMPLETE = {
-    "overtaken": 9_000,
-    "spoilt": 700,
-    "relay alone": 1_400,
+    "reordered": 9_000,
+    "corrupted": 700,
+    "relay cut off": 1_400,
     "restarts": 1_200,
-    "late": 2_000,
+    "delayed": 2_000,
 }
 PARTIAL = {"lost": 8_000, "relay lost": 5_000, "two followers": 5_000, "restart, no relay": 3_000}
 
@@ -34,10 +34,10 @@
 @pytest.mark.parametrize(
     ("variant", "start", "wrong"),
     [
-        ("goes back", "overtaken", "f0 goes back from 2 to 1"),
-        ("half in force", "spoilt", "f0 applies incomplete contents of 1"),
-        ("a lost push is never asked for again", "lost", "f0 has 1 and not 2 after 9000.0 ms"),
-        ("stays with a stale relay", "relay alone", "f0 has 1 and not 2 after 9000.0 ms"),
+        ("accepts any number", "reordered", "f0 goes back from 2 to 1"),
+        ("accepts incomplete contents", "corrupted", "f0 applies incomplete contents of 1"),
+        ("never polls again after a lost push", "lost", "f0 has 1 and not 2 after 9000.0 ms"),
+        ("stays with a stale relay", "relay cut off", "f0 has 1 and not 2 after 9000.0 ms"),
         ("stays with a silent relay", "relay lost", "f0 has 1 and not 2 after 9000.0 ms"),
         ("applies before it stores", "restart, no relay", "f0 goes back from 2 to 1"),
     ],
@@ -59,7 +59,7 @@
     assert (found.violation, found.trace) == ("", ())
 
 
-@pytest.mark.parametrize("start", ["race", "race, just started", "crash", "held, beats"])
+@pytest.mark.parametrize("start", ["race", "race, just started", "crash", "stored, heartbeats"])
 def test_nothing_is_published_or_confirmed_against_a_majority_in_the_nearest_states(start: str) -> None:
     found = voters.explore(voters.Model("", start), 4_000)
     assert (found.violation, found.trace, found.states) == ("", (), 4_000)
@@ -68,13 +68,17 @@
 @pytest.mark.parametrize(
     ("variant", "start", "wrong"),
     [
-        ("asks before a majority holds the contents", "race", "1 is decided and 1 of 3 hold its contents"),
-        ("offers before the register says so", "race", "v1 publishes 1, which no majority has decided"),
-        ("confirms what one other says", "held, beats", "v3 confirms 0, 1 is decided"),
-        ("confirms from when the answer came", "held, beats", "v2 confirms 0, 1 is decided"),
         (
-            "takes an accepted number for decided",
-            "held, beats",
+            "changes the register before a majority holds the contents",
+            "race",
+            "1 is decided and 1 of 3 hold its contents",
+        ),
+        ("publishes before the register is changed", "race", "v1 publishes 1, which no majority has decided"),
+        ("confirms after a single response", "stored, heartbeats", "v3 confirms 0, 1 is decided"),
+        ("confirms the time of the response", "stored, heartbeats", "v2 confirms 0, 1 is decided"),
+        (
+            "treats an accepted number as decided",
+            "stored, heartbeats",
             "v2 applies 1, which no majority has decided",
         ),
     ],
