--- a/grebestack/transport/server.py
+++ b/grebestack/transport/server.py
@@ -99,7 +99,7 @@
         self.adopted_idle = False  # another process accepted it and handed it over between two requests
         self.over_limit = False  # it was opened while all allowed connections were busy
         self.handler_data: Any = None  # for the handler's own use
-        self.is_client = False  # it has sent a request to run, so it is not a worker's
+        self.is_client = False  # it has sent a job, so it is not a worker's connection
         self.queued: deque[HttpRequest] = deque()
         self.refusal_status: int | None = None  # set if the request that is being read is refused
         self.lingering = False  # our side is closed after the last response; what arrives is discarded
@@ -352,16 +352,15 @@
 class Acceptor:
     """Makes the protocol objects of new connections and limits how many there are.
 
-    Beyond the limit, the connection that has been idle, or has awaited a request, the longest is closed,
-    whichever of these groups is larger: many connections without a request displace each other and not the
-    clients that are served.
+    Beyond the limit, the oldest connection of the larger group is closed: of those that are idle, or of those
+    that await a request. So many silent connections displace each other, not the clients that are served.
     """
 
     def __init__(
         self, handler: Handler, max_connections: int, max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
     ) -> None:
         self.handler, self.max_connections, self.max_body_bytes = handler, max_connections, max_body_bytes
-        self.margin = max_connections // 8  # more, if all are busy: call-backs are handled, requests rejected
+        self.margin = max_connections // 8  # beyond the limit while all are busy: for call-backs, not jobs
         self.connections: set[Connection] = set()
         self.idle: OrderedDict[Connection, None] = OrderedDict()
         self.awaiting_request: OrderedDict[Connection, float] = OrderedDict()  # since when
