--- a/benchmarks/alone.py
+++ b/benchmarks/alone.py
@@ -129,14 +129,14 @@
                 load.over = {False: [], True: []}
             for turn in range(2 * rounds):
                 alone = turn % 2 == 1
-                for way in cluster.proxy.ways.values():
+                for way in cluster.proxy.directions.values():
                     way.cut = alone
                 for load in loads:
                     load.alone = alone
                 await asyncio.sleep(seconds)
                 if alone:
                     for name in cluster.names:
-                        said = await asyncio.to_thread(cluster.shown, name, "leases")
+                        said = await asyncio.to_thread(cluster.admin_output, name, "leases")
                         held += "held here" in said
             for task in tasks:
                 task.cancel()
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from tests.cluster import Cluster, History, Played, Player, schedule, tasks  # noqa: E402
+from tests.cluster import Cluster, FaultInjector, History, ScheduleResult, draw_schedule, export_tasks  # noqa: E402
 
 TERM_S = 2.0
 AIMS = {
@@ -32,10 +32,10 @@
 }
 
 
-def waits(history: History, played: Played) -> tuple[list[float], list[float]]:
+def waits(history: History, played: ScheduleResult) -> tuple[list[float], list[float]]:
     """Seconds without a holder after kills and after heals, task by task."""
-    begins: dict[str, list[float]] = {task: [] for task in tasks()}
-    for act in history.acts:
+    begins: dict[str, list[float]] = {task: [] for task in export_tasks()}
+    for act in history.exports:
         if act.accepted:
             begins[act.task].append(act.at)
 
@@ -43,7 +43,7 @@
         return min((at for at in begins[task] if at > after), default=float("inf")) - after
 
     killed = [first(task, at) for at, held in played.kills for task in held]
-    return killed, [first(task, at) for at in played.heals for task in tasks()]
+    return killed, [first(task, at) for at in played.heals for task in export_tasks()]
 
 
 def main() -> int:
@@ -62,31 +62,36 @@
             for name in cluster.names:
                 cluster.start(name)
             until = time.monotonic() + 20.0
-            while len(cluster.holders()) < len(tasks()) and time.monotonic() < until:
+            while len(cluster.holders()) < len(export_tasks()) and time.monotonic() < until:
                 time.sleep(0.05)
-            faults = schedule(options.seed, cluster.names, 22.0 if options.quick else 600.0)
-            played = Player(cluster, options.seed).play(faults, print)
+            faults = draw_schedule(options.seed, cluster.names, 22.0 if options.quick else 600.0)
+            played = FaultInjector(cluster, options.seed).run(faults, print)
             until = time.monotonic() + 8.0
             back = 0
             while back < 5 and time.monotonic() < until:
-                back = sum(f"{name}: votes" in cluster.shown(name) for name in cluster.names)
+                back = sum(f"{name}: votes" in cluster.admin_output(name) for name in cluster.names)
             for name in cluster.names:
-                print(name, cluster.shown(name).strip(), "|", cluster.shown(name, "leases").strip())
+                print(
+                    name,
+                    cluster.admin_output(name).strip(),
+                    "|",
+                    cluster.admin_output(name, "leases").strip(),
+                )
             history = cluster.history()
         finally:
             cluster.close()
-    wrong = history.wrong()
+    wrong = history.violations()
     print("\n".join(wrong[:20]))
     killed, healed = waits(history, played)
     figures = {
-        "acts": float(sum(act.accepted for act in history.acts)),
+        "acts": float(sum(act.accepted for act in history.exports)),
         "wrong": float(len(wrong)),
         "stale_accepted": float(sum("stale act" in line for line in wrong)),
-        "stale_refused": float(sum(not act.accepted for act in history.acts)),
-        "held": float(len(history.held)),
+        "stale_refused": float(sum(not act.accepted for act in history.exports)),
+        "held": float(len(history.lease_periods)),
         "changes": float(len(history.changes)),
-        "faults": float(len(faults) - played.unplayed),
-        "unplayed": float(played.unplayed),
+        "faults": float(len(faults) - played.skipped),
+        "unplayed": float(played.skipped),
         "kills": float(len(killed)),
         "after_kill_p99_s": percentile(killed, 0.99) if killed else 0.0,
         "after_heal_max_s": max(healed, default=0.0),
--- a/benchmarks/scaling/faults.py
+++ b/benchmarks/scaling/faults.py
@@ -136,7 +136,7 @@
 
     def _ways(self, ways: list[tuple[str, str]], cut: bool) -> None:
         for way in ways:
-            self.fleet.proxy.ways[way].cut = cut
+            self.fleet.proxy.directions[way].cut = cut
 
     def _cut(self, ways: list[tuple[str, str]], seconds: float) -> str:
         west = [name for name, place in self.fleet.zone_of.items() if region(place) == "west"]
@@ -152,11 +152,11 @@
 
     def cut(self) -> str:
         """The regions lose each other; the west has no majority."""
-        return self._cut(list(self.fleet.proxy.ways), 5.0 if self.quick else 60.0)
+        return self._cut(list(self.fleet.proxy.directions), 5.0 if self.quick else 60.0)
 
     def one_way(self) -> str:
         """What the east says does not come to the west."""
-        ways = [(a, b) for a, b in self.fleet.proxy.ways if self.fleet.region_of(a) == "east"]
+        ways = [(a, b) for a, b in self.fleet.proxy.directions if self.fleet.region_of(a) == "east"]
         return self._cut(ways, 12.0)
 
     def restarts(self) -> str:
--- a/benchmarks/scaling/fleet.py
+++ b/benchmarks/scaling/fleet.py
@@ -25,7 +25,7 @@
 from scaling.processes import Processes
 from tests.cluster import Proxy
 from tests.ports import reserved_port
-from tests.standins import APPLIANCE_SETTINGS, answers, say
+from tests.standins import OPERATOR_SETTINGS, reports_ready, send_admin_command
 
 ZONES = ("east/a1", "east/a2", "east/a3", "east/a4", "west/b1", "west/b2", "west/b3")
 VOTERS = {"v1": "east/a1", "v2": "east/a2", "v3": "east/a3", "v4": "west/b1", "v5": "west/b2"}
@@ -44,7 +44,7 @@
 
 def contents(mark: int, size: int = 0) -> bytes:
     """The contents of one change, whole where the first and last lines are the same; `size` bytes or more."""
-    text = APPLIANCE_SETTINGS.replace("hardLimitMs = 6000.0", f"hardLimitMs = {6000 + mark % 1000}.0", 1)
+    text = OPERATOR_SETTINGS.replace("hardLimitMs = 6000.0", f"hardLimitMs = {6000 + mark % 1000}.0", 1)
     server = f'{{ uid = "w{mark}", endpoint = "127.0.0.1:9", state = "Terminating", capacity_hint = 1.0 }}'
     body = f'{text}[servers]\nsource = "list"\nlist = [{server}]\n'
     pad = "".join(f"# {'.' * 97}\n" for _ in range(-(-max(0, size - len(body)) // 100)))
@@ -182,7 +182,7 @@
         head = f'[fleet]\nname = "scale"\nfolder = "{name}-disk"\n{said}{more}' if tables else ""
         path.write_text(
             f'name = "{name}"\nlisten = "127.0.0.1:{reserved_port()}"\ncontrol = "127.0.0.1:{door[1]}"\n'
-            f'[servers]\nsource = "list"\nlist = []\n{head}{tables}{APPLIANCE_SETTINGS}'
+            f'[servers]\nsource = "list"\nlist = []\n{head}{tables}{OPERATOR_SETTINGS}'
         )
         self.places[name] = Place(name, role, place, door, ["grebestack", "--config", str(path)])
         self.zone_of[name] = place
@@ -191,7 +191,7 @@
         base, path = self.folder / f"{name}.toml", self.folder / f"{name}.json"
         base.write_text(
             f'name = "{name}"\nlisten = "127.0.0.1:1"\n[servers]\nsource = "list"\nlist = []\n'
-            f"{APPLIANCE_SETTINGS}"
+            f"{OPERATOR_SETTINGS}"
         )
         relays = {
             relay: {"host": "127.0.0.1", "port": self._port("feed", place, relay), "place": where}
@@ -291,13 +291,13 @@
     def shown(self, name: str, call: str = "fleet") -> str:
         """What a process's door says."""
         try:
-            return say(self.places[name].door, call).strip()
+            return send_admin_command(self.places[name].door, call).strip()
         except OSError as error:
             return f"FAILURE {error}"
 
     def ready(self, name: str) -> bool:
         """Whether its door says that it is ready."""
-        return answers(self.places[name].door)
+        return reports_ready(self.places[name].door)
 
     def close(self) -> None:
         """End all that was started."""
--- a/benchmarks/scaling/members.py
+++ b/benchmarks/scaling/members.py
@@ -10,7 +10,7 @@
 from scaling.fits import Line, fit
 from scaling.processes import Lateness, Processes, Rates, machine, mean
 from tests.ports import reserved_port
-from tests.standins import APPLIANCE_SETTINGS, answers, say
+from tests.standins import OPERATOR_SETTINGS, reports_ready, send_admin_command
 
 LIMITS = {"cpu_share": 0.027, "memory_mb": 128.0, "bytes_s": 7000.0}
 TRIES = 3
@@ -25,7 +25,7 @@
     for name, door in doors.items():
         (folder / f"{name}.toml").write_text(
             f'name = "{name}"\nlisten = "127.0.0.1:{reserved_port()}"\ncontrol = "127.0.0.1:{door[1]}"\n'
-            f'[servers]\nsource = "list"\nlist = []\n{fleet % name if count > 1 else ""}{APPLIANCE_SETTINGS}'
+            f'[servers]\nsource = "list"\nlist = []\n{fleet % name if count > 1 else ""}{OPERATOR_SETTINGS}'
         )
     return doors
 
@@ -42,7 +42,9 @@
             processes.start(name, ["grebestack", "--config", str(folder / f"{name}.toml")])
         until = time.monotonic() + 60.0
         for door in doors.values():
-            while not answers(door) or (count > 1 and "majority is heard" not in say(door, "fleet")):
+            while not reports_ready(door) or (
+                count > 1 and "majority is heard" not in send_admin_command(door, "fleet")
+            ):
                 if time.monotonic() > until:
                     raise RuntimeError(f"{count} members did not come up in 60 s: {processes.ended()}")
                 time.sleep(0.05)
--- a/benchmarks/scaling/taking.py
+++ b/benchmarks/scaling/taking.py
@@ -10,7 +10,7 @@
 from grebestack.program.config_updates import AppliedConfig
 from scaling.fits import fit
 from scaling.hollow import HollowHost
-from tests.standins import APPLIANCE_SETTINGS
+from tests.standins import OPERATOR_SETTINGS
 
 WORKERS, REPEATS = (0, 70, 140, 280, 560), 15
 
@@ -22,7 +22,7 @@
     """
     base = folder / "base.toml"
     head = 'name = "base"\nlisten = "127.0.0.1:1"\n'
-    base.write_text(f'{head}[servers]\nsource = "list"\nlist = []\n{APPLIANCE_SETTINGS}')
+    base.write_text(f'{head}[servers]\nsource = "list"\nlist = []\n{OPERATOR_SETTINGS}')
     times, sizes = [], []
     for count in WORKERS:
         servers = "".join(
@@ -30,7 +30,7 @@
             f'az = "here", model = "c8", capacity_hint = 8.0 }},\n'
             for n in range(count)
         )
-        contents = f'{APPLIANCE_SETTINGS}[servers]\nsource = "list"\nlist = [\n{servers}]\n'.encode()
+        contents = f'{OPERATOR_SETTINGS}[servers]\nsource = "list"\nlist = [\n{servers}]\n'.encode()
         best, applied = float("inf"), AppliedConfig(HollowHost(from_file(str(base))))
         for _ in range(REPEATS):
             begun = time.process_time()
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -955,7 +955,7 @@
                 said = (cluster.folder / f"{member.name}.log").read_text().splitlines()
                 raise RuntimeError(f"{member.name} has ended: {said[-1:]}")
         spent = sum(cpu_s(member.process.pid) for member in members if member.process is not None)
-        log = cluster.logs(cluster.names[0])[-1]
+        log = cluster.register_logs(cluster.names[0])[-1]
         last = read_records(log.read_bytes(), int(log.stem.partition("-")[2], 16)).last_sequence
         return spent, float(last), time.monotonic()
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -31,7 +31,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
-from tests.standins import CONFIG, OPTIONS, Runner, World, wait_until  # noqa: E402
+from tests.standins import PLATFORM_CONFIG, SETTINGS, DispatcherTestbed, WorkerStandIn, wait_until  # noqa: E402
 
 KILL_AFTER_S = 0.7  # the kill follows SIGTERM no sooner than this and the longest deadline
 LONGEST_KILL_DEADLINE_S = 3.0  # a longer deadline counts as this much
@@ -105,24 +105,24 @@
         }
         for (name, effect), deadline_s in zip(CLASSES.items(), plan.deadlines_s, strict=True)
     ]
-    rules = OPTIONS["rules"] | {
+    rules = SETTINGS["rules"] | {
         "coldFrom": draw.choice((0.05, 0.5, 1.0)),
         "warmWithinMs": draw.choice((0.0, 500.0, 30_000.0)),
         "fallMultiple": draw.choice((1.0, 3.0)),
         "tipAfterMs": draw.choice((0.0, 1500.0)),
     }
-    limits = OPTIONS["limits"] | {"mostTries": draw.choice((1, 3, 5)), "secondCopies": draw.random() < 0.5}
-    return OPTIONS | {"services": services, "rules": rules, "limits": limits}
+    limits = SETTINGS["limits"] | {"mostTries": draw.choice((1, 3, 5)), "secondCopies": draw.random() < 0.5}
+    return SETTINGS | {"services": services, "rules": rules, "limits": limits}
 
 
-class CountingRunner(Runner):
+class CountingRunner(WorkerStandIn):
     """A stand-in worker that counts what it has in full, also while it hangs."""
 
     history: History
 
     def handle(self, http_request: Any, body: bytes) -> None:
         is_whole = len(body) == int(http_request.headers.get("Content-Length") or 0)
-        takes_jobs = self.hung or self.status == ACCEPTED
+        takes_jobs = self.unresponsive or self.status == ACCEPTED
         if http_request.command == "POST" and is_whole and takes_jobs:
             self.history.received[http_request.headers["X-Call-Id"]] += 1
         super().handle(http_request, body)
@@ -134,7 +134,7 @@
     def __init__(self, plan: Plan, folder: Path, kill_later_s: float) -> None:
         self.plan, self.kill_later_s = plan, kill_later_s
         self.draw = random.Random(f"{plan.seed} steps")
-        self.world = World(folder)
+        self.testbed = DispatcherTestbed(folder)
         self.history = History()
         self.lock = threading.Lock()
         self.killed = threading.Event()
@@ -157,38 +157,38 @@
                 idle.close()
             for thread in self.threads:
                 thread.join(ANSWER_TIMEOUT_S)
-            self.world.close()
+            self.testbed.close()
         self.history.log_lines = self.log_path.read_text(errors="replace").splitlines()
         return problems(self.history, RUN_ONCE)
 
     def _start(self) -> subprocess.Popen[bytes]:
-        world, plan = self.world, self.plan
+        testbed, plan = self.testbed, self.plan
         for number, run_s in enumerate(plan.run_s):
-            runner = CountingRunner(f"s-{number}", world, run_s)
+            runner = CountingRunner(f"s-{number}", testbed, run_s)
             runner.history = self.history
             runner.status = 503 if number in plan.refusing else 202
-            world.runners.append(runner)
+            testbed.workers.append(runner)
         self._write_settings()
         environ = {
             "RELAY_NAME": "n0",
-            "RELAY_CONFIG": str(world.folder / "config.json"),
-            "RELAY_LISTEN": f"127.0.0.1:{world.front[1]}",
-            "RELAY_DISCOVERY": f"127.0.0.1:{world.discovery.address[1]}",
-            "TMPDIR": str(world.folder),
+            "RELAY_CONFIG": str(testbed.folder / "config.json"),
+            "RELAY_LISTEN": f"127.0.0.1:{testbed.client_address[1]}",
+            "RELAY_DISCOVERY": f"127.0.0.1:{testbed.discovery.address[1]}",
+            "TMPDIR": str(testbed.folder),
         }
         with self.log_path.open("wb") as log:
             command = [sys.executable, "-m", "grebestack"]
             process = subprocess.Popen(command, cwd=ROOT, env=os.environ | environ, stdout=log, stderr=log)
-        world.processes.append(process)
+        testbed.processes.append(process)
         wait_until(self._is_ready, ANSWER_TIMEOUT_S)
         return process
 
     def _write_settings(self) -> None:
-        config = CONFIG | {"settings": settings_of(self.plan, self.draw)}
-        (self.world.folder / "config.json").write_text(json.dumps(config))
+        config = PLATFORM_CONFIG | {"settings": settings_of(self.plan, self.draw)}
+        (self.testbed.folder / "config.json").write_text(json.dumps(config))
 
     def _is_ready(self) -> bool:
-        connection = http.client.HTTPConnection(*self.world.front, timeout=ANSWER_TIMEOUT_S)
+        connection = http.client.HTTPConnection(*self.testbed.client_address, timeout=ANSWER_TIMEOUT_S)
         try:
             connection.request("GET", "/health/ready")
             return connection.getresponse().status == 200
@@ -205,15 +205,15 @@
     # Load and trouble.
 
     def _load(self, process: subprocess.Popen[bytes]) -> None:
-        plan, world = self.plan, self.world
+        plan, testbed = self.plan, self.testbed
         if plan.has_crowd:
-            self.idle = [socket.create_connection(world.front) for _ in range(CROWD)]
+            self.idle = [socket.create_connection(testbed.client_address) for _ in range(CROWD)]
         for number in range(plan.clients):
             self._run(self._client, number, random.Random(f"{plan.seed} client {number}"))
         for _ in range(plan.half_requests):
             self._run(self._half_request)
         if plan.silence_s:
-            world.discovery.mute = True
+            testbed.discovery.paused = True
             self._run(self._end_silence)
         for _ in range(plan.reloads):
             time.sleep(plan.load_s / (plan.reloads + 1))
@@ -221,18 +221,18 @@
             process.send_signal(signal.SIGHUP)
         time.sleep(plan.load_s / (plan.reloads + 1))
         for number in plan.hung:
-            world.runners[number].hung = True
+            testbed.workers[number].unresponsive = True
         time.sleep(self.draw.uniform(0.0, 0.3))
 
     def _end_silence(self) -> None:
         self.killed.wait(self.plan.silence_s)
-        self.world.discovery.mute = False
+        self.testbed.discovery.paused = False
 
     def _client(self, number: int, draw: random.Random) -> None:
         """Send one request after the other on a connection that is kept; open another when it ends."""
         count = 0
         while not self.killed.is_set():
-            connection = http.client.HTTPConnection(*self.world.front, timeout=ANSWER_TIMEOUT_S)
+            connection = http.client.HTTPConnection(*self.testbed.client_address, timeout=ANSWER_TIMEOUT_S)
             connection.auto_open = 0
             try:
                 connection.connect()
@@ -269,7 +269,7 @@
     def _half_request(self) -> None:
         """Send half a request and stay."""
         began_s = time.monotonic()
-        with socket.create_connection(self.world.front) as client:
+        with socket.create_connection(self.testbed.client_address) as client:
             client.sendall(b"POST /api HTTP/1.1\r\nX-Call-Id: half\r\nContent-Le")
             client.settimeout(2 * HALF_REQUEST_S)
             try:
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -26,12 +26,12 @@
 from grebestack.consensus.lease import Fence
 from tests.cluster_member import TASKS
 from tests.ports import reserved_port
-from tests.standins import APPLIANCE_SETTINGS, StandIn, say
+from tests.standins import OPERATOR_SETTINGS, StandIn, send_admin_command
 
 ROOT = Path(__file__).resolve().parent.parent
 
 
-class Act(NamedTuple):
+class ReceivedExport(NamedTuple):
     """One export as the collector met it."""
 
     at: float  # seconds, as all here, of the one outside clock
@@ -41,22 +41,22 @@
     accepted: bool
 
 
-class Held(NamedTuple):
+class LeasePeriod(NamedTuple):
     """A member may act, by what it logged; on the outside clock."""
 
     task: str
     member: str
-    life: int
+    incarnation: int
     token: int
     begin: float
     end: float
 
 
-class Change(NamedTuple):
+class RegisterChange(NamedTuple):
     """One asking of a register that came into force."""
 
     register: str
-    asked: float
+    requested_at: float
     at: float
     before: str
     after: str
@@ -66,29 +66,31 @@
     """What is acted upon: it refuses a token that is older than one it has seen."""
 
     def __init__(self) -> None:
-        self.acts: list[Act] = []
+        self.exports: list[ReceivedExport] = []
         self.fences: dict[str, Fence] = {}
-        self.guard = threading.Lock()
+        self.lock = threading.Lock()
         super().__init__()
 
     def handle(self, http: Any, body: bytes) -> None:
         export = json.loads(body)
-        with self.guard:
+        with self.lock:
             accepted = self.fences.setdefault(export["task"], Fence()).admits(export["token"])
             now = time.monotonic()
-            self.acts.append(Act(now, export["task"], export["holder"], export["token"], accepted))
+            self.exports.append(
+                ReceivedExport(now, export["task"], export["holder"], export["token"], accepted)
+            )
         http.reply(204 if accepted else 409)
 
 
 @dataclass
-class Way:
+class LinkDirection:
     """One direction of a link."""
 
     cut: bool = False  # bytes are lost, the connection stays
     delay_s: float = 0.0
-    slow: int = 0  # bytes at a time, with a pause after each
-    half: bool = False  # the next bytes are cut in the middle, and the connection is reset
-    spoil: int = 0  # so many pieces yet to come have a bit flipped in their middle
+    chunk_bytes: int = 0  # bytes at a time, with a pause after each
+    break_message: bool = False  # the next bytes are cut in the middle, and the connection is reset
+    corrupt_pieces: int = 0  # so many pieces yet to come have a bit flipped in their middle
 
 
 class Proxy:
@@ -96,7 +98,7 @@
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
-        self.ways: dict[tuple[str, str], Way] = {}
+        self.directions: dict[tuple[str, str], LinkDirection] = {}
         self.writers: dict[tuple[str, str], set[asyncio.StreamWriter]] = {}
         threading.Thread(target=self.loop.run_forever, daemon=True).start()
 
@@ -105,7 +107,11 @@
 
     def link(self, a: str, b: str, port: int) -> int:
         """Listen for a's calls of b; the port."""
-        self.ways[a, b], self.ways[b, a], self.writers[a, b] = Way(), Way(), set()
+        self.directions[a, b], self.directions[b, a], self.writers[a, b] = (
+            LinkDirection(),
+            LinkDirection(),
+            set(),
+        )
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
@@ -126,23 +132,23 @@
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, key: Any) -> None:
         while data := await reader.read(65536):
-            way = self.ways[key]
+            way = self.directions[key]
             if way.cut:
                 continue
             if way.delay_s:
                 await asyncio.sleep(way.delay_s)
-            if way.half:
-                way.half = False
+            if way.break_message:
+                way.break_message = False
                 writer.write(data[: len(data) // 2])
                 await writer.drain()
                 raise ConnectionResetError
-            if way.spoil:
-                way.spoil -= 1
+            if way.corrupt_pieces:
+                way.corrupt_pieces -= 1
                 middle = len(data) // 2
                 data = data[:middle] + bytes([data[middle] ^ 4]) + data[middle + 1 :]
-            for at in range(0, len(data), way.slow or len(data)):
-                writer.write(data[at : at + (way.slow or len(data))])
-                if way.slow:
+            for at in range(0, len(data), way.chunk_bytes or len(data)):
+                writer.write(data[at : at + (way.chunk_bytes or len(data))])
+                if way.chunk_bytes:
                     await asyncio.sleep(0.005)
         raise ConnectionResetError
 
@@ -170,14 +176,14 @@
 
 
 @dataclass
-class Process:
+class MemberProcess:
     """One member's place: its files, and the process that runs there now."""
 
     name: str
     folder: Path
-    door: tuple[str, int]
-    front: int
-    rate: float  # of its clock
+    admin_address: tuple[str, int]
+    client_port: int
+    clock_rate: float  # of its clock
     process: subprocess.Popen[bytes] | None = None
     copy: Path | None = None
 
@@ -204,10 +210,10 @@
         for n, a in enumerate(self.names):
             for b in self.names[n + 1 :]:  # of two members the first by name calls the other
                 seen[a][b], seen[b][a] = self.proxy.link(a, b, ports[b]), ports[a]
-        self.members: dict[str, Process] = {}
+        self.members: dict[str, MemberProcess] = {}
         for n, name in enumerate(self.names):
             door, front = ("127.0.0.1", reserved_port()), fronts[n] if fronts else reserved_port()
-            self.members[name] = Process(name, folder / name, door, front, drift[n])
+            self.members[name] = MemberProcess(name, folder / name, door, front, drift[n])
             source = servers if isinstance(servers, str) else servers[name]
             (folder / name).mkdir()
             others = "".join(f'{b} = "127.0.0.1:{port}"\n' for b, port in seen[name].items())
@@ -217,7 +223,7 @@
                 f"term_s = {term_s}\ndrift = 0.01\n{more}[fleet.members]\n"
                 f'{name} = "127.0.0.1:{ports[name]}"\n{others}[fleet.tallies]\n'
                 f'collector = "127.0.0.1:{self.collector.address[1]}"\n'
-                f"every_s = {every_s}\n{APPLIANCE_SETTINGS}"
+                f"every_s = {every_s}\n{OPERATOR_SETTINGS}"
             )
             subprocess.run(
                 [sys.executable, "-m", "grebestack", "form", "--config", str(folder / f"{name}.toml")],
@@ -229,7 +235,7 @@
     def start(self, name: str, plain: bool = False) -> None:
         """Start a member; a plain one is the program as it is, without the rig's disk, clock and tasks."""
         member, path = self.members[name], str(self.folder / f"{name}.toml")
-        words = ["tests.cluster_member", path, str(member.folder / "faults"), str(member.rate)]
+        words = ["tests.cluster_member", path, str(member.folder / "faults"), str(member.clock_rate)]
         if plain:
             words = ["grebestack", "--config", path]
         with (self.folder / f"{name}.log").open("ab") as log:
@@ -247,10 +253,10 @@
         if number in (signal.SIGKILL, signal.SIGTERM):
             process.wait(20)
 
-    def logs(self, name: str) -> list[Path]:
+    def register_logs(self, name: str) -> list[Path]:
         return sorted((self.members[name].folder / "disk").glob("registers-*.log"))
 
-    def order(self, name: str, **faults: Any) -> None:
+    def set_disk_faults(self, name: str, **faults: Any) -> None:
         """Have a member's disk fail from now on, or no longer."""
         path = self.members[name].folder / "faults"
         path.with_suffix(".new").write_text(json.dumps(faults))
@@ -258,11 +264,11 @@
 
     def holders(self) -> dict[str, str]:
         """Who acted last for each task."""
-        return {act.task: act.holder for act in self.collector.acts if act.accepted}
+        return {act.task: act.holder for act in self.collector.exports if act.accepted}
 
-    def shown(self, name: str, call: str = "fleet") -> str:
+    def admin_output(self, name: str, call: str = "fleet") -> str:
         try:
-            return say(self.members[name].door, call)
+            return send_admin_command(self.members[name].admin_address, call)
         except OSError as error:
             return f"FAILURE {error}"
 
@@ -277,7 +283,7 @@
 
     # The history.
 
-    def lines(self, name: str) -> Iterable[dict[str, str]]:
+    def log_events(self, name: str) -> Iterable[dict[str, str]]:
         for line in (self.folder / f"{name}.log").read_text(errors="replace").splitlines():
             with contextlib.suppress(ValueError):
                 yield dict(part.split("=", 1) for part in shlex.split(line) if "=" in part)
@@ -289,14 +295,14 @@
         lest a lease be seen taken that was not seen given back.
         """
         until = time.monotonic() - 0.2
-        history = History(acts=[act for act in self.collector.acts if act.at <= until])
+        history = History(exports=[act for act in self.collector.exports if act.at <= until])
         for name, member in self.members.items():
-            scale = 1000.0 * member.rate
-            for line in self.lines(name):
+            scale = 1000.0 * member.clock_rate
+            for line in self.log_events(name):
                 event = line.get("event")
                 if event == "lease_held":
-                    history.held.append(
-                        Held(
+                    history.lease_periods.append(
+                        LeasePeriod(
                             line["task"],
                             name,
                             int(line["life"]),
@@ -306,10 +312,10 @@
                         )
                     )
                 elif event == "lease_lost":
-                    history.lose(line["task"], name, int(line["token"]), float(line["at"]) / scale)
+                    history.end_lease(line["task"], name, int(line["token"]), float(line["at"]) / scale)
                 elif event == "fleet_register" and line["outcome"] == "CHOSEN":
                     history.changes.append(
-                        Change(
+                        RegisterChange(
                             line["register"],
                             float(line["asked"]) / scale,
                             float(line["at"]) / scale,
@@ -318,8 +324,8 @@
                         )
                     )
                 elif line.get("level") == "error" or "traceback" in line:
-                    history.faults.append(f"{name}: {line}")
-        history.held = [held for held in history.held if held.begin <= until]
+                    history.errors.append(f"{name}: {line}")
+        history.lease_periods = [held for held in history.lease_periods if held.begin <= until]
         history.changes = [change for change in history.changes if change.at <= until]
         return history
 
@@ -328,26 +334,28 @@
 class History:
     """What is judged."""
 
-    acts: list[Act] = field(default_factory=list)
-    held: list[Held] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)
+    exports: list[ReceivedExport] = field(default_factory=list)
+    lease_periods: list[LeasePeriod] = field(default_factory=list)
+    changes: list[RegisterChange] = field(default_factory=list)
+    errors: list[str] = field(default_factory=list)
 
-    def lose(self, task: str, member: str, token: int, at: float) -> None:
+    def end_lease(self, task: str, member: str, token: int, at: float) -> None:
         """A member says that it acts no more."""
-        for n, one in enumerate(self.held):
+        for n, one in enumerate(self.lease_periods):
             if (one.task, one.member, one.token) == (task, member, token) and one.end > at:
-                self.held[n] = one._replace(end=max(one.begin, at))
+                self.lease_periods[n] = one._replace(end=max(one.begin, at))
 
-    def wrong(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Every rule that the history breaks."""
-        return [*self.faults, *self._overlaps(), *self._tokens(), *self._registers()]
+        return [*self.errors, *self._overlaps(), *self._tokens(), *self._registers()]
 
     def _overlaps(self) -> Iterable[str]:
         """Intervals of members that may act are disjoint."""
-        for task in {h.task for h in self.held}:
-            last: Held | None = None
-            for one in sorted((h for h in self.held if h.task == task), key=lambda h: (h.begin, h.end)):
+        for task in {h.task for h in self.lease_periods}:
+            last: LeasePeriod | None = None
+            for one in sorted(
+                (h for h in self.lease_periods if h.task == task), key=lambda h: (h.begin, h.end)
+            ):
                 if last is not None and one[1:4] != last[1:4] and one.begin < last.end:
                     yield f"overlap: {last} and {one}"
                 if last is None or one.end > last.end:
@@ -356,11 +364,11 @@
     def _tokens(self) -> Iterable[str]:
         """Accepted acts have tokens that don't fall, each of one holder; none is accepted that is stale."""
         holder: dict[tuple[str, int], tuple[str, int | None]] = {}
-        for h in self.held:
-            if holder.setdefault((h.task, h.token), (h.member, h.life)) != (h.member, h.life):
+        for h in self.lease_periods:
+            if holder.setdefault((h.task, h.token), (h.member, h.incarnation)) != (h.member, h.incarnation):
                 yield f"token {h.token} of {h.task} was held by {holder[h.task, h.token]} and {h.member}"
         highest: dict[str, int] = {}
-        for act in self.acts:
+        for act in self.exports:
             known = holder.get((act.task, act.token))
             if known is not None and known[0] != act.holder:
                 yield f"token {act.token} of {act.task} is {known[0]}'s, {act.holder} acted with it"
@@ -375,7 +383,7 @@
         """
         for register in {c.register for c in self.changes}:
             mine = [c for c in self.changes if c.register == register]
-            after: dict[str, Change] = {}
+            after: dict[str, RegisterChange] = {}
             for c in mine:
                 if c.before != c.after and c.before in after and after[c.before].after != c.after:
                     yield f"{register}: two changes of {c.before!r}: {after[c.before]} and {c}"
@@ -385,19 +393,19 @@
             # ordered by token and asking; a set is chosen once.
             best: tuple[float, tuple[int, ...]] | None = None
             ends = sorted(mine, key=lambda c: c.at)
-            begins = sorted(mine, key=lambda c: c.asked)
+            begins = sorted(mine, key=lambda c: c.requested_at)
             n = 0
             for c in begins:
-                while n < len(ends) and ends[n].at < c.asked:
-                    value = place(ends[n].after)
+                while n < len(ends) and ends[n].at < c.requested_at:
+                    value = register_order(ends[n].after)
                     if best is None or value > best[1]:
                         best = ends[n].at, value
                     n += 1
-                if best is not None and place(c.before) < best[1]:
+                if best is not None and register_order(c.before) < best[1]:
                     yield f"{register}: {c} met an older value than was in force at {best[0]:.3f}"
 
 
-def place(value: str) -> tuple[int, ...]:
+def register_order(value: str) -> tuple[int, ...]:
     """A value's place in the order of its register: token, whether it was given back, asking."""
     parts = value.split("/")
     if len(parts) != 4:
@@ -411,8 +419,8 @@
 class Fault(NamedTuple):
     """One fault of a schedule: when it comes, how long it stays, and whom it hits."""
 
-    at: float
-    lasts: float
+    start_s: float
+    duration_s: float
     kind: str
     member: str
     other: str = ""
@@ -445,7 +453,7 @@
 )
 
 
-def schedule(seed: int, names: list[str], seconds: float, gap: float = 3.0) -> list[Fault]:
+def draw_schedule(seed: int, names: list[str], seconds: float, gap: float = 3.0) -> list[Fault]:
     """Faults drawn from a seed, one after the other or two side by side; all kinds come in turn.
 
     Those that take a disk or the quorum come alone: what is lost beyond a minority is lost for good.
@@ -467,35 +475,35 @@
 
 
 @dataclass
-class Played:
+class ScheduleResult:
     """When what was done."""
 
     kills: list[tuple[float, tuple[str, ...]]] = field(default_factory=list)  # the tasks that lost a holder
     heals: list[float] = field(default_factory=list)
-    unplayed: int = 0
+    skipped: int = 0
 
 
-class Player:
+class FaultInjector:
     """Plays a schedule over a cluster."""
 
     def __init__(self, cluster: Cluster, seed: int) -> None:
         self.cluster, self.random = cluster, random.Random(f"{seed} play")
-        self.played = Played()
-        self.hit: set[str] = set()  # who is down, stopped or cut off by a fault of now
+        self.result = ScheduleResult()
+        self.affected: set[str] = set()  # who is down, stopped or cut off by a fault of now
 
-    def play(self, faults: list[Fault], told: Callable[[str], None] = lambda _: None) -> Played:
+    def run(self, faults: list[Fault], told: Callable[[str], None] = lambda _: None) -> ScheduleResult:
         """Play them all; every fault is over when this returns."""
         began, pending = time.monotonic(), list[tuple[float, Callable[[], None]]]()
         for fault in faults:
-            self._until(began + fault.at, pending)
-            told(f"{fault.at:7.2f} {fault.kind} {fault.member} {fault.other} for {fault.lasts:.2f}")
+            self._end_faults_until(began + fault.start_s, pending)
+            told(f"{fault.start_s:7.2f} {fault.kind} {fault.member} {fault.other} for {fault.duration_s:.2f}")
             over = self._begin(fault)
             if over is not None:
-                pending.append((time.monotonic() + fault.lasts, over))
-        self._until(float("inf"), pending)
-        return self.played
+                pending.append((time.monotonic() + fault.duration_s, over))
+        self._end_faults_until(float("inf"), pending)
+        return self.result
 
-    def _until(self, at: float, pending: list[tuple[float, Callable[[], None]]]) -> None:
+    def _end_faults_until(self, at: float, pending: list[tuple[float, Callable[[], None]]]) -> None:
         while True:
             pending.sort(key=lambda item: item[0])
             now = time.monotonic()
@@ -513,34 +521,34 @@
     def _begin(self, fault: Fault) -> Callable[[], None] | None:
         cluster, member = self.cluster, fault.member
         if "holder" in fault.kind:
-            holders = [h for h in cluster.holders().values() if h not in self.hit]
+            holders = [h for h in cluster.holders().values() if h not in self.affected]
             member = self.random.choice(sorted(holders)) if holders else member
         beside = 0 if fault.kind in ALONE else (len(cluster.names) - 1) // 2 - 1  # others that may be hit
-        if member in self.hit or len(self.hit) > beside:
-            self.played.unplayed += 1
+        if member in self.affected or len(self.affected) > beside:
+            self.result.skipped += 1
             return None
         hit = {member}
         if fault.kind == "quorum lost":
             hit = set(self.random.sample(cluster.names, len(cluster.names) // 2 + 1))
         elif fault.kind in ("delay", "slow", "reset", "half", "slow sync"):
             hit = set()
-        self.hit |= hit
+        self.affected |= hit
         end = getattr(self, "_" + fault.kind.replace(" holder", "").replace(" ", "_"))(member, fault, hit)
 
         def over() -> None:
             end()
-            self.hit -= hit
+            self.affected -= hit
 
         return over
 
-    def _ways(self, member: str) -> list[Way]:
-        return [way for pair, way in self.cluster.proxy.ways.items() if member in pair]
+    def _directions(self, member: str) -> list[LinkDirection]:
+        return [way for pair, way in self.cluster.proxy.directions.items() if member in pair]
 
     def _kill(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
         held = tuple(task for task, holder in self.cluster.holders().items() if holder == member)
         self.cluster.signal(member, signal.SIGKILL)
         if "holder" in fault.kind:
-            self.played.kills.append((time.monotonic(), held))
+            self.result.kills.append((time.monotonic(), held))
         return lambda: self.cluster.start(member)
 
     def _terminate(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
@@ -551,7 +559,7 @@
         self.cluster.signal(member, signal.SIGSTOP)
         return lambda: self.cluster.signal(member, signal.SIGCONT)
 
-    def _cut(self, ways: list[Way]) -> Callable[[], None]:
+    def _cut(self, ways: list[LinkDirection]) -> Callable[[], None]:
         for way in ways:
             way.cut = True
 
@@ -562,31 +570,31 @@
         return heal
 
     def _cut_off(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        return self._cut(self._ways(member))
+        return self._cut(self._directions(member))
 
     def _cut_one_way(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        return self._cut([way for (a, _), way in self.cluster.proxy.ways.items() if a == member])
+        return self._cut([way for (a, _), way in self.cluster.proxy.directions.items() if a == member])
 
     def _stall(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        ways = self.cluster.proxy.ways
+        ways = self.cluster.proxy.directions
         return self._cut([ways[member, fault.other], ways[fault.other, member]])
 
     def _quorum_lost(self, member: str, fault: Fault, hit: set[str]) -> Callable[[], None]:
-        heal = self._cut([way for pair, way in self.cluster.proxy.ways.items() if set(pair) & hit])
+        heal = self._cut([way for pair, way in self.cluster.proxy.directions.items() if set(pair) & hit])
 
         def over() -> None:
             heal()
-            self.played.heals.append(time.monotonic())
+            self.result.heals.append(time.monotonic())
 
         return over
 
     def _delay(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        return self._set(self._ways(member), "delay_s", 0.15, 0.0)
+        return self._set(self._directions(member), "delay_s", 0.15, 0.0)
 
     def _slow(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        return self._set(self._ways(member), "slow", 16, 0)
+        return self._set(self._directions(member), "chunk_bytes", 16, 0)
 
-    def _set(self, ways: list[Way], name: str, value: Any, former: Any) -> Callable[[], None]:
+    def _set(self, ways: list[LinkDirection], name: str, value: Any, former: Any) -> Callable[[], None]:
         for way in ways:
             setattr(way, name, value)
 
@@ -601,19 +609,19 @@
         return lambda: None
 
     def _half(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        return self._set([self.cluster.proxy.ways[member, fault.other]], "half", True, False)
+        return self._set([self.cluster.proxy.directions[member, fault.other]], "break_message", True, False)
 
     def _slow_sync(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        self.cluster.order(member, slow=0.3)
-        return lambda: self.cluster.order(member)
+        self.cluster.set_disk_faults(member, slow=0.3)
+        return lambda: self.cluster.set_disk_faults(member)
 
     def _sync_fails(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        self.cluster.order(member, sync="EIO")
-        return lambda: self.cluster.order(member)
+        self.cluster.set_disk_faults(member, sync="EIO")
+        return lambda: self.cluster.set_disk_faults(member)
 
     def _disk_full(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        self.cluster.order(member, write="ENOSPC")
-        return lambda: self.cluster.order(member)
+        self.cluster.set_disk_faults(member, write="ENOSPC")
+        return lambda: self.cluster.set_disk_faults(member)
 
     def _disk_lost(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
         self.cluster.signal(member, signal.SIGKILL)
@@ -634,29 +642,29 @@
         return over
 
     def _disk_lies(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        logs = self.cluster.logs(member)
+        logs = self.cluster.register_logs(member)
         honest = logs[-1].stat().st_size if logs else 0
-        self.cluster.order(member, lie=True)
+        self.cluster.set_disk_faults(member, lie=True)
 
         def over() -> None:
             self.cluster.signal(member, signal.SIGKILL)
-            logs = self.cluster.logs(member)
+            logs = self.cluster.register_logs(member)
             if logs and logs[-1].stat().st_size > honest:
                 os.truncate(logs[-1], self.random.randint(honest, logs[-1].stat().st_size - 1))
-            self.cluster.order(member)
+            self.cluster.set_disk_faults(member)
             self.cluster.start(member)
 
         return over
 
     def _bit_flipped(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
         self.cluster.signal(member, signal.SIGKILL)
-        for log in self.cluster.logs(member)[-1:]:
+        for log in self.cluster.register_logs(member)[-1:]:
             data = bytearray(log.read_bytes())
             data[self.random.randrange(30, len(data) // 2)] ^= 1 << self.random.randrange(8)
             log.write_bytes(data)
         return lambda: self.cluster.start(member)
 
 
-def tasks() -> tuple[str, ...]:
+def export_tasks() -> tuple[str, ...]:
     """The tasks of each member."""
     return TASKS
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,15 +8,15 @@
 import pytest
 from hypothesis import settings
 
-from tests.standins import World
+from tests.standins import DispatcherTestbed
 
 settings.register_profile("steady", derandomize=True, deadline=None)
 settings.load_profile("steady")
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[World]:
+def testbed(tmp_path: Path) -> Iterator[DispatcherTestbed]:
     """Stand-ins, and a dispatcher once it is started."""
-    made = World(tmp_path)
+    made = DispatcherTestbed(tmp_path)
     yield made
     made.close()
--- a/tests/dispatcher_group.py
+++ b/tests/dispatcher_group.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from tests.ports import reserved_port
-from tests.standins import OPTIONS, wait_until
+from tests.standins import SETTINGS, wait_until
 
 # The drain grace of the settings, and the tolerances that the platform's rules define.
 GRACE_S, SLACK_S, SILENT_S, MOVED_S = 0.25, 0.05, 6.0, 4.0
@@ -71,7 +71,7 @@
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
-        self.settings: dict[str, Any] = OPTIONS | {"discovery": "pushed", "siblings": 200}
+        self.settings: dict[str, Any] = SETTINGS | {"discovery": "pushed", "siblings": 200}
         self.tasks: set[asyncio.Task[None]] = set()
         self.sends: list[Sent] = []
         # By dispatcher and worker: when the dispatcher's agent had reported the worker as draining.
--- a/tests/golden/make.py
+++ b/tests/golden/make.py
@@ -13,7 +13,7 @@
 from tests.golden_files import all_databases, all_files
 from tests.golden_handover import handover_packets, keepsake
 from tests.golden_links import export_request, first_bytes
-from tests.golden_samples import FOLDER, all_encoded
+from tests.golden_samples import GOLDEN_FOLDER, encode_all_samples
 from tests.golden_settings import all_errors, all_settings
 from tests.golden_texts import all_texts
 
@@ -21,12 +21,12 @@
 def write(name: str, value: Any) -> None:
     """Write one golden file, with its keys sorted."""
     text = json.dumps(value, indent=1, sort_keys=True)
-    (FOLDER / name).write_text(text + "\n", encoding="utf-8")
+    (GOLDEN_FOLDER / name).write_text(text + "\n", encoding="utf-8")
 
 
 def main() -> None:
     """Write all golden files."""
-    write("messages.json", all_encoded())
+    write("messages.json", encode_all_samples())
     write("links.json", first_bytes())
     write("export_request.json", export_request())
     write("handover.json", handover_packets())
--- a/tests/golden_control.py
+++ b/tests/golden_control.py
@@ -14,7 +14,7 @@
 from grebestack.program.log import KeyValueFormatter
 from grebestack.program.traffic_log import TrafficCounts
 from grebestack.routing.worker_table import WorkerTable
-from tests.golden_samples import SERVER
+from tests.golden_samples import WORKER
 from tests.golden_settings import values_of
 
 CREATED = 1_700_000_000.125
@@ -66,7 +66,7 @@
         table=WorkerTable(),
     )
     dispatcher.clock.now_ms.return_value = 1000.0
-    dispatcher.table.update(ListKind.FULL, [SERVER])
+    dispatcher.table.update(ListKind.FULL, [WORKER])
     operations, responses = LocalOperations(dispatcher), dict[str, str]()
 
     def run(name: str, verb: Verb, target: str = "") -> None:
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -26,15 +26,15 @@
 from grebestack.program.cluster_member import found_cluster
 from grebestack.program.config.operator_file import from_text
 from grebestack.protocol.snapshot import save_lists
-from tests.golden_samples import FOLDER, RECORDS, SERVER, STAMP, encoded_record
+from tests.golden_samples import GOLDEN_FOLDER, RECORDS, VERSION_SET, WORKER, encode_record_sample
 
 WAIT_S = 10.0
-LIFE = 9_000_000_000_000  # later than any clock says: the next start counts on from it
+INCARNATION = 9_000_000_000_000  # later than any clock says: the next start counts on from it
 OLD_CONTENTS, CONTENTS = b"[settings]\nzone = 1\n", b"[settings]\nzone = 2\n"
 OLD_VERSION = Version(16, digest_of(OLD_CONTENTS), len(OLD_CONTENTS), "m-1", 1_700_000_000_001)
 VERSION = Version(17, digest_of(CONTENTS), len(CONTENTS), "m-2", 1_700_000_000_002)
 BANS = {"runner-2", "runner-1", "caf\u00e9"}
-LISTS = {"discovery": (1_700_000_000.5, [SERVER]), "empty": (1_700_000_001.5, [])}
+LISTS = {"discovery": (1_700_000_000.5, [WORKER]), "empty": (1_700_000_001.5, [])}
 JOBS = [
     Job("job-1", "key-1", '{"a":1}', "order", JobState.QUEUED, 100.5, 200.5),
     Job(
@@ -60,7 +60,7 @@
 
 async def _member_files(folder: str) -> dict[str, dict[str, str]]:
     """The records of a member as it is founded, goes on, begins its file anew and puts it aside."""
-    payloads = [encoded_record(record) for record in RECORDS.values()]
+    payloads = [encode_record_sample(record) for record in RECORDS.values()]
     states = {}
     synced: asyncio.Queue[int] = asyncio.Queue()
     create_log(folder, payloads[:2])
@@ -81,7 +81,7 @@
 
 async def _version_files(folder: str) -> dict[str, str]:
     """The folder of a configuration with two versions and contents that are not decided."""
-    Path(folder, "life").write_text(str(LIFE), encoding="ascii")
+    Path(folder, "life").write_text(str(INCARNATION), encoding="ascii")
     contents = ConfigStore(asyncio.get_running_loop(), folder, "fleet-a")
     contents.open()
     await _wait_for(lambda done: contents.store(OLD_VERSION, OLD_CONTENTS, 0, done))
@@ -93,7 +93,7 @@
 
 def audit_recorder() -> Recorder:
     """A recorder that ends a segment with each batch."""
-    return Recorder("d-1", "f00d", VersionSets(STAMP), RecorderLimits(2000.0, 20_000, 1, 100.25), 12)
+    return Recorder("d-1", "f00d", VersionSets(VERSION_SET), RecorderLimits(2000.0, 20_000, 1, 100.25), 12)
 
 
 def _audit_files(folder: str) -> dict[str, str]:
@@ -124,7 +124,7 @@
 
 def _founding_files(folder: str) -> dict[str, str]:
     """What an operator's file with a fleet founds."""
-    text = (FOLDER / "operator_voter.toml").read_text(encoding="utf-8")
+    text = (GOLDEN_FOLDER / "operator_voter.toml").read_text(encoding="utf-8")
     found_cluster(from_text(os.path.join(folder, "operator.toml"), text))
     return contents_of(os.path.join(folder, "fleet"))
 
@@ -151,7 +151,7 @@
         }
 
 
-def fill(store: JobStore) -> None:
+def fill_store(store: JobStore) -> None:
     """Put rows into each table."""
     store.add_batch(BATCH)
     edges: list[DependencyRow] = [
@@ -187,7 +187,7 @@
 def new_database(path: str) -> dict[str, Any]:
     """What the store writes into a new file."""
     store = JobStore(path)
-    fill(store)
+    fill_store(store)
     store.close()
     return dump(path)
 
@@ -195,7 +195,7 @@
 def old_database(path: str) -> None:
     """A file of the first version, from the golden text."""
     database = sqlite3.connect(path)
-    database.executescript((FOLDER / "jobs_1.sql").read_text(encoding="utf-8"))
+    database.executescript((GOLDEN_FOLDER / "jobs_1.sql").read_text(encoding="utf-8"))
     database.close()
 
 
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -17,7 +17,7 @@
 from grebestack.routing.requests import Attempt, Payload, Request
 from grebestack.routing.worker_table import WorkerTable
 from grebestack.transport.server import HttpRequest
-from tests.golden_samples import SERVER
+from tests.golden_samples import WORKER
 from tests.policy_driver import BASE
 
 PEER = 1
@@ -82,7 +82,7 @@
     """Stands in for a dispatcher that has one open job with a dispatch that is out."""
     dispatcher = MagicMock()
     table = WorkerTable()
-    table.update(ListKind.FULL, [SERVER])
+    table.update(ListKind.FULL, [WORKER])
     table.remember_names(["runner-9"])
     answer = PlatformResponder(MagicMock(), MagicMock(), REQUEST)
     asked = RequestArrived(41, 2, 5000.5, 1.5, 2.5)
--- a/tests/golden_links.py
+++ b/tests/golden_links.py
@@ -14,7 +14,7 @@
 from grebestack.consensus.messages import Handshake, Message
 from grebestack.program.config.model import MetricsExportConfig
 from grebestack.program.metrics_exporter import ExportRequest
-from tests.golden_samples import EXPORTS, FEED, MEMBER
+from tests.golden_samples import EXPORTS, MEMBER_MESSAGES, RELAY_MESSAGES
 
 DISK_SEQUENCE = 98
 TOKEN = 345
@@ -51,7 +51,7 @@
 
     def handshake(self) -> Handshake:
         """The sample of the first message."""
-        return cast(Handshake, MEMBER["hello"])
+        return cast(Handshake, MEMBER_MESSAGES["hello"])
 
     def reported_record(self) -> int:
         """The sequence number that stands in each frame's head."""
@@ -96,11 +96,11 @@
     member, feed = RecordingTransport(), RecordingTransport()
     link = PeerConnection(loop, MemberOwner())
     link.connection_made(member)
-    link.send(cast(Message, MEMBER["prepare"]))
+    link.send(cast(Message, MEMBER_MESSAGES["prepare"]))
     feed_link = RelayConnection(loop, FeedEnd(), 1, Traffic())
     feed_link.connection_made(feed)
-    feed_link.write(encode(cast(RelayMessage, FEED["greeting"])))
-    feed_link.write(encode(cast(RelayMessage, FEED["poll"])))
+    feed_link.write(encode(cast(RelayMessage, RELAY_MESSAGES["greeting"])))
+    feed_link.write(encode(cast(RelayMessage, RELAY_MESSAGES["poll"])))
     loop.close()
     return {"member": member.data.hex(), "feed": feed.data.hex()}
 
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -23,25 +23,27 @@
 from grebestack.core.api import WorkerEntry, WorkerState
 from grebestack.routing.worker_table import WorkerEndpoint
 
-FOLDER = Path(__file__).resolve().parent / "golden"
+GOLDEN_FOLDER = Path(__file__).resolve().parent / "golden"
 
 BALLOT = Ballot(71, "m-2", 3)
 ACCEPTED = Ballot(64, "m-3", 5)
 LEASE = Lease("m-1", 12, 345, 67)
-ROLL = consensus.MembershipConfig(9, (("m-1", "inc-1"), ("m-2", "inc-2"), ("m-3", "inc-3")))
-PLAN = consensus.RestartPlan(4, "m-1", ("m-1", "m-2", "m-3"), ("m-2",), "m-3", 8, "goes on", "m-3 is awaited")
+MEMBERSHIP_CONFIG = consensus.MembershipConfig(9, (("m-1", "inc-1"), ("m-2", "inc-2"), ("m-3", "inc-3")))
+RESTART_PLAN = consensus.RestartPlan(
+    4, "m-1", ("m-1", "m-2", "m-3"), ("m-2",), "m-3", 8, "goes on", "m-3 is awaited"
+)
 DIGEST = "ab" * 32
 VERSION = Version(17, DIGEST, 1234, "m-2", 1_700_000_000_123)
-SLOTS = (
+REGISTER_ENTRIES = (
     ("task/servers", BALLOT, ACCEPTED, LEASE),
-    ("plan/restart", BALLOT, ACCEPTED, PLAN),
+    ("plan/restart", BALLOT, ACCEPTED, RESTART_PLAN),
     ("configuration", BALLOT, ACCEPTED, VERSION),
-    ("set", BALLOT, ACCEPTED, ROLL),
+    ("set", BALLOT, ACCEPTED, MEMBERSHIP_CONFIG),
     ("empty", Ballot(), Ballot(), None),
 )
-STAMP = VersionSet("0.1.0", "5e771465", "consul", 2, 31, "ba45", 9)
+VERSION_SET = VersionSet("0.1.0", "5e771465", "consul", 2, 31, "ba45", 9)
 ENTRY = WorkerEntry("runner-1", 2, 3, 4, WorkerState.DRAINING, 5.5, 6000.25, True)
-SERVER = WorkerEndpoint(ENTRY, ("10.0.0.7", 8007), "uid-1", "an operator's ban")
+WORKER = WorkerEndpoint(ENTRY, ("10.0.0.7", 8007), "uid-1", "an operator's ban")
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +56,7 @@
     types: tuple[type, ...]
 
 
-MEMBER = {
+MEMBER_MESSAGES = {
     "hello": consensus.Handshake(
         2, "fleet-a", "m-1", "inc-1", 11, 9, {"m-2": ("inc-2", 21), "m-3": ("inc-3", 22)}
     ),
@@ -66,9 +68,9 @@
     "prepare": consensus.Prepare(9, "task/servers", BALLOT),
     "accept of a lease": consensus.Accept(9, "task/servers", BALLOT, LEASE),
     "accept of a lease with defaults": consensus.Accept(9, "task/servers", BALLOT, Lease()),
-    "accept of a roll": consensus.Accept(9, "set", BALLOT, ROLL),
+    "accept of a roll": consensus.Accept(9, "set", BALLOT, MEMBERSHIP_CONFIG),
     "accept of a roll with defaults": consensus.Accept(9, "set", BALLOT, consensus.MembershipConfig()),
-    "accept of a plan": consensus.Accept(9, "plan/restart", BALLOT, PLAN),
+    "accept of a plan": consensus.Accept(9, "plan/restart", BALLOT, RESTART_PLAN),
     "accept of a plan with defaults": consensus.Accept(
         9, "plan/restart", BALLOT, consensus.RestartPlan(1, "m-1", ("m-1", "m-2"))
     ),
@@ -79,32 +81,32 @@
     "taken": consensus.Accepted(9, "task/servers", BALLOT),
     "refuse": consensus.Rejected(9, "task/servers", ACCEPTED, BALLOT),
     "admit": consensus.JoinRequest("m-4", "inc-4"),
-    "seal": consensus.StopVoting(8, ROLL),
-    "sealed": consensus.VotingStopped(8, SLOTS),
+    "seal": consensus.StopVoting(8, MEMBERSHIP_CONFIG),
+    "sealed": consensus.VotingStopped(8, REGISTER_ENTRIES),
     "sealed with no slots": consensus.VotingStopped(8, ()),
-    "enter": consensus.EnterEpoch(ROLL, SLOTS),
+    "enter": consensus.EnterEpoch(MEMBERSHIP_CONFIG, REGISTER_ENTRIES),
     "enter with defaults": consensus.EnterEpoch(consensus.MembershipConfig(), ()),
     "behind": consensus.EpochRequest(7),
     "word": consensus.TaskMessage("servers", b"\x00body\xff"),
 }
 RECORDS = {
-    "born": consensus.IncarnationStarted("fleet-a", "inc-1", ROLL),
+    "born": consensus.IncarnationStarted("fleet-a", "inc-1", MEMBERSHIP_CONFIG),
     "born outside of a set": consensus.IncarnationStarted("fleet-a", "inc-1", consensus.MembershipConfig()),
     "began": consensus.ProcessStarted(13),
-    "kept lease": consensus.RegisterWritten(SLOTS[0]),
-    "kept plan": consensus.RegisterWritten(SLOTS[1]),
-    "kept version": consensus.RegisterWritten(SLOTS[2]),
-    "kept roll": consensus.RegisterWritten(SLOTS[3]),
-    "kept nothing": consensus.RegisterWritten(SLOTS[4]),
-    "ended": consensus.EpochEnded(ROLL),
-    "entered": consensus.EpochEntered(ROLL, SLOTS),
+    "kept lease": consensus.RegisterWritten(REGISTER_ENTRIES[0]),
+    "kept plan": consensus.RegisterWritten(REGISTER_ENTRIES[1]),
+    "kept version": consensus.RegisterWritten(REGISTER_ENTRIES[2]),
+    "kept roll": consensus.RegisterWritten(REGISTER_ENTRIES[3]),
+    "kept nothing": consensus.RegisterWritten(REGISTER_ENTRIES[4]),
+    "ended": consensus.EpochEnded(MEMBERSHIP_CONFIG),
+    "entered": consensus.EpochEntered(MEMBERSHIP_CONFIG, REGISTER_ENTRIES),
     "entered with defaults": consensus.EpochEntered(consensus.MembershipConfig(), ()),
 }
-STANDING = distribution.FollowerStatus("d-1", 14, 16, 250, True, 350, 15, "names no class")
-TALLY = distribution.StatusReport(
-    "m-2", 3, 41, True, 17, (STANDING, distribution.FollowerStatus("d-2", 1, 17, 0, False))
+FOLLOWER_STATUS = distribution.FollowerStatus("d-1", 14, 16, 250, True, 350, 15, "names no class")
+STATUS_REPORT = distribution.StatusReport(
+    "m-2", 3, 41, True, 17, (FOLLOWER_STATUS, distribution.FollowerStatus("d-2", 1, 17, 0, False))
 )
-CONFIGURATION = {
+VOTER_MESSAGES = {
     "beat": configuration.Heartbeat(31, 9, 17, VERSION),
     "beat that knows no version": configuration.Heartbeat(1, 9, -1, Version(0, "", 0, "", 0)),
     "echo": configuration.HeartbeatResponse(31, 9, 16, VERSION),
@@ -112,9 +114,9 @@
     "kept": configuration.StoreAck(DIGEST),
     "want": configuration.FetchContents(DIGEST),
     "have": configuration.Contents(DIGEST, b"[servers]\n"),
-    "tally": TALLY,
+    "tally": STATUS_REPORT,
 }
-FEED = {
+RELAY_MESSAGES = {
     "greeting": distribution.Subscribe(1, "fleet-a", "d-1", 14, "east/e1", 16, DIGEST),
     "welcome": distribution.SubscribeAccepted(1, "fleet-a", "m-2", 500, 15),
     "welcome with defaults": distribution.SubscribeAccepted(1, "fleet-a", "m-2", 500),
@@ -129,19 +131,22 @@
     "still": distribution.NotModified(17, 130),
     "still of a relay that never knew": distribution.NotModified(0, distribution.NEVER_CONFIRMED_MS),
     "fetch": distribution.FetchFullContents(17),
-    "tally": TALLY,
+    "tally": STATUS_REPORT,
     "tally with no standings": distribution.StatusReport("m-2", 3, 42, False, 17, ()),
 }
-PACING = {"state": rolling_restart.MemberState(8, True), "go": rolling_restart.RestartRequest(4, 345, 7)}
-LINES = (shared_discovery.ListEntry("runner-1", b"rest"), shared_discovery.ListEntry("runner-2", b""))
-SHARING = {
+RESTART_MESSAGES = {
+    "state": rolling_restart.MemberState(8, True),
+    "go": rolling_restart.RestartRequest(4, 345, 7),
+}
+LIST_ENTRIES = (shared_discovery.ListEntry("runner-1", b"rest"), shared_discovery.ListEntry("runner-2", b""))
+DISCOVERY_MESSAGES = {
     "beat": shared_discovery.Heartbeat(345, 12, True),
-    "part": shared_discovery.ListPart(345, 12, 1, True, 2, 3, LINES, True),
+    "part": shared_discovery.ListPart(345, 12, 1, True, 2, 3, LIST_ENTRIES, True),
     "part with defaults": shared_discovery.ListPart(345, 12, 0, False, 1, 1, ()),
-    "part of a whole list": shared_discovery.ListPart(345, 12, 0, True, 1, 1, LINES),
+    "part of a whole list": shared_discovery.ListPart(345, 12, 0, True, 1, 1, LIST_ENTRIES),
     "again": shared_discovery.ResyncRequest(),
 }
-TALLIES = {
+COUNTER_MESSAGES = {
     "ask": metrics_export.CountersRequest(77),
     "counts": metrics_export.CountersResponse(77, 8, {"sessions": 11, "ok": 10}),
     "counts of nothing": metrics_export.CountersResponse(77, 8, {}),
@@ -151,16 +156,16 @@
         "fleet-a", "tallies", "m-1", 345, 77, {"ok": 30}, {"m-1": {"ok": 10}, "m-2": {"ok": 20}}, ["m-3"]
     ),
 }
-SERVERS = {
-    "server": SERVER,
+WORKERS = {
+    "server": WORKER,
     "server with defaults": WorkerEndpoint(WorkerEntry("runner-2"), ("10.0.0.8", 8008)),
 }
-BATCHES = {
-    "head": (records.SegmentHeader(1, "d-1", "f00d", 12, 1000.5, 100.25, 3, STAMP),),
+AUDIT_BATCHES = {
+    "head": (records.SegmentHeader(1, "d-1", "f00d", 12, 1000.5, 100.25, 3, VERSION_SET),),
     "head with a stamp of defaults": (
         records.SegmentHeader(1, "d-1", "f00d", 12, 1000.5, 100.25, 1, VersionSet()),
     ),
-    "turned": (records.VersionsChanged(1001.5, 4, STAMP),),
+    "turned": (records.VersionsChanged(1001.5, 4, VERSION_SET),),
     "act": (records.ActionRecord(1002.5, "send", 4, "job-1", "runner-1"),),
     "act with defaults": (records.ActionRecord(1003.5, "operator", 4),),
     "gap": (records.Gap(1004.5, 1005.5, 6, "sampled", (3, 4)),),
@@ -170,26 +175,30 @@
 }
 
 CODECS = {
-    "members": Codec(consensus.encode, consensus.decode_message, MEMBER, get_args(consensus.Message)),
+    "members": Codec(
+        consensus.encode, consensus.decode_message, MEMBER_MESSAGES, get_args(consensus.Message)
+    ),
     "records": Codec(consensus.encode, consensus.decode_record, RECORDS, get_args(consensus.LogRecord)),
     "configuration": Codec(
         msgpack.encode,
         msgpack.Decoder(configuration.VoterMessage).decode,
-        CONFIGURATION,
+        VOTER_MESSAGES,
         get_args(configuration.VoterMessage),
     ),
-    "feed": Codec(distribution.encode, distribution.decode, FEED, get_args(distribution.Message)),
+    "feed": Codec(distribution.encode, distribution.decode, RELAY_MESSAGES, get_args(distribution.Message)),
     "pacing": Codec(
         msgpack.encode,
         rolling_restart.decode,
-        PACING,
+        RESTART_MESSAGES,
         (rolling_restart.MemberState, rolling_restart.RestartRequest),
     ),
-    "sharing": Codec(msgpack.encode, shared_discovery.decode, SHARING, get_args(shared_discovery.Message)),
+    "sharing": Codec(
+        msgpack.encode, shared_discovery.decode, DISCOVERY_MESSAGES, get_args(shared_discovery.Message)
+    ),
     "tallies": Codec(
         msgpack.encode,
         metrics_export.decode,
-        TALLIES,
+        COUNTER_MESSAGES,
         (metrics_export.CountersRequest, metrics_export.CountersResponse),
     ),
     "exports": Codec(
@@ -199,27 +208,27 @@
         (metrics_export.Export,),
     ),
     "shared servers": Codec(
-        msgpack.encode, msgpack.Decoder(WorkerEndpoint).decode, SERVERS, (WorkerEndpoint,)
+        msgpack.encode, msgpack.Decoder(WorkerEndpoint).decode, WORKERS, (WorkerEndpoint,)
     ),
-    "audit": Codec(records.encode, records.decode, BATCHES, (tuple,)),
+    "audit": Codec(records.encode, records.decode, AUDIT_BATCHES, (tuple,)),
 }
 
 
-def encoded(codec: Codec) -> dict[str, str]:
+def encode_samples(codec: Codec) -> dict[str, str]:
     """The samples of a group as hexadecimal digits, by name."""
     return {name: codec.encode(sample).hex() for name, sample in codec.samples.items()}
 
 
-def encoded_record(record: object) -> bytes:
+def encode_record_sample(record: object) -> bytes:
     """A record of a member as it is written."""
     return CODECS["records"].encode(record)
 
 
-def all_encoded() -> dict[str, dict[str, str]]:
+def encode_all_samples() -> dict[str, dict[str, str]]:
     """The samples of all groups."""
-    return {group: encoded(codec) for group, codec in CODECS.items()}
+    return {group: encode_samples(codec) for group, codec in CODECS.items()}
 
 
-def load(name: str) -> Any:
+def load_golden(name: str) -> Any:
     """A golden file."""
-    return json.loads((FOLDER / name).read_text(encoding="utf-8"))
+    return json.loads((GOLDEN_FOLDER / name).read_text(encoding="utf-8"))
--- a/tests/golden_settings.py
+++ b/tests/golden_settings.py
@@ -18,9 +18,9 @@
 from grebestack.program.config.operator_file import from_text, version_sections
 from grebestack.program.config.platform import check_reload, from_platform
 from grebestack.protocol.settings import FormatError, check_numbers, parse_settings
-from tests.golden_samples import FOLDER
+from tests.golden_samples import GOLDEN_FOLDER
 
-DEPLOY = FOLDER.parent.parent / "deploy"
+DEPLOY = GOLDEN_FOLDER.parent.parent / "deploy"
 PATH = "/etc/grebestack/operator.toml"
 SEED = b"\x00\x01\x02\x03\x04\x05\x06\x07"  # the random seed of an operator's file
 ENVIRONMENT = {
@@ -68,7 +68,7 @@
 
 def golden_text(name: str) -> str:
     """Return the text of a file in the golden folder."""
-    return (FOLDER / name).read_text(encoding="utf-8")
+    return (GOLDEN_FOLDER / name).read_text(encoding="utf-8")
 
 
 def all_settings() -> dict[str, Any]:
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -22,7 +22,7 @@
 from grebestack.jobs.records import JobErrorKind, JobState
 from grebestack.program.dispatcher import Dispatcher
 from grebestack.program.lifecycle import Stage
-from tests.golden_samples import DIGEST, FEED, VERSION, load
+from tests.golden_samples import DIGEST, RELAY_MESSAGES, VERSION, load_golden
 from tests.golden_settings import golden_text, operator_config
 
 LINK = 1
@@ -32,10 +32,10 @@
     return [action.why for action in actions if isinstance(action, Close)]
 
 
-def relays_refusals() -> dict[str, list[str]]:
+def relay_refusals() -> dict[str, list[str]]:
     """Why a relay ends a link, by the message that came first, or after the greeting."""
     refusals = {}
-    for name, message in FEED.items():
+    for name, message in RELAY_MESSAGES.items():
         relay = Relay("m-2", "fleet-a", 3, Random(1))
         first = relay.on_message(0.0, LINK, cast(Message, message))
         relay = Relay("m-2", "fleet-a", 3, Random(1))
@@ -45,7 +45,7 @@
     return refusals
 
 
-def greetings_refusals() -> dict[str, list[str]]:
+def subscription_refusals() -> dict[str, list[str]]:
     """Why a relay does not take a greeting."""
     greetings = {
         "form": Subscribe(2, "fleet-a", "d-1", 14, "east/e1", 0, ""),
@@ -59,10 +59,10 @@
     return {name: _reasons(list(relay.on_message(0.0, LINK, one))) for name, one in greetings.items()}
 
 
-def followers_refusals() -> dict[str, list[str]]:
+def follower_refusals() -> dict[str, list[str]]:
     """Why a follower ends a link, by the message that came first."""
     refusals = {}
-    for name, message in FEED.items():
+    for name, message in RELAY_MESSAGES.items():
         follower = Follower("d-1", "fleet-a", "east/e1", 14, {"m-2": "east/e1"}, Random(1))
         follower.start(0.0)
         now_ms = follower.due_ms(0.0)
@@ -72,7 +72,7 @@
     return refusals
 
 
-def versions_faults() -> dict[str, str]:
+def version_problems() -> dict[str, str]:
     """What is said of versions that can't be, and of contents that are not a version's."""
     return {
         "none": version_problem(VERSION),
@@ -86,7 +86,7 @@
 
 def audit_report() -> dict[str, Any]:
     """What the golden record of acts is told as: for programs, for people, and as a page."""
-    files = [(name, bytes.fromhex(digits)) for name, digits in load("files.json")["audit"].items()]
+    files = [(name, bytes.fromhex(digits)) for name, digits in load_golden("files.json")["audit"].items()]
     audit = merge({"d-1": read_audit_log("d-1", files), "d-2": read_audit_log("d-2", [])})
     return {
         "data": json.dumps(report_data(audit, "job-1")),
@@ -95,7 +95,7 @@
     }
 
 
-def words() -> dict[str, list[str]]:
+def enum_values() -> dict[str, list[str]]:
     """The words for states and outcomes, which stand in files, messages and logs."""
     kinds: dict[str, type[Enum]] = {
         "outcome of an attempt": Outcome,
@@ -111,7 +111,7 @@
     return {name: [str(one.value) for one in kind] for name, kind in kinds.items()}
 
 
-def waits_for_restart() -> list[str]:
+def fields_requiring_restart() -> list[str]:
     """The names of what has changed in an operator's file and waits for a restart."""
     former = operator_config(golden_text("operator_voter.toml"))
     new = operator_config(golden_text("operator_follower.toml"))
@@ -121,12 +121,12 @@
 def all_texts() -> dict[str, Any]:
     """All of them."""
     return {
-        "relay": relays_refusals(),
-        "greeting": greetings_refusals(),
-        "follower": followers_refusals(),
-        "version": versions_faults(),
+        "relay": relay_refusals(),
+        "greeting": subscription_refusals(),
+        "follower": follower_refusals(),
+        "version": version_problems(),
         "audit": audit_report(),
-        "words": words(),
-        "waits": waits_for_restart(),
+        "words": enum_values(),
+        "waits": fields_requiring_restart(),
         "schema": json.dumps(schema()),
     }
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -20,8 +20,8 @@
 
 T = TypeVar("T")
 Address = tuple[str, int]
-Answer = tuple[int, dict[str, str], bytes]
-OPTIONS: dict[str, Any] = {
+Response = tuple[int, dict[str, str], bytes]
+SETTINGS: dict[str, Any] = {
     "services": [
         {"name": "order", "aimMs": 600.0, "hardLimitMs": 10_000.0, "effect": "single_shot", "value": 5.0},
         {"name": "reading", "aimMs": 400.0, "hardLimitMs": 5000.0, "effect": "guarded", "windowMs": 7500.0},
@@ -44,9 +44,9 @@
     "tickMs": 5.0,
 }
 
-CONFIG: dict[str, Any] = {"settings": OPTIONS, "seed": "1f", "limits": {"sockets": 256}}
+PLATFORM_CONFIG: dict[str, Any] = {"settings": SETTINGS, "seed": "1f", "limits": {"sockets": 256}}
 
-APPLIANCE_SETTINGS = """
+OPERATOR_SETTINGS = """
 [settings]
 zones = ["here"]
 models = ["c8"]
@@ -92,27 +92,27 @@
         time.sleep(0.005)
 
 
-def say(door: Address, line: str) -> str:
+def send_admin_command(door: Address, line: str) -> str:
     """One call at the operators' door."""
     with socket.create_connection(door, 30) as caller:
         caller.sendall(line.encode() + b"\n")
         return caller.makefile().read()
 
 
-def insist(door: Address, line: str) -> None:
+def repeat_admin_command(door: Address, line: str) -> None:
     """Call until it is a SUCCESS: during an upgrade a busy machine may have it be said again."""
-    wait_until(lambda: say(door, line).startswith("SUCCESS"))
+    wait_until(lambda: send_admin_command(door, line).startswith("SUCCESS"))
 
 
-def answers(door: Address) -> bool:
+def reports_ready(door: Address) -> bool:
     """Whether the door says that its process is ready."""
     try:
-        return say(door, "health").startswith("SUCCESS")
+        return send_admin_command(door, "health").startswith("SUCCESS")
     except OSError:
         return False
 
 
-def call(address: Address, method: str, path: str, body: bytes, headers: dict[str, str]) -> Answer:
+def send_request(address: Address, method: str, path: str, body: bytes, headers: dict[str, str]) -> Response:
     """One request on a connection of its own."""
     connection = http.client.HTTPConnection(*address, timeout=30)
     try:
@@ -125,7 +125,7 @@
 
 class _Server(ThreadingHTTPServer):
     daemon_threads = True
-    owner: Any
+    stand_in: Any
 
 
 class _Handler(BaseHTTPRequestHandler):
@@ -135,14 +135,14 @@
 
     def setup(self) -> None:
         super().setup()
-        self.server.owner.connections += 1
+        self.server.stand_in.connections += 1
 
     def log_message(self, format: str, *args: Any) -> None:
         pass
 
     def _any(self) -> None:
         body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
-        self.server.owner.handle(self, body)
+        self.server.stand_in.handle(self, body)
 
     do_GET = do_POST = do_PUT = do_DELETE = _any  # noqa: N815 (the library's names)
 
@@ -161,7 +161,7 @@
     def __init__(self) -> None:
         self.connections = 0
         self.server = _Server(("127.0.0.1", 0), _Handler)
-        self.server.owner = self
+        self.server.stand_in = self
         self.address: Address = ("127.0.0.1", self.server.server_address[1])
         threading.Thread(target=self.server.serve_forever, args=(0.02,), daemon=True).start()
 
@@ -174,7 +174,7 @@
 
 
 @dataclass
-class Job:
+class ReceivedJob:
     """What a runner was sent."""
 
     path: str
@@ -183,76 +183,78 @@
 
 
 @dataclass
-class Orders:
+class JobRuns:
     """How often each job has run, over all runners."""
 
-    runs: dict[str, int] = field(default_factory=dict)
+    counts: dict[str, int] = field(default_factory=dict)
 
 
-class Runner(StandIn):
+class WorkerStandIn(StandIn):
     """Takes jobs with 202, runs each for a while and calls back."""
 
-    def __init__(self, uid: str, world: World, seconds: float = 0.0) -> None:
-        self.uid, self.world, self.seconds = uid, world, seconds
+    def __init__(self, uid: str, testbed: DispatcherTestbed, seconds: float = 0.0) -> None:
+        self.uid, self.testbed, self.job_seconds = uid, testbed, seconds
         self.state = "Ready"
         self.status = 202
-        self.end = "done"
-        self.jobs: list[Job] = []
-        self.given_up: list[str] = []
-        self.confirms = False  # whether it says that it gives a job up, and then does
-        self.mute = False  # whether it keeps silent about ends
-        self.hung = False  # whether it answers nothing at all
-        self.held = 0  # connections that it holds while it is hung
+        self.final_state = "done"
+        self.jobs: list[ReceivedJob] = []
+        self.cancelled: list[str] = []
+        self.confirms_cancel = False  # whether it says that it gives a job up, and then does
+        self.skips_callbacks = False  # whether it keeps silent about ends
+        self.unresponsive = False  # whether it answers nothing at all
+        self.waiting_requests = 0  # connections that it holds while it is hung
         super().__init__()
 
     def handle(self, http: _Handler, body: bytes) -> None:
-        if self.hung:
-            self.held += 1
+        if self.unresponsive:
+            self.waiting_requests += 1
             http.rfile.read(1)  # until the dispatcher ends the connection
-            self.held -= 1
+            self.waiting_requests -= 1
             http.close_connection = True
             return
         if http.command == "DELETE":
-            self.given_up.append(http.path.rpartition("/")[2])
-            http.reply(204 if self.confirms else 404)
+            self.cancelled.append(http.path.rpartition("/")[2])
+            http.reply(204 if self.confirms_cancel else 404)
             return
         headers = {k.lower(): v for k, v in http.headers.items()}
-        self.jobs.append(Job(http.path, headers, body))
+        self.jobs.append(ReceivedJob(http.path, headers, body))
         if self.status != 202:
             http.reply(self.status, X_Rejected="1")
             return
         http.reply(202)
-        threading.Timer(self.seconds, self.finish, [headers["x-call-id"]]).start()
+        threading.Timer(self.job_seconds, self.finish, [headers["x-call-id"]]).start()
 
     def finish(self, call_id: str) -> None:
-        self.world.orders.runs[call_id] = self.world.orders.runs.get(call_id, 0) + 1
-        if self.mute or (self.confirms and call_id in self.given_up):
+        self.testbed.job_runs.counts[call_id] = self.testbed.job_runs.counts.get(call_id, 0) + 1
+        if self.skips_callbacks or (self.confirms_cancel and call_id in self.cancelled):
             return
-        self.call_back(call_id, state=self.end, result=f"result of {call_id}", load={"x0": 8, "x1": 8})
+        self.call_back(
+            call_id, state=self.final_state, result=f"result of {call_id}", load={"x0": 8, "x1": 8}
+        )
 
     def call_back(self, call_id: str, **what: Any) -> int | None:
         """Call back until it is answered, ten times at most."""
         message = json.dumps({"id": call_id, "from": self.uid, **what}).encode()
         for _ in range(10):
             try:
-                return call(self.world.front, "POST", "/callback", message, {})[0]
+                return send_request(self.testbed.client_address, "POST", "/callback", message, {})[0]
             except OSError:
                 time.sleep(0.3)
         return None
 
 
-class Discovery(StandIn):
-    """Serves the list of the world's runners, and watches of it."""
+class DiscoveryStandIn(StandIn):
+    """Serves the list of the testbed's runners, and watches of it."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.rev = 1
-        self.told = 0  # the newest version that a watch was sent
-        self.watches = 0
-        self.mute = False
+    def __init__(self, testbed: DispatcherTestbed) -> None:
+        self.testbed = testbed
+        self.revision = 1
+        self.sent_revision = 0  # the newest version that a watch was sent
+        self.watch_count = 0
+        self.paused = False
         super().__init__()
 
-    def line(self) -> bytes:
+    def full_list(self) -> bytes:
         """The whole list."""
         targets = [
             {
@@ -265,100 +267,102 @@
                 "capacity_hint": 1.0,
                 "boot_ms": 0,
             }
-            for r in self.world.runners
+            for r in self.testbed.workers
         ]
-        return json.dumps({"rev": self.rev, "all": True, "targets": targets}).encode() + b"\n"
+        return json.dumps({"rev": self.revision, "all": True, "targets": targets}).encode() + b"\n"
 
     def handle(self, http: _Handler, body: bytes) -> None:
         http.send_response(200)
         http.send_header("Transfer-Encoding", "chunked")
         http.end_headers()
-        self.watches += 1
+        self.watch_count += 1
         sent, heard = 0, 0.0
-        while not self.world.over:
-            if self.mute:
+        while not self.testbed.closed:
+            if self.paused:
                 time.sleep(0.05)
                 continue
-            if sent != self.rev or time.monotonic() - heard > 1.0:
-                data = self.line() if sent != self.rev else b"\n"
-                sent, heard = self.rev, time.monotonic()
+            if sent != self.revision or time.monotonic() - heard > 1.0:
+                data = self.full_list() if sent != self.revision else b"\n"
+                sent, heard = self.revision, time.monotonic()
                 try:
                     http.wfile.write(b"%x\r\n%s\r\n" % (len(data), data))
-                    self.told = sent
+                    self.sent_revision = sent
                 except OSError:
                     break
             time.sleep(0.005)
         http.close_connection = True
 
 
-class World:
+class DispatcherTestbed:
     """Runners, discovery and one dispatcher, which is started as the platform starts it."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.over = False
-        self.orders = Orders()
-        self.runners: list[Runner] = []
-        self.discovery = Discovery(self)
-        self.source: Any = self.discovery
-        self.front: Address = ("127.0.0.1", reserved_port())
-        self.door: Address = ("127.0.0.1", reserved_port())
+        self.closed = False
+        self.job_runs = JobRuns()
+        self.workers: list[WorkerStandIn] = []
+        self.discovery = DiscoveryStandIn(self)
+        self.worker_source: Any = self.discovery
+        self.client_address: Address = ("127.0.0.1", reserved_port())
+        self.admin_address: Address = ("127.0.0.1", reserved_port())
         self.processes: list[subprocess.Popen[bytes]] = []
-        self.known: dict[str, Any] = {}  # the list that a dispatcher holds at its start
-        self.held: socket.socket | None = None  # the clients' listening socket, where the platform holds it
+        self.initial_list: dict[str, Any] = {}  # the list that a dispatcher holds at its start
+        self.shared_socket: socket.socket | None = (
+            None  # the clients' listening socket, where the platform holds it
+        )
 
     @property
     def process(self) -> subprocess.Popen[bytes]:
         """The newest dispatcher."""
         return self.processes[-1]
 
-    def runner(self, uid: str, seconds: float = 0.0) -> Runner:
+    def add_worker(self, uid: str, seconds: float = 0.0) -> WorkerStandIn:
         """Add a job runner."""
-        self.runners.append(Runner(uid, self, seconds))
-        self.discovery.rev += 1
-        return self.runners[-1]
+        self.workers.append(WorkerStandIn(uid, self, seconds))
+        self.discovery.revision += 1
+        return self.workers[-1]
 
-    def set_state(self, runner: Runner, state: str) -> None:
+    def set_state(self, runner: WorkerStandIn, state: str) -> None:
         """Have discovery tell a state."""
         runner.state = state
-        self.discovery.rev += 1
+        self.discovery.revision += 1
 
     def start(self) -> Address:
         """Start the dispatcher; back once it is ready."""
-        config = CONFIG | {"known": self.known}
+        config = PLATFORM_CONFIG | {"known": self.initial_list}
         path = self.folder / "config.json"
         path.write_text(json.dumps(config))
         environ = {
             "RELAY_NAME": "n0",
             "RELAY_CONFIG": str(path),
-            "RELAY_LISTEN": f"127.0.0.1:{self.front[1]}",
+            "RELAY_LISTEN": f"127.0.0.1:{self.client_address[1]}",
             "RELAY_DISCOVERY": f"127.0.0.1:{self.discovery.address[1]}",
-            "RELAY_CONTROL": f"127.0.0.1:{self.door[1]}",
+            "RELAY_CONTROL": f"127.0.0.1:{self.admin_address[1]}",
         }
         self.launch([], environ)
-        return self.front
+        return self.client_address
 
-    def start_shared(self, door: Address | None = None) -> Address:
+    def start_on_shared_socket(self, door: Address | None = None) -> Address:
         """Start a process on the clients' socket, which the platform holds; returns its door.
 
         The first is the dispatcher, each further one an upgrade of it. All share one folder.
         """
-        if self.held is None:
-            self.held = socket.create_server(self.front, backlog=256)
-            (self.folder / "config.json").write_text(json.dumps(CONFIG))
+        if self.shared_socket is None:
+            self.shared_socket = socket.create_server(self.client_address, backlog=256)
+            (self.folder / "config.json").write_text(json.dumps(PLATFORM_CONFIG))
         door = door or ("127.0.0.1", reserved_port())
         environ = {
             "RELAY_NAME": "n0",
             "RELAY_CONFIG": str(self.folder / "config.json"),
             "TMPDIR": str(self.folder),
-            "RELAY_LISTEN": f"127.0.0.1:{self.front[1]}",
-            "RELAY_LISTEN_FD": str(self.held.fileno()),
+            "RELAY_LISTEN": f"127.0.0.1:{self.client_address[1]}",
+            "RELAY_LISTEN_FD": str(self.shared_socket.fileno()),
             "RELAY_DISCOVERY": f"127.0.0.1:{self.discovery.address[1]}",
             "RELAY_CONTROL": f"127.0.0.1:{door[1]}",
         }
         command = [sys.executable, "-m", "grebestack"]
         self.processes.append(
-            subprocess.Popen(command, env=os.environ | environ, pass_fds=[self.held.fileno()])
+            subprocess.Popen(command, env=os.environ | environ, pass_fds=[self.shared_socket.fileno()])
         )
         return door
 
@@ -367,40 +371,40 @@
         command = [sys.executable, "-m", "grebestack", *arguments]
         self.processes.append(subprocess.Popen(command, env=os.environ | environ))
 
-        wait_until(self.ready)
+        wait_until(self.is_ready)
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the newest dispatcher, which must be running, says that it is ready."""
         assert self.process.poll() is None, "the program ended"
         try:
-            return call(self.front, "GET", "/health/ready", b"", {})[0] == 200
+            return send_request(self.client_address, "GET", "/health/ready", b"", {})[0] == 200
         except OSError:
             return False
 
-    def start_appliance(
+    def start_from_operator_file(
         self, source: str = "discovery", settings: str = "", consul_wait: str = ""
     ) -> Address:
         """Start the dispatcher from an operator's file; returns the DRMAA front's address."""
-        if not hasattr(self, "drmaa"):
-            self.drmaa: Address = ("127.0.0.1", reserved_port())
+        if not hasattr(self, "drmaa_address"):
+            self.drmaa_address: Address = ("127.0.0.1", reserved_port())
         path = self.folder / "appliance.toml"
         path.write_text(
             f"""
-listen = "127.0.0.1:{self.front[1]}"
+listen = "127.0.0.1:{self.client_address[1]}"
 [servers]
 source = "{source}"
 service = "job-runner"
-address = "127.0.0.1:{self.source.address[1]}"
+address = "127.0.0.1:{self.worker_source.address[1]}"
 {consul_wait}
 [drmaa]
-listen = "127.0.0.1:{self.drmaa[1]}"
+listen = "127.0.0.1:{self.drmaa_address[1]}"
 store = "jobs.sqlite"
 {settings}
-{APPLIANCE_SETTINGS}
+{OPERATOR_SETTINGS}
 """
         )
         self.launch(["--config", str(path)], {})
-        return self.drmaa
+        return self.drmaa_address
 
     def kill(self) -> None:
         """Have the dispatcher die."""
@@ -421,12 +425,12 @@
 
     def close(self) -> None:
         """End all that was started."""
-        self.over = True
+        self.closed = True
         for process in self.processes:
             if process.poll() is None:
                 process.kill()
             process.wait()
-        if self.held is not None:
-            self.held.close()
-        for stand_in in {self.discovery, self.source, *self.runners}:
+        if self.shared_socket is not None:
+            self.shared_socket.close()
+        for stand_in in {self.discovery, self.worker_source, *self.workers}:
             stand_in.close()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -20,7 +20,7 @@
 from grebestack.program.lifecycle import QUIESCE_DRAIN_MS, QUIESCE_KEEP_MS, ClientHandling, Lifecycle, Stage
 from grebestack.routing.worker_table import WorkerEndpoint, WorkerTable
 from tests.ports import reserved_port
-from tests.standins import World, call, say, wait_until
+from tests.standins import DispatcherTestbed, send_admin_command, send_request, wait_until
 
 LINES = st.sampled_from(
     [
@@ -130,28 +130,33 @@
     assert (lifecycle.stage is Stage.STOPPING) is stopped
 
 
-def test_misbehaving_clients_delay_no_command(world: World) -> None:
-    world.runner("s-1")
-    world.start()
-    admin = world.door
+def test_misbehaving_clients_delay_no_command(testbed: DispatcherTestbed) -> None:
+    testbed.add_worker("s-1")
+    testbed.start()
+    admin = testbed.admin_address
     silent = [socket.create_connection(admin, 30) for _ in range(40)]
     for n, client in enumerate(silent):
         client.sendall((b"cordon s-1", b"", b"x" * 300, os.urandom(8).replace(b"\n", b"") + b"\n")[n % 4])
-    assert say(admin, "health") == "SUCCESS ready\n"
-    assert say(admin, "health\nquiesce\n" + "x" * 100_000).startswith("SUCCESS")
-    assert say(admin, "nonsense\r").startswith("FAILURE unknown call 'nonsense'")
+    assert send_admin_command(admin, "health") == "SUCCESS ready\n"
+    assert send_admin_command(admin, "health\nquiesce\n" + "x" * 100_000).startswith("SUCCESS")
+    assert send_admin_command(admin, "nonsense\r").startswith("FAILURE unknown call 'nonsense'")
     with socket.create_connection(admin, 30) as client:
         client.sendall(b"cordon s-1")
         client.shutdown(socket.SHUT_WR)
         assert client.makefile().read() == "FAILURE the line 'cordon s-1' has no end\n"
     for client in silent:
         client.close()
-    assert call(world.front, "POST", "/api", b"", {"X-Call-Id": "a", "X-Call-Class": "order"})[0] == 200
+    assert (
+        send_request(
+            testbed.client_address, "POST", "/api", b"", {"X-Call-Id": "a", "X-Call-Class": "order"}
+        )[0]
+        == 200
+    )
 
 
-def test_a_command_from_the_command_line(world: World) -> None:
-    world.start()
-    admin = f"127.0.0.1:{world.door[1]}"
+def test_a_command_from_the_command_line(testbed: DispatcherTestbed) -> None:
+    testbed.start()
+    admin = f"127.0.0.1:{testbed.admin_address[1]}"
     for arguments, code, message in (
         ([admin, "health"], 0, "SUCCESS ready"),
         ([admin, "cordon", "nobody"], 1, "FAILURE 'nobody'"),
@@ -163,47 +168,57 @@
         assert (result.returncode, message in result.stdout) == (code, True), result
 
 
-def test_a_cordoned_worker_gets_no_jobs_until_it_is_uncordoned(world: World) -> None:
-    first, second = world.runner("s-1"), world.runner("s-2")
-    dispatcher = world.start()
+def test_a_cordoned_worker_gets_no_jobs_until_it_is_uncordoned(testbed: DispatcherTestbed) -> None:
+    first, second = testbed.add_worker("s-1"), testbed.add_worker("s-2")
+    dispatcher = testbed.start()
     job = {"X-Call-Class": "order", "X-Call-Id": "x"}
-    assert say(world.door, "cordon nobody").startswith("FAILURE 'nobody' was never listed")
+    assert send_admin_command(testbed.admin_address, "cordon nobody").startswith(
+        "FAILURE 'nobody' was never listed"
+    )
     for _ in range(2):
-        assert say(world.door, "cordon s-1") == "SUCCESS s-1 is left out\n"
-    world.set_state(second, "Ready")  # sends the full list again
-    wait_until(lambda: world.discovery.told == world.discovery.rev)
+        assert send_admin_command(testbed.admin_address, "cordon s-1") == "SUCCESS s-1 is left out\n"
+    testbed.set_state(second, "Ready")  # sends the full list again
+    wait_until(lambda: testbed.discovery.sent_revision == testbed.discovery.revision)
     for n in range(6):
-        assert call(dispatcher, "POST", "/api", b"", job | {"X-Call-Id": f"c{n}"})[0] == 200
+        assert send_request(dispatcher, "POST", "/api", b"", job | {"X-Call-Id": f"c{n}"})[0] == 200
     assert (len(first.jobs), len(second.jobs)) == (0, 6)
-    assert say(world.door, "uncordon s-1") == say(world.door, "uncordon s-1") == "SUCCESS s-1 is used again\n"
-    assert say(world.door, "cordon s-2").startswith("SUCCESS")
-    assert call(dispatcher, "POST", "/api", b"", job)[0] == 200 and len(first.jobs) == 1
-
-
-def test_a_quiesced_dispatcher_closes_client_connections_and_can_resume(world: World) -> None:
-    worker = world.runner("s-1", seconds=2.5)
-    dispatcher = world.start()
+    assert (
+        send_admin_command(testbed.admin_address, "uncordon s-1")
+        == send_admin_command(testbed.admin_address, "uncordon s-1")
+        == "SUCCESS s-1 is used again\n"
+    )
+    assert send_admin_command(testbed.admin_address, "cordon s-2").startswith("SUCCESS")
+    assert send_request(dispatcher, "POST", "/api", b"", job)[0] == 200 and len(first.jobs) == 1
+
+
+def test_a_quiesced_dispatcher_closes_client_connections_and_can_resume(testbed: DispatcherTestbed) -> None:
+    worker = testbed.add_worker("s-1", seconds=2.5)
+    dispatcher = testbed.start()
     idle = http.client.HTTPConnection(*dispatcher, timeout=30)
-    worker.seconds, late = 0.0, {"X-Call-Class": "order", "X-Call-Id": "late"}
+    worker.job_seconds, late = 0.0, {"X-Call-Class": "order", "X-Call-Id": "late"}
     idle.request("POST", "/api", b"", late | {"X-Call-Id": "first"})
     idle.getresponse().read()
-    worker.seconds = 2.5
-    busy = world.in_background(lambda: call(dispatcher, "POST", "/api", b"", late | {"X-Call-Id": "busy"}))
+    worker.job_seconds = 2.5
+    busy = testbed.in_background(
+        lambda: send_request(dispatcher, "POST", "/api", b"", late | {"X-Call-Id": "busy"})
+    )
     wait_until(lambda: len(worker.jobs) == 2)
-    assert say(world.door, "quiesce") == "SUCCESS quiesced\n"
-    assert call(dispatcher, "GET", "/health/ready", b"", {})[0] == 503
-    assert say(world.door, "health") == "FAILURE not ready: quiesced\n"
+    assert send_admin_command(testbed.admin_address, "quiesce") == "SUCCESS quiesced\n"
+    assert send_request(dispatcher, "GET", "/health/ready", b"", {})[0] == 503
+    assert send_admin_command(testbed.admin_address, "health") == "FAILURE not ready: quiesced\n"
     assert idle.sock.recv(1) == b""  # closed by the dispatcher
-    wait_until(lambda: call(dispatcher, "POST", "/api", b"", late | {"X-Call-Class": "none"})[0] == 400)
+    wait_until(
+        lambda: send_request(dispatcher, "POST", "/api", b"", late | {"X-Call-Class": "none"})[0] == 400
+    )
     started_s = time.monotonic()
-    while (response := call(dispatcher, "POST", "/api", b"", late | {"X-Budget": "0.05"}))[0] != 503 or (
-        "retry-after" not in response[1]
-    ):
+    while (response := send_request(dispatcher, "POST", "/api", b"", late | {"X-Budget": "0.05"}))[
+        0
+    ] != 503 or ("retry-after" not in response[1]):
         assert time.monotonic() < started_s + 20
     assert busy()[0] == 200
-    assert say(world.door, "resume") == "SUCCESS serving\n"
-    assert call(dispatcher, "GET", "/health/ready", b"", {})[0] == 200
-    worker.seconds = 0.0
+    assert send_admin_command(testbed.admin_address, "resume") == "SUCCESS serving\n"
+    assert send_request(dispatcher, "GET", "/health/ready", b"", {})[0] == 200
+    worker.job_seconds = 0.0
     idle.close()
     idle.request("POST", "/api", b"", late | {"X-Call-Id": "again"})
     assert idle.getresponse().read() == b"result of again"
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -25,7 +25,7 @@
 from grebestack.program.config.errors import ConfigError
 from grebestack.program.config.operator_file import from_file
 from tests.dispatcher_group import DispatcherGroup
-from tests.standins import APPLIANCE_SETTINGS, wait_until
+from tests.standins import OPERATOR_SETTINGS, wait_until
 
 
 class MemoryDisk:
@@ -215,7 +215,7 @@
         ("clock_off_ms = -1", "clock_off_ms"),
     ):
         head = f"name = 'n0'\nlisten = '127.0.0.1:1'\n[audit]\n{line}\n"
-        path.write_text(head + "[servers]\naddress = '127.0.0.1:2'\n" + APPLIANCE_SETTINGS)
+        path.write_text(head + "[servers]\naddress = '127.0.0.1:2'\n" + OPERATOR_SETTINGS)
         with pytest.raises(ConfigError, match=message):
             from_file(str(path))
 
@@ -233,7 +233,7 @@
         )
         return path
 
-    extra, code = APPLIANCE_SETTINGS, ""
+    extra, code = OPERATOR_SETTINGS, ""
 
     def command(self, name: str) -> list[str]:
         start = ["-c", self.code] if self.code else ["-m", "grebestack"]
@@ -247,7 +247,7 @@
             group.start(name)
         group.send_traffic(0.02)
         wait_until(lambda: all(group.is_serving(name) for name in group.names))
-        group.extra = APPLIANCE_SETTINGS.replace("aimMs = 400.0", "aimMs = 300.0")
+        group.extra = OPERATOR_SETTINGS.replace("aimMs = 400.0", "aimMs = 300.0")
         for name in ("n0", "n1"):  # n2 is not reloaded and stays behind
             group.write_config(name)
             group.processes[name].send_signal(signal.SIGHUP)
--- a/tests/test_cluster_tasks.py
+++ b/tests/test_cluster_tasks.py
@@ -39,7 +39,7 @@
 )
 from grebestack.consensus.messages import RestartPlan
 from tests.cluster import Cluster
-from tests.standins import Discovery, Runner, World, say, wait_until
+from tests.standins import DiscoveryStandIn, DispatcherTestbed, WorkerStandIn, send_admin_command, wait_until
 
 # Shared discovery.
 
@@ -281,27 +281,27 @@
 
 
 @pytest.fixture
-def discovery(tmp_path: Path) -> Iterator[Discovery]:
-    world = World(tmp_path)
-    runner = Runner("r1", world)
-    world.runners.append(runner)
-    yield world.discovery
-    world.over = True
+def discovery(tmp_path: Path) -> Iterator[DiscoveryStandIn]:
+    testbed = DispatcherTestbed(tmp_path)
+    runner = WorkerStandIn("r1", testbed)
+    testbed.workers.append(runner)
+    yield testbed.discovery
+    testbed.closed = True
     runner.close()
-    world.discovery.close()
+    testbed.discovery.close()
 
 
 def reading_states(cluster: Cluster) -> dict[str, str]:
     states = dict.fromkeys(cluster.names, "False")  # a member that follows from the start logs no event
     for name in cluster.names:
-        for line in cluster.lines(name):
+        for line in cluster.log_events(name):
             if line.get("event") == "fleet_reading":
                 states[name] = line["reads"]
     return states
 
 
 def test_one_process_reads_discovery_for_all_and_another_takes_over_when_it_fails(
-    tmp_path: Path, discovery: Discovery
+    tmp_path: Path, discovery: DiscoveryStandIn
 ) -> None:
     (tmp_path / "cluster").mkdir()
     cluster = Cluster(
@@ -317,7 +317,10 @@
 
     def all_logged(state: str, excluded: str = "") -> bool:
         return all(
-            any(line.get("event") == "member" and line.get("now") == state for line in cluster.lines(name))
+            any(
+                line.get("event") == "member" and line.get("now") == state
+                for line in cluster.log_events(name)
+            )
             for name in cluster.names
             if name != excluded
         )
@@ -326,18 +329,18 @@
         for name in cluster.names:
             cluster.start(name)
         wait_until(one_member_reads, 60)
-        discovery.world.set_state(discovery.world.runners[0], "Terminating")
+        discovery.testbed.set_state(discovery.testbed.workers[0], "Terminating")
         wait_until(lambda: all_logged("draining"), 60)
         reader = next(name for name, on in reading_states(cluster).items() if on == "True")
         cluster.signal(reader, signal.SIGKILL)
-        discovery.world.runners.append(Runner("r2", discovery.world))
-        discovery.world.set_state(discovery.world.runners[0], "Ready")
+        discovery.testbed.workers.append(WorkerStandIn("r2", discovery.testbed))
+        discovery.testbed.set_state(discovery.testbed.workers[0], "Ready")
         wait_until(lambda: all_logged("ready", reader), 60)
         remaining = [name for name in cluster.names if name != reader]
         wait_until(
             lambda: sorted(reading_states(cluster)[name] for name in remaining) == ["False", "True"], 60
         )
-        assert cluster.history().wrong() == []
+        assert cluster.history().violations() == []
     finally:
         cluster.close()
 
@@ -358,7 +361,7 @@
 
     def is_ready(name: str) -> bool:
         try:
-            return say(cluster.members[name].door, "health").startswith("SUCCESS")
+            return send_admin_command(cluster.members[name].admin_address, "health").startswith("SUCCESS")
         except OSError:
             return False
 
@@ -366,13 +369,15 @@
         for name in cluster.names:
             cluster.start(name)
         wait_until(lambda: all(is_ready(name) for name in cluster.names), 60)
-        wait_until(lambda: cluster.shown("m0", "restart").startswith("SUCCESS restart 1 by m0 goes on"), 60)
+        wait_until(
+            lambda: cluster.admin_output("m0", "restart").startswith("SUCCESS restart 1 by m0 goes on"), 60
+        )
         until = time.monotonic() + 90.0
-        while "restart 1 by m0 done: 3 of 3" not in cluster.shown("m0", "leases"):
+        while "restart 1 by m0 done: 3 of 3" not in cluster.admin_output("m0", "leases"):
             supervise()
-            assert time.monotonic() < until, [cluster.shown(n, "leases") for n in cluster.names]
+            assert time.monotonic() < until, [cluster.admin_output(n, "leases") for n in cluster.names]
             time.sleep(0.05)
         assert restarted == set(cluster.names) and max_down == 1
-        assert cluster.history().wrong() == []
+        assert cluster.history().violations() == []
     finally:
         cluster.close()
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.standins import Runner, StandIn, World, call, wait_until
+from tests.standins import DispatcherTestbed, StandIn, WorkerStandIn, send_request, wait_until
 from tests.test_console import console
 from tests.test_drmaa import Client
 
@@ -19,8 +19,8 @@
 class Consul(StandIn):
     """A Consul agent that answers blocking queries for one service, by the health and the catalogue API."""
 
-    def __init__(self, world: World) -> None:
-        self.world, self.index = world, 7
+    def __init__(self, testbed: DispatcherTestbed) -> None:
+        self.testbed, self.index = testbed, 7
         self.status: dict[str, str] = {}  # of each worker's check; "passing" by default
         self.unresponsive = self.truncates = False
         self.forbidden = self.stopped = False
@@ -38,7 +38,7 @@
         self.stopped = True
         self.close()
 
-    def instance(self, runner: Runner, is_health: bool) -> dict[str, Any]:
+    def instance(self, runner: WorkerStandIn, is_health: bool) -> dict[str, Any]:
         host, port = runner.address
         if not is_health:
             return {
@@ -71,140 +71,146 @@
             index = int(query.get("index", ["0"])[0])
             while self.unresponsive or (index == self.index and time.monotonic() < until):
                 self.changed.wait(0.05)
-                if self.world.over or self.stopped:
+                if self.testbed.closed or self.stopped:
                     http.close_connection = True
                     return
-        instances = [self.instance(runner, is_health) for runner in self.world.runners]
+        instances = [self.instance(runner, is_health) for runner in self.testbed.workers]
         data = json.dumps(instances).encode()
         http.reply(200, data[:-7] if self.truncates else data, X_Consul_Index=str(self.index))
 
 
 @pytest.fixture
-def consul(world: World) -> Consul:
-    world.source = agent = Consul(world)
+def consul(testbed: DispatcherTestbed) -> Consul:
+    testbed.worker_source = agent = Consul(testbed)
     return agent
 
 
-def worker_states(world: World) -> dict[str, str]:
-    status, _, text = call(world.drmaa, "GET", "/console/servers", b"", {})
+def worker_states(testbed: DispatcherTestbed) -> dict[str, str]:
+    status, _, text = send_request(testbed.drmaa_address, "GET", "/console/servers", b"", {})
     assert status == 200
     return {row["server"]: row["state"] for row in json.loads(text)}
 
 
-def test_jobs_go_to_instances_that_pass_their_checks(world: World, consul: Consul) -> None:
-    good, bad = world.runner("s-1"), world.runner("s-2")
+def test_jobs_go_to_instances_that_pass_their_checks(testbed: DispatcherTestbed, consul: Consul) -> None:
+    good, bad = testbed.add_worker("s-1"), testbed.add_worker("s-2")
     consul.status["s-2"] = "critical"
-    world.start_appliance("consul")
-    client = Client(world)
+    testbed.start_from_operator_file("consul")
+    client = Client(testbed)
     assert client.wait(client.run("k1"))[1]["jobState"] == "DONE"
     assert (len(good.jobs), len(bad.jobs)) == (1, 0)
     # A worker that turns critical gets no new work; one whose checks pass again does.
     consul.status = {"s-1": "critical"}
     consul.change()
-    wait_until(lambda: worker_states(world) == {"s-1": "critical", "s-2": "ready"})
-    rows = {row["server"]: row for row in json.loads(console(world, "--json", "servers").stdout)}
+    wait_until(lambda: worker_states(testbed) == {"s-1": "critical", "s-2": "ready"})
+    rows = {row["server"]: row for row in json.loads(console(testbed, "--json", "servers").stdout)}
     assert "check c is critical" in rows["s-1"]["reason"]
     assert client.wait(client.run("k2"))[1]["allocatedMachines"] == ["s-2"]
 
 
-def test_an_index_that_goes_back_is_used_for_the_next_query(world: World, consul: Consul) -> None:
-    world.runner("s-1")
-    world.start_appliance("consul")
+def test_an_index_that_goes_back_is_used_for_the_next_query(
+    testbed: DispatcherTestbed, consul: Consul
+) -> None:
+    testbed.add_worker("s-1")
+    testbed.start_from_operator_file("consul")
     wait_until(lambda: any("index" in query for query in consul.queries))
     consul.status["s-1"] = "critical"
     consul.change(index=3)
-    wait_until(lambda: worker_states(world) == {"s-1": "critical"})
+    wait_until(lambda: worker_states(testbed) == {"s-1": "critical"})
     wait_until(lambda: any(query.get("index") == ["3"] for query in consul.queries))
 
 
 def test_missing_and_truncated_responses_leave_the_worker_table_unchanged(
-    world: World, consul: Consul, tmp_path: Path
+    testbed: DispatcherTestbed, consul: Consul, tmp_path: Path
 ) -> None:
     # While Consul fails, its workers must not be taken for gone.
-    world.runner("s-1")
-    world.start_appliance("consul", consul_wait="wait_s = 0.2")
-    wait_until(lambda: worker_states(world) == {"s-1": "ready"})
+    testbed.add_worker("s-1")
+    testbed.start_from_operator_file("consul", consul_wait="wait_s = 0.2")
+    wait_until(lambda: worker_states(testbed) == {"s-1": "ready"})
     consul.truncates = True
     consul.change()
     wait_until(lambda: len(consul.queries) > 3)
-    assert worker_states(world) == {"s-1": "ready"}
+    assert worker_states(testbed) == {"s-1": "ready"}
     consul.truncates, consul.unresponsive = False, True
     before = len(consul.queries)
     wait_until(lambda: len(consul.queries) > before + 1, 40)  # another query came, on another connection
-    assert worker_states(world) == {"s-1": "ready"}
-    world.runners.clear()
+    assert worker_states(testbed) == {"s-1": "ready"}
+    testbed.workers.clear()
     consul.unresponsive = False
     consul.change()
     # An empty list may come from a faulty catalogue: it is held back until the operator accepts it.
-    wait_until(lambda: worker_states(world) == {"s-1": "suspect"}, 40)
-    shown = json.loads(console(world, "--json", "membership").stdout)
+    wait_until(lambda: worker_states(testbed) == {"s-1": "suspect"}, 40)
+    shown = json.loads(console(testbed, "--json", "membership").stdout)
     (source,) = shown["sources"]
     assert source["held_back"] == ["s-1"] and "held back" in shown["servers"][0]["reason"]
-    assert console(world, "accept", "nobody").returncode == 1
-    assert console(world, "accept", source["source"]).returncode == 0
-    assert worker_states(world) == {}
+    assert console(testbed, "accept", "nobody").returncode == 1
+    assert console(testbed, "accept", source["source"]).returncode == 0
+    assert worker_states(testbed) == {}
 
 
-def test_the_catalogue_is_queried_if_the_health_api_is_forbidden(world: World, consul: Consul) -> None:
+def test_the_catalogue_is_queried_if_the_health_api_is_forbidden(
+    testbed: DispatcherTestbed, consul: Consul
+) -> None:
     consul.forbidden = True
-    world.runner("s-1")
-    world.start_appliance("consul")
-    wait_until(lambda: worker_states(world) == {"s-1": "ready"})
-    client = Client(world)
+    testbed.add_worker("s-1")
+    testbed.start_from_operator_file("consul")
+    wait_until(lambda: worker_states(testbed) == {"s-1": "ready"})
+    client = Client(testbed)
     assert client.wait(client.run("k1"))[1]["jobState"] == "DONE"
 
 
 def test_another_agent_is_queried_and_the_last_list_is_used_after_a_restart_without_any(
-    world: World, consul: Consul
+    testbed: DispatcherTestbed, consul: Consul
 ) -> None:
-    runner = world.runner("s-1", seconds=0.05)
-    second = Consul(world)
+    runner = testbed.add_worker("s-1", seconds=0.05)
+    second = Consul(testbed)
     more = f"""addresses = ["127.0.0.1:{consul.address[1]}", "127.0.0.1:{second.address[1]}"]
 snapshot = "servers.json"
 wait_s = 0.5"""
-    world.start_appliance("consul", consul_wait=more)
-    client = Client(world)
+    testbed.start_from_operator_file("consul", consul_wait=more)
+    client = Client(testbed)
     assert client.wait(client.run("k1"))[1]["jobState"] == "DONE"
-    wait_until(lambda: (world.folder / "servers.json").exists())
+    wait_until(lambda: (testbed.folder / "servers.json").exists())
     assert not second.queries
     second.index = 9
     consul.kill()
     wait_until(lambda: bool(second.queries), 40)
     second.status["s-1"] = "critical"
     second.change()
-    wait_until(lambda: worker_states(world) == {"s-1": "critical"}, 40)
+    wait_until(lambda: worker_states(testbed) == {"s-1": "critical"}, 40)
     second.status.clear()
     second.change()
-    wait_until(lambda: worker_states(world) == {"s-1": "ready"}, 40)
+    wait_until(lambda: worker_states(testbed) == {"s-1": "ready"}, 40)
     second.kill()
-    world.kill()
-    world.start_appliance("consul", consul_wait=more)
-    assert worker_states(world) == {"s-1": "suspect"}
-    shown = console(world, "membership").stdout
+    testbed.kill()
+    testbed.start_from_operator_file("consul", consul_wait=more)
+    assert worker_states(testbed) == {"s-1": "suspect"}
+    shown = console(testbed, "membership").stdout
     assert "its cached report is used" in shown
     assert client.wait(client.run("k2"))[1]["jobState"] == "DONE"
     assert len(runner.jobs) == 2
     # A damaged snapshot is refused.
-    world.kill()
-    (world.folder / "servers.json").write_text("{")
-    world.start_appliance("consul", consul_wait=more)
-    assert worker_states(world) == {}
+    testbed.kill()
+    (testbed.folder / "servers.json").write_text("{")
+    testbed.start_from_operator_file("consul", consul_wait=more)
+    assert worker_states(testbed) == {}
 
 
-def test_a_critical_worker_finishes_its_jobs_and_gets_no_more(world: World, consul: Consul) -> None:
-    slow, other = world.runner("s-1", seconds=1.5), world.runner("s-2", seconds=0.05)
+def test_a_critical_worker_finishes_its_jobs_and_gets_no_more(
+    testbed: DispatcherTestbed, consul: Consul
+) -> None:
+    slow, other = testbed.add_worker("s-1", seconds=1.5), testbed.add_worker("s-2", seconds=0.05)
     consul.status["s-2"] = "critical"
-    world.start_appliance("consul")
-    client = Client(world)
+    testbed.start_from_operator_file("consul")
+    client = Client(testbed)
     first_jobs = [client.run(f"h{n}") for n in range(1)]
     wait_until(lambda: len(slow.jobs) == 1)
     consul.status = {"s-1": "critical"}
     consul.change()
-    wait_until(lambda: worker_states(world) == {"s-1": "critical", "s-2": "ready"})
+    wait_until(lambda: worker_states(testbed) == {"s-1": "critical", "s-2": "ready"})
     later_jobs = [client.run(f"l{n}") for n in range(5)]
     assert {client.wait(job)[1]["allocatedMachines"][0] for job in later_jobs} == {"s-2"}
     assert client.wait(first_jobs[0])[1]["allocatedMachines"] == ["s-1"]
-    assert len(slow.jobs) == 1 and set(world.orders.runs.values()) == {1}
+    assert len(slow.jobs) == 1 and set(testbed.job_runs.counts.values()) == {1}
     assert len(other.jobs) == 5
 
 
@@ -220,8 +226,8 @@
     ],
 )
 def test_an_invalid_value_in_the_file_is_named_with_what_is_allowed(
-    world: World, consul: Consul, line: str, message: str, capfd: pytest.CaptureFixture[str]
+    testbed: DispatcherTestbed, consul: Consul, line: str, message: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(AssertionError, match="the program ended"):
-        world.start_appliance("consul", consul_wait=line)
+        testbed.start_from_operator_file("consul", consul_wait=line)
     assert message in capfd.readouterr().err
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -1,6 +1,6 @@
 """Every field of the settings and of the worker list that decisions depend on is read from its own value.
 
-Unlike `standins.OPTIONS`, this deployment has no load reports, but reported starts, priorities and tenants.
+Unlike `standins.SETTINGS`, this deployment has no load reports, but reported starts, priorities and tenants.
 """
 
 from __future__ import annotations
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.standins import World, call, wait_until
+from tests.standins import DispatcherTestbed, send_request, wait_until
 
 ORDER = {"jobCategory": "order", "args": ["500 l"]}
 
@@ -20,14 +20,16 @@
 class Client:
     """A client that submits jobs and polls their state."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, testbed: DispatcherTestbed) -> None:
+        self.testbed = testbed
         self.headers: dict[str, str] = {}
 
     def request(self, method: str, path: str, body: Any = None, **headers: str) -> tuple[int, Any]:
         data = b"" if body is None else json.dumps(body).encode()
         sent = {name.replace("_", "-"): value for name, value in headers.items()}
-        status, self.headers, text = call(self.world.drmaa, method, f"/drmaa2/jobs{path}", data, sent)
+        status, self.headers, text = send_request(
+            self.testbed.drmaa_address, method, f"/drmaa2/jobs{path}", data, sent
+        )
         return status, json.loads(text) if text else None
 
     def run(self, key: str, template: Any = ORDER) -> str:
@@ -45,13 +47,13 @@
 
 
 @pytest.fixture
-def client(world: World) -> Client:
-    return Client(world)
+def client(testbed: DispatcherTestbed) -> Client:
+    return Client(testbed)
 
 
-def test_a_job_runs_once_and_its_key_returns_the_same_job(world: World, client: Client) -> None:
-    worker = world.runner("s-1", seconds=0.2)
-    world.start_appliance()
+def test_a_job_runs_once_and_its_key_returns_the_same_job(testbed: DispatcherTestbed, client: Client) -> None:
+    worker = testbed.add_worker("s-1", seconds=0.2)
+    testbed.start_from_operator_file()
     job = client.run("k1")
     assert client.run("k1") == job  # as if the first response had been lost
     status, info = client.wait(job)
@@ -81,24 +83,24 @@
     ],
 )
 def test_errors_have_the_names_of_the_specification(
-    world: World, client: Client, method: str, path: str, body: Any, status: int, error: str
+    testbed: DispatcherTestbed, client: Client, method: str, path: str, body: Any, status: int, error: str
 ) -> None:
-    if not world.processes:
-        world.start_appliance()
+    if not testbed.processes:
+        testbed.start_from_operator_file()
     response = client.request(method, path, body, Idempotency_Key="k")
     assert (response[0], response[1]["error"]) == (status, error)
 
 
-def test_a_submission_without_a_key_is_rejected(world: World, client: Client) -> None:
+def test_a_submission_without_a_key_is_rejected(testbed: DispatcherTestbed, client: Client) -> None:
     # Guards against a second job from a resubmission after a lost response.
-    world.start_appliance()
+    testbed.start_from_operator_file()
     assert client.request("POST", "", ORDER)[1]["error"] == "INVALID_ARGUMENT"
 
 
 def test_a_wait_ends_at_its_timeout_and_a_job_without_a_worker_at_its_deadline(
-    world: World, client: Client
+    testbed: DispatcherTestbed, client: Client
 ) -> None:
-    world.start_appliance()
+    testbed.start_from_operator_file()
     job = client.run("k1")
     assert client.state(job) == "QUEUED"
     assert client.wait(job, 0)[1]["error"] == "TIMEOUT"
@@ -108,28 +110,32 @@
     assert "retryAfter" in info["implementationSpecific"]
 
 
-def test_submissions_beyond_the_operators_limit_are_rejected(world: World, client: Client) -> None:
-    world.start_appliance(settings="most_open = 1")
+def test_submissions_beyond_the_operators_limit_are_rejected(
+    testbed: DispatcherTestbed, client: Client
+) -> None:
+    testbed.start_from_operator_file(settings="most_open = 1")
     client.run("k1")
     status, answer = client.request("POST", "", ORDER, Idempotency_Key="k2")
     assert (status, answer["error"], int(client.headers["retry-after"]) >= 1) == (503, "TRY_LATER", True)
 
 
-def test_a_cancel_before_the_first_attempt_ends_the_job_at_once(world: World, client: Client) -> None:
-    world.start_appliance()
+def test_a_cancel_before_the_first_attempt_ends_the_job_at_once(
+    testbed: DispatcherTestbed, client: Client
+) -> None:
+    testbed.start_from_operator_file()
     job = client.run("k1")
     assert client.request("POST", f"/{job}/terminate")[0] == 202
     assert client.state(job) == "FAILED"
-    worker = world.runner("s-1")
+    worker = testbed.add_worker("s-1")
     assert "not run" in client.wait(job)[1]["annotation"]
     assert not worker.jobs
 
 
 @pytest.mark.parametrize("confirms", [True, False])
-def test_a_cancel_while_the_job_runs(world: World, client: Client, confirms: bool) -> None:
-    worker = world.runner("s-1", seconds=2.5)
-    worker.confirms = confirms
-    world.start_appliance()
+def test_a_cancel_while_the_job_runs(testbed: DispatcherTestbed, client: Client, confirms: bool) -> None:
+    worker = testbed.add_worker("s-1", seconds=2.5)
+    worker.confirms_cancel = confirms
+    testbed.start_from_operator_file()
     job = client.run("k1")
     wait_until(lambda: client.state(job) == "RUNNING" and len(worker.jobs) == 1)
     assert client.request("POST", f"/{job}/terminate")[0] == 202
@@ -145,13 +151,15 @@
     assert len(worker.jobs) == 1
 
 
-def test_a_job_is_known_after_a_kill_and_its_call_back_ends_it(world: World, client: Client) -> None:
-    worker = world.runner("s-1", seconds=1.5)
-    world.start_appliance()
+def test_a_job_is_known_after_a_kill_and_its_call_back_ends_it(
+    testbed: DispatcherTestbed, client: Client
+) -> None:
+    worker = testbed.add_worker("s-1", seconds=1.5)
+    testbed.start_from_operator_file()
     job = client.run("k1")
     wait_until(lambda: len(worker.jobs) == 1)
-    world.kill()
-    world.start_appliance()
+    testbed.kill()
+    testbed.start_from_operator_file()
     assert client.state(job) in ("UNDETERMINED", "DONE")
     assert client.run("k1") == job
     assert client.wait(job)[1]["jobState"] == "DONE"
@@ -159,35 +167,37 @@
 
 
 def test_a_job_that_may_have_run_is_never_sent_again_and_fails_at_its_deadline(
-    world: World, client: Client
+    testbed: DispatcherTestbed, client: Client
 ) -> None:
-    worker = world.runner("s-1")
-    worker.mute = True
-    world.start_appliance()
+    worker = testbed.add_worker("s-1")
+    worker.skips_callbacks = True
+    testbed.start_from_operator_file()
     job = client.run("k1")
     wait_until(lambda: len(worker.jobs) == 1)
-    world.kill()
-    world.start_appliance()
+    testbed.kill()
+    testbed.start_from_operator_file()
     info = client.wait(job)[1]
     assert info["jobState"] == "FAILED" and "perhaps run" in info["annotation"]
     assert len(worker.jobs) == 1
 
 
-def test_a_job_that_was_never_sent_runs_after_a_restart(world: World, client: Client) -> None:
-    world.start_appliance()
+def test_a_job_that_was_never_sent_runs_after_a_restart(testbed: DispatcherTestbed, client: Client) -> None:
+    testbed.start_from_operator_file()
     job = client.run("k1")
-    world.kill()
-    worker = world.runner("s-1")
-    world.start_appliance()
+    testbed.kill()
+    worker = testbed.add_worker("s-1")
+    testbed.start_from_operator_file()
     assert client.wait(job)[1]["jobState"] == "DONE"
     assert len(worker.jobs) == 1
 
 
-def test_a_second_dispatcher_on_the_same_store_ends_at_once(world: World, client: Client) -> None:
+def test_a_second_dispatcher_on_the_same_store_ends_at_once(
+    testbed: DispatcherTestbed, client: Client
+) -> None:
     # Guards against a second process that would restore, and run, the first one's jobs.
-    world.start_appliance()
+    testbed.start_from_operator_file()
     second = subprocess.run(
-        [sys.executable, "-m", "grebestack", "--config", str(world.folder / "appliance.toml")],
+        [sys.executable, "-m", "grebestack", "--config", str(testbed.folder / "appliance.toml")],
         capture_output=True,
         text=True,
         timeout=60,
@@ -205,13 +215,13 @@
     return {job: client.wait(job)[1]["jobState"] for job in jobs}
 
 
-def faults(world: World, client: Client, jobs: list[str]) -> list[Callable[[], None]]:
+def faults(testbed: DispatcherTestbed, client: Client, jobs: list[str]) -> list[Callable[[], None]]:
     """Return what disturbs running jobs: cancels, a drain, a planned restart and a kill."""
 
     def restart(number: int) -> None:
-        world.process.send_signal(number)
-        world.process.wait(30)
-        world.start_appliance()
+        testbed.process.send_signal(number)
+        testbed.process.wait(30)
+        testbed.start_from_operator_file()
 
     def cancel() -> None:
         for job in jobs[::3]:
@@ -219,20 +229,20 @@
 
     return [
         cancel,
-        lambda: world.set_state(world.runners[0], "Terminating"),
+        lambda: testbed.set_state(testbed.workers[0], "Terminating"),
         lambda: restart(signal.SIGKILL),
         cancel,
         lambda: restart(signal.SIGTERM),
     ]
 
 
-def test_every_job_ends_in_one_state_and_none_runs_twice(world: World, client: Client) -> None:
+def test_every_job_ends_in_one_state_and_none_runs_twice(testbed: DispatcherTestbed, client: Client) -> None:
     for n in range(3):
-        world.runner(f"s-{n}", seconds=0.3).confirms = n == 1
-    world.runners[2].status = 503  # rejects whatever it is sent
-    world.start_appliance()
+        testbed.add_worker(f"s-{n}", seconds=0.3).confirms_cancel = n == 1
+    testbed.workers[2].status = 503  # rejects whatever it is sent
+    testbed.start_from_operator_file()
     jobs: list[str] = []
-    for step in faults(world, client, jobs):
+    for step in faults(testbed, client, jobs):
         jobs += [client.run(f"key-{len(jobs) + n}") for n in range(6)]
         new_jobs = jobs[-6:]
         wait_until(partial(any_started, client, new_jobs))
@@ -241,10 +251,10 @@
     states = final_states(client, jobs)
     assert set(states.values()) <= {"DONE", "FAILED"}
     assert "DONE" in states.values()
-    assert max(world.orders.runs.values()) == 1
-    run_ids = [j.headers["x-call-id"] for r in world.runners[:2] for j in r.jobs]
+    assert max(testbed.job_runs.counts.values()) == 1
+    run_ids = [j.headers["x-call-id"] for r in testbed.workers[:2] for j in r.jobs]
     assert len(run_ids) == len(set(run_ids))  # no job was run twice
     for job, state in states.items():  # a final state stays
-        for worker in world.runners:
+        for worker in testbed.workers:
             worker.call_back(job, state="done", result="late")
         assert client.state(job) == state
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -35,8 +35,8 @@
 from grebestack.program.config.model import Config
 from grebestack.program.config.operator_file import from_file
 from grebestack.program.config_updates import AppliedConfig, read_contents
-from tests.follower_cluster import contents
-from tests.standins import APPLIANCE_SETTINGS
+from tests.follower_cluster import config_contents
+from tests.standins import OPERATOR_SETTINGS
 
 PLACE = "r0/z0"
 
@@ -224,7 +224,7 @@
     asyncio.run(run())
 
 
-ONE, TWO, THREE = contents(5), contents(6), contents(7)
+ONE, TWO, THREE = config_contents(5), config_contents(6), config_contents(7)
 
 
 def test_a_version_is_pushed_whole_and_the_next_one_by_difference() -> None:
@@ -372,7 +372,7 @@
 
 def load(tmp_path: Path, fleet: str) -> Config:
     path = tmp_path / "a.toml"
-    path.write_text(f"{HEAD}{fleet}{APPLIANCE_SETTINGS}")
+    path.write_text(f"{HEAD}{fleet}{OPERATOR_SETTINGS}")
     return from_file(str(path))
 
 
@@ -475,7 +475,7 @@
         and len(applied.dispatcher.config.worker_source.entries) == 1
     )
     (tmp_path / "a.toml").write_text(
-        f'sockets = 2000\n{HEAD}[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}{APPLIANCE_SETTINGS}'
+        f'sockets = 2000\n{HEAD}[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}{OPERATOR_SETTINGS}'
     )
     again = applied.reread()
     assert again.max_sockets == 2000 and again.options["limits"]["mostTries"] == 6
@@ -493,9 +493,12 @@
         (b"", "no section; allowed are settings, servers"),
         (b'name = "b"\n', "unknown key 'name'; allowed are the sections settings, servers"),
         (b"[settings]\n", "lacks"),
-        (contents(5).replace(b'"Ready"', b'"Redy"'), "[servers] list[0]: state must be one of"),
-        (contents(5).replace(b'"127.0.0.1:9"', b'"nowhere"'), "[servers] list[0]:"),
-        (contents(5, zones='["here", "there"]'), "settings.zones is ['here', 'there'], which can't change"),
+        (config_contents(5).replace(b'"Ready"', b'"Redy"'), "[servers] list[0]: state must be one of"),
+        (config_contents(5).replace(b'"127.0.0.1:9"', b'"nowhere"'), "[servers] list[0]:"),
+        (
+            config_contents(5, zones='["here", "there"]'),
+            "settings.zones is ['here', 'there'], which can't change",
+        ),
         (b'[servers]\nsource = "dns"\n', "[servers] has the unknown source 'dns'"),
     ],
 )
@@ -515,9 +518,9 @@
     applied = applied_config(tmp_path, waits=("zones",))
     path, wider = tmp_path / "a.toml", 'zones = ["here", "there"]'
     path.write_text(path.read_text().replace('zones = ["here"]', wider))
-    assert "zones" in applied.apply(version(1, TWO), contents(6, zones='["here", "there"]'))
+    assert "zones" in applied.apply(version(1, TWO), config_contents(6, zones='["here", "there"]'))
     applied.reread()  # as SIGHUP does: it is known from now on that zones wait
-    assert applied.apply(version(2, TWO), contents(6, zones='["here", "there"]')) == ""
+    assert applied.apply(version(2, TWO), config_contents(6, zones='["here", "there"]')) == ""
 
 
 def test_what_the_dispatcher_can_not_put_in_force_is_not_laid_over_the_file_either(tmp_path: Path) -> None:
--- a/tests/test_golden_fields.py
+++ b/tests/test_golden_fields.py
@@ -4,14 +4,14 @@
 
 from typing import Any
 
-from tests.golden_samples import BATCHES, CODECS, load
+from tests.golden_samples import AUDIT_BATCHES, CODECS, load_golden
 
 MESSAGES = "messages.json"
 
 
 def decoded(group: str, name: str) -> Any:
     """A golden message as the code reads it."""
-    return CODECS[group].decode(bytes.fromhex(load(MESSAGES)[group][name]))
+    return CODECS[group].decode(bytes.fromhex(load_golden(MESSAGES)[group][name]))
 
 
 def test_places_in_what_registers_hold() -> None:
@@ -100,7 +100,7 @@
 
 
 def test_places_in_the_record_of_acts() -> None:
-    assert set(load(MESSAGES)["audit"]) == set(BATCHES)
+    assert set(load_golden(MESSAGES)["audit"]) == set(AUDIT_BATCHES)
     (head,) = decoded("audit", "head")
     assert (head.version, head.segment, head.stamp) == (1, 12, 3)
     assert (head.dispatcher, head.life, head.at_ms, head.off_ms) == ("d-1", "f00d", 1000.5, 100.25)
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -20,30 +20,30 @@
     BANS,
     BATCH,
     CONTENTS,
+    INCARNATION,
     JOBS,
-    LIFE,
     LISTS,
     OLD_CONTENTS,
     OLD_VERSION,
     VERSION,
     all_databases,
     all_files,
-    fill,
+    fill_store,
 )
-from tests.golden_samples import RECORDS, encoded_record, load
+from tests.golden_samples import RECORDS, encode_record_sample, load_golden
 
 FILES, DATABASES = "files.json", "databases.json"
 
 
 def write_golden(folder: Path, kind: str, state: str = "") -> None:
     """Lay golden files into a folder."""
-    files = load(FILES)[kind]
+    files = load_golden(FILES)[kind]
     for name, digits in (files[state] if state else files).items():
         (folder / name).write_bytes(bytes.fromhex(digits))
 
 
 def test_all_files_have_the_bytes_of_the_golden_file() -> None:
-    actual, golden = all_files(), load(FILES)
+    actual, golden = all_files(), load_golden(FILES)
     assert set(actual) == set(golden)
     for kind in sorted(golden):
         assert actual[kind] == golden[kind], kind
@@ -57,7 +57,7 @@
     held = store.open()
     store.close()
     loop.close()
-    payloads = tuple(encoded_record(record) for record in RECORDS.values())
+    payloads = tuple(encode_record_sample(record) for record in RECORDS.values())
     expected = {"founded": payloads[:2], "one more record": payloads[:3], "begun anew": payloads[3:]}
     assert held.fault == ""
     assert held.payloads == expected[state]
@@ -73,12 +73,12 @@
     assert held.doubts == ()
     assert held.versions == ((OLD_VERSION, OLD_CONTENTS), (VERSION, CONTENTS))
     assert list(held.kept.values()) == [b"kept"]
-    assert held.incarnation == LIFE + 2
+    assert held.incarnation == INCARNATION + 2
 
 
 def test_golden_segments_of_the_audit_are_read() -> None:
     whats = []
-    for digits in load(FILES)["audit"].values():
+    for digits in load_golden(FILES)["audit"].values():
         segment = read_log(bytes.fromhex(digits), 1, MAGIC)
         assert segment.corruption == "" and not segment.has_torn_end
         for payload in segment.payloads:
@@ -89,7 +89,7 @@
 
 
 def test_the_golden_file_of_bans_is_read() -> None:
-    golden = load(FILES)["bans"]
+    golden = load_golden(FILES)["bans"]
     assert decode_ban_file(bytes.fromhex(golden["some"])) == BANS
     assert decode_ban_file(bytes.fromhex(golden["none"])) == set()
 
@@ -105,13 +105,13 @@
 
 
 def test_databases_are_those_of_the_golden_file() -> None:
-    actual, golden = all_databases(), load(DATABASES)
+    actual, golden = all_databases(), load_golden(DATABASES)
     for kind in ("old", "migrated", "new"):
         assert actual[kind] == golden[kind], kind
 
 
 def test_a_migrated_database_has_the_schema_of_a_new_one() -> None:
-    golden = load(DATABASES)
+    golden = load_golden(DATABASES)
     assert golden["migrated"]["version"] == golden["new"]["version"] == 2
     assert golden["migrated"]["schema"] == golden["new"]["schema"]
 
@@ -119,7 +119,7 @@
 def test_jobs_are_read_as_they_were_written(tmp_path: Path) -> None:
     path = str(tmp_path / "jobs.sqlite")
     store = JobStore(path)
-    fill(store)
+    fill_store(store)
     store.close()
     store = JobStore(path)
     assert store.get("job-2") == JOBS[1]
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -14,20 +14,28 @@
 from grebestack.routing.worker_table import WorkerEndpoint
 from tests.golden_handover import REQUEST, handover_packets, keepsake, keepsake_taken
 from tests.golden_links import DISK_SEQUENCE, export_request, first_bytes, received
-from tests.golden_samples import BATCHES, CODECS, FEED, MEMBER, SERVER, encoded, load
+from tests.golden_samples import (
+    AUDIT_BATCHES,
+    CODECS,
+    MEMBER_MESSAGES,
+    RELAY_MESSAGES,
+    WORKER,
+    encode_samples,
+    load_golden,
+)
 
 MESSAGES = "messages.json"
 
 
 @pytest.mark.parametrize("group", sorted(CODECS))
 def test_samples_have_the_bytes_of_the_golden_file(group: str) -> None:
-    assert encoded(CODECS[group]) == load(MESSAGES)[group]
+    assert encode_samples(CODECS[group]) == load_golden(MESSAGES)[group]
 
 
 @pytest.mark.parametrize("group", sorted(CODECS))
 def test_golden_bytes_are_read_and_written_again_unchanged(group: str) -> None:
     codec = CODECS[group]
-    for name, digits in load(MESSAGES)[group].items():
+    for name, digits in load_golden(MESSAGES)[group].items():
         data = bytes.fromhex(digits)
         decoded = codec.decode(data)
         assert decoded == codec.samples[name], name
@@ -42,43 +50,43 @@
 
 
 def test_each_item_of_the_audit_has_a_sample() -> None:
-    assert set(get_args(Item)) == {type(item) for batch in BATCHES.values() for item in batch}
+    assert set(get_args(Item)) == {type(item) for batch in AUDIT_BATCHES.values() for item in batch}
 
 
 def test_the_golden_file_has_no_group_without_a_codec() -> None:
-    assert set(load(MESSAGES)) == set(CODECS)
+    assert set(load_golden(MESSAGES)) == set(CODECS)
 
 
 def test_the_first_bytes_of_a_connection() -> None:
-    assert first_bytes() == load("links.json")
+    assert first_bytes() == load_golden("links.json")
 
 
 def test_golden_frames_are_read_as_they_were_sent() -> None:
-    assert received(load("links.json")) == {
-        "member": [MEMBER["hello"], DISK_SEQUENCE, MEMBER["prepare"]],
-        "feed": [FEED["greeting"], FEED["poll"]],
+    assert received(load_golden("links.json")) == {
+        "member": [MEMBER_MESSAGES["hello"], DISK_SEQUENCE, MEMBER_MESSAGES["prepare"]],
+        "feed": [RELAY_MESSAGES["greeting"], RELAY_MESSAGES["poll"]],
     }
 
 
 def test_the_request_of_an_export() -> None:
-    assert export_request() == load("export_request.json")
+    assert export_request() == load_golden("export_request.json")
 
 
 def test_the_packets_of_an_upgrade() -> None:
-    assert handover_packets() == load("handover.json")
+    assert handover_packets() == load_golden("handover.json")
 
 
 def test_what_a_dispatcher_has_learned() -> None:
-    assert keepsake() == load("keepsake.json")
+    assert keepsake() == load_golden("keepsake.json")
 
 
 def test_golden_keepsake_is_taken_whole() -> None:
-    golden = load("keepsake.json")
+    golden = load_golden("keepsake.json")
     assert keepsake_taken(golden) == golden
 
 
 def test_golden_packets_are_read_and_packed_again_unchanged() -> None:
-    for name, packets in load("handover.json").items():
+    for name, packets in load_golden("handover.json").items():
         unpacker = Unpacker()
         *former, message = [unpacker.feed(packet.encode()) for packet in packets]
         assert former == [None] * len(former), name
@@ -87,9 +95,9 @@
 
 
 def test_golden_servers_and_requests_are_read() -> None:
-    golden = load("handover.json")
+    golden = load_golden("handover.json")
     welcome, job = (Unpacker().feed(golden[name][0].encode()) for name in ("welcome", "job"))
     assert welcome is not None and job is not None
-    listed = replace(SERVER.entry, put_back=False)
-    assert [worker_from_wire(raw) for raw in welcome["servers"]] == [WorkerEndpoint(listed, SERVER.address)]
+    listed = replace(WORKER.entry, put_back=False)
+    assert [worker_from_wire(raw) for raw in welcome["servers"]] == [WorkerEndpoint(listed, WORKER.address)]
     assert request_from_wire(job) == replace(REQUEST, keep_alive=True)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -22,7 +22,17 @@
 from grebestack.core.policy import Policy
 from grebestack.hot_restart import ban_file, framing, state_machine
 from tests.policy_driver import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT, settings
-from tests.standins import OPTIONS, Answer, Runner, World, answers, call, insist, say, wait_until
+from tests.standins import (
+    SETTINGS,
+    DispatcherTestbed,
+    Response,
+    WorkerStandIn,
+    repeat_admin_command,
+    reports_ready,
+    send_admin_command,
+    send_request,
+    wait_until,
+)
 
 
 class Process:
@@ -222,22 +232,22 @@
 
 
 def handed_over(door: Any) -> bool:
-    return "handed over" in say(door, "health")
+    return "handed over" in send_admin_command(door, "health")
 
 
 def job(call_id: str) -> dict[str, str]:
     return {"X-Call-Id": call_id, "X-Call-Class": "order"}
 
 
-def test_an_upgrade_under_load_loses_no_job_and_keeps_bans(world: World) -> None:
-    runners = [world.runner(f"s-{n}", seconds=0.3) for n in range(4)]
-    first = world.start_shared()
-    wait_until(lambda: answers(first))
-    assert say(first, "cordon s-3").startswith("SUCCESS")
+def test_an_upgrade_under_load_loses_no_job_and_keeps_bans(testbed: DispatcherTestbed) -> None:
+    runners = [testbed.add_worker(f"s-{n}", seconds=0.3) for n in range(4)]
+    first = testbed.start_on_shared_socket()
+    wait_until(lambda: reports_ready(first))
+    assert send_admin_command(first, "cordon s-3").startswith("SUCCESS")
     over, answered = threading.Event(), list[int]()
 
     def client(number: int) -> None:
-        connection, n = http.client.HTTPConnection(*world.front, timeout=30), 0
+        connection, n = http.client.HTTPConnection(*testbed.client_address, timeout=30), 0
         while not over.is_set():
             n += 1
             connection.request("POST", "/api", b"", job(f"{number}-{n}"))
@@ -250,14 +260,14 @@
     for thread in clients:
         thread.start()
     for _ in range(2):
-        old, old_door = world.process, first
+        old, old_door = testbed.process, first
         wait_until(lambda: len(answered) > 10)
-        second = world.start_shared()
-        wait_until(partial(answers, second))
+        second = testbed.start_on_shared_socket()
+        wait_until(partial(reports_ready, second))
         wait_until(partial(handed_over, old_door))
-        assert say(second, "cordon nobody").startswith("FAILURE")
-        insist(second, "cordon s-2")  # said to one, it holds in both
-        insist(first, "uncordon s-2")
+        assert send_admin_command(second, "cordon nobody").startswith("FAILURE")
+        repeat_admin_command(second, "cordon s-2")  # said to one, it holds in both
+        repeat_admin_command(first, "uncordon s-2")
         old.send_signal(signal.SIGTERM)
         assert old.wait(20) == 0
         first = second
@@ -267,77 +277,83 @@
     for thread in clients:
         thread.join()
     assert set(answered) == {200} and not runners[3].jobs
-    assert max(world.orders.runs.values()) == 1
-    assert say(first, "uncordon s-3").startswith("SUCCESS")
+    assert max(testbed.job_runs.counts.values()) == 1
+    assert send_admin_command(first, "uncordon s-3").startswith("SUCCESS")
 
 
-def one_running(world: World, name: str) -> tuple[Runner, Callable[[], Answer]]:
+def one_running(testbed: DispatcherTestbed, name: str) -> tuple[WorkerStandIn, Callable[[], Response]]:
     """A process with a job at a runner that ends it when told to; the runner, and the job's answer."""
-    runner = world.runner("s-1", seconds=60.0)
-    door = world.start_shared()
-    wait_until(lambda: answers(door))
-    pending = world.in_background(lambda: call(world.front, "POST", "/api", b"", job(name)))
+    runner = testbed.add_worker("s-1", seconds=60.0)
+    door = testbed.start_on_shared_socket()
+    wait_until(lambda: reports_ready(door))
+    pending = testbed.in_background(
+        lambda: send_request(testbed.client_address, "POST", "/api", b"", job(name))
+    )
     wait_until(lambda: len(runner.jobs) == 1)
     return runner, pending
 
 
-def test_a_call_back_that_comes_to_the_other_process_is_answered_by_the_owners_word(world: World) -> None:
-    runner, pending = one_running(world, "long")
-    second = world.start_shared()
-    wait_until(lambda: answers(second))
-    assert call(world.front, "POST", "/api", b"", job("long"))[0] == 409
-    world.processes[0].send_signal(signal.SIGTERM)
+def test_a_call_back_that_comes_to_the_other_process_is_answered_by_the_owners_word(
+    testbed: DispatcherTestbed,
+) -> None:
+    runner, pending = one_running(testbed, "long")
+    second = testbed.start_on_shared_socket()
+    wait_until(lambda: reports_ready(second))
+    assert send_request(testbed.client_address, "POST", "/api", b"", job("long"))[0] == 409
+    testbed.processes[0].send_signal(signal.SIGTERM)
     assert runner.call_back("nobody's", state="done", result="") == 204
     for _ in range(2):
         assert runner.call_back("long", state="done", result="it") == 204
     assert pending()[0] == 200 and pending()[2] == b"it"
-    assert world.processes[0].wait(20) == 0
-    assert call(world.front, "GET", "/health/ready", b"", {})[0] == 200
+    assert testbed.processes[0].wait(20) == 0
+    assert send_request(testbed.client_address, "GET", "/health/ready", b"", {})[0] == 200
 
 
 def test_a_job_that_no_runner_has_goes_to_the_new_process(
-    world: World, monkeypatch: pytest.MonkeyPatch
+    testbed: DispatcherTestbed, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The job waits for as long as the new process takes to start, on a busy machine too.
-    monkeypatch.setitem(OPTIONS["services"][0], "aimMs", 10_000.0)
-    runner, running = one_running(world, "runs")
-    held = world.in_background(lambda: call(world.front, "POST", "/api?q=1", b"\xff\0", job("held")))
+    monkeypatch.setitem(SETTINGS["services"][0], "aimMs", 10_000.0)
+    runner, running = one_running(testbed, "runs")
+    held = testbed.in_background(
+        lambda: send_request(testbed.client_address, "POST", "/api?q=1", b"\xff\0", job("held"))
+    )
     time.sleep(0.1)
-    second = world.start_shared()
-    wait_until(lambda: answers(second))
-    runner.seconds = 0.0
+    second = testbed.start_on_shared_socket()
+    wait_until(lambda: reports_ready(second))
+    runner.job_seconds = 0.0
     assert runner.call_back("runs", state="done", result="it", load={"x0": 8, "x1": 8}) == 204
     assert running()[2] == b"it"
-    world.processes[0].send_signal(signal.SIGTERM)
-    assert world.processes[0].wait(20) == 0
+    testbed.processes[0].send_signal(signal.SIGTERM)
+    assert testbed.processes[0].wait(20) == 0
     assert held()[::2] == (200, b"result of held")
     assert (runner.jobs[1].path, runner.jobs[1].body) == ("/api?q=1", b"\xff\0")
-    assert world.orders.runs["held"] == 1
+    assert testbed.job_runs.counts["held"] == 1
 
 
-def test_a_job_that_outlasts_the_old_process_is_answered_by_the_new_one(world: World) -> None:
-    runner, pending = one_running(world, "long")
-    second = world.start_shared()
-    wait_until(lambda: answers(second))
-    world.processes[0].send_signal(signal.SIGTERM)
-    assert world.processes[0].wait(20) == 0
-    assert call(world.front, "POST", "/api", b"", job("long"))[0] == 409
+def test_a_job_that_outlasts_the_old_process_is_answered_by_the_new_one(testbed: DispatcherTestbed) -> None:
+    runner, pending = one_running(testbed, "long")
+    second = testbed.start_on_shared_socket()
+    wait_until(lambda: reports_ready(second))
+    testbed.processes[0].send_signal(signal.SIGTERM)
+    assert testbed.processes[0].wait(20) == 0
+    assert send_request(testbed.client_address, "POST", "/api", b"", job("long"))[0] == 409
     for _ in range(2):
         assert runner.call_back("long", state="done", result="it") == 204
     assert pending()[::2] == (200, b"it")
-    assert len(runner.jobs) == 1 and not runner.given_up, "it was sent again, or given up"
+    assert len(runner.jobs) == 1 and not runner.cancelled, "it was sent again, or given up"
 
 
-def test_one_door_for_both_processes_answers_throughout(world: World) -> None:
-    world.runner("s-1")
-    door = world.start_shared()
-    wait_until(lambda: answers(door))
-    world.start_shared(door)
+def test_one_door_for_both_processes_answers_throughout(testbed: DispatcherTestbed) -> None:
+    testbed.add_worker("s-1")
+    door = testbed.start_on_shared_socket()
+    wait_until(lambda: reports_ready(door))
+    testbed.start_on_shared_socket(door)
     over, said = threading.Event(), list[str]()
 
     def caller() -> None:
         while not over.is_set():
-            said.append(say(door, "cordon s-1"))
+            said.append(send_admin_command(door, "cordon s-1"))
 
     thread = threading.Thread(target=caller)
     thread.start()
@@ -345,37 +361,37 @@
     over.set()
     thread.join()
     assert said and all(line.startswith("SUCCESS") or "call again" in line for line in said)
-    world.processes[0].send_signal(signal.SIGTERM)
-    assert world.processes[0].wait(20) == 0
-    assert say(door, "uncordon s-1").startswith("SUCCESS")
+    testbed.processes[0].send_signal(signal.SIGTERM)
+    assert testbed.processes[0].wait(20) == 0
+    assert send_admin_command(door, "uncordon s-1").startswith("SUCCESS")
 
 
-def test_when_the_new_process_dies_the_old_one_serves_on(world: World) -> None:
-    world.runner("s-1")
-    first = world.start_shared()
-    wait_until(lambda: answers(first))
+def test_when_the_new_process_dies_the_old_one_serves_on(testbed: DispatcherTestbed) -> None:
+    testbed.add_worker("s-1")
+    first = testbed.start_on_shared_socket()
+    wait_until(lambda: reports_ready(first))
     for early in (True, False):
-        door = world.start_shared()
+        door = testbed.start_on_shared_socket()
         if not early:
-            wait_until(partial(answers, door))
-            wait_until(lambda: not answers(first))
-        world.kill()
-        wait_until(lambda: answers(first))
-        assert call(world.front, "POST", "/api", b"", job(f"after-{early}"))[0] == 200
-    insist(first, "quiesce")
-    insist(first, "resume")
-    assert answers(first)
-
-
-def test_bans_outlive_an_old_process_that_is_killed_before_it_could_tell(world: World) -> None:
-    runner = world.runner("s-1")
-    first = world.start_shared()
-    wait_until(lambda: answers(first))
-    assert say(first, "cordon s-1").startswith("SUCCESS")
-    world.kill()
-    second = world.start_shared()
-    wait_until(lambda: answers(second))
-    assert call(world.front, "POST", "/api", b"", job("a") | {"X-Budget": "0.3"})[0] == 503
+            wait_until(partial(reports_ready, door))
+            wait_until(lambda: not reports_ready(first))
+        testbed.kill()
+        wait_until(lambda: reports_ready(first))
+        assert send_request(testbed.client_address, "POST", "/api", b"", job(f"after-{early}"))[0] == 200
+    repeat_admin_command(first, "quiesce")
+    repeat_admin_command(first, "resume")
+    assert reports_ready(first)
+
+
+def test_bans_outlive_an_old_process_that_is_killed_before_it_could_tell(testbed: DispatcherTestbed) -> None:
+    runner = testbed.add_worker("s-1")
+    first = testbed.start_on_shared_socket()
+    wait_until(lambda: reports_ready(first))
+    assert send_admin_command(first, "cordon s-1").startswith("SUCCESS")
+    testbed.kill()
+    second = testbed.start_on_shared_socket()
+    wait_until(lambda: reports_ready(second))
+    assert send_request(testbed.client_address, "POST", "/api", b"", job("a") | {"X-Budget": "0.3"})[0] == 503
     assert not runner.jobs
-    assert say(second, "uncordon s-1").startswith("SUCCESS")
-    assert call(world.front, "POST", "/api", b"", job("b"))[0] == 200
+    assert send_admin_command(second, "uncordon s-1").startswith("SUCCESS")
+    assert send_request(testbed.client_address, "POST", "/api", b"", job("b"))[0] == 200
--- a/tests/test_job_queue_program.py
+++ b/tests/test_job_queue_program.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.standins import World, call, wait_until
+from tests.standins import DispatcherTestbed, send_request, wait_until
 from tests.test_console import console
 from tests.test_drmaa import ORDER, Client
 
@@ -20,8 +20,8 @@
 
 
 @pytest.fixture
-def client(world: World) -> Client:
-    return Client(world)
+def client(testbed: DispatcherTestbed) -> Client:
+    return Client(testbed)
 
 
 def dependent_template(*jobs: Any, **extensions: Any) -> dict[str, Any]:
@@ -35,13 +35,15 @@
     return ids
 
 
-def arrival_order(world: World) -> list[str]:
-    return [job.headers["x-call-id"] for job in world.runners[0].jobs]
+def arrival_order(testbed: DispatcherTestbed) -> list[str]:
+    return [job.headers["x-call-id"] for job in testbed.workers[0].jobs]
 
 
-def test_a_chain_runs_in_order_and_survives_a_kill_at_each_step(world: World, client: Client) -> None:
-    world.runner("s-1", seconds=0.3)
-    world.start_appliance()
+def test_a_chain_runs_in_order_and_survives_a_kill_at_each_step(
+    testbed: DispatcherTestbed, client: Client
+) -> None:
+    testbed.add_worker("s-1", seconds=0.3)
+    testbed.start_from_operator_file()
     jobs = {
         "a": ORDER,
         "b": dependent_template("a"),
@@ -51,20 +53,20 @@
     ids = submit_graph(client, "g", jobs)
     assert "waits for job " + ids["a"] in client.request("GET", f"/{ids['b']}")[1]["jobSubState"]
     for name in "abc":
-        wait_until(lambda name=name: ids[name] in arrival_order(world))  # type: ignore[misc]
-        world.kill()
-        world.start_appliance()
+        wait_until(lambda name=name: ids[name] in arrival_order(testbed))  # type: ignore[misc]
+        testbed.kill()
+        testbed.start_from_operator_file()
         assert submit_graph(client, "g", jobs) == ids
     states = {name: client.wait(job)[1]["jobState"] for name, job in ids.items()}
     assert set(states.values()) == {"DONE"}
-    assert arrival_order(world) == [ids[name] for name in "abcd"]
-    assert set(world.orders.runs.values()) == {1}
+    assert arrival_order(testbed) == [ids[name] for name in "abcd"]
+    assert set(testbed.job_runs.counts.values()) == {1}
 
 
-def test_a_failed_job_ends_each_dependant_once(world: World, client: Client) -> None:
-    runner = world.runner("s-1")
-    runner.end = "failed"
-    world.start_appliance()
+def test_a_failed_job_ends_each_dependant_once(testbed: DispatcherTestbed, client: Client) -> None:
+    runner = testbed.add_worker("s-1")
+    runner.final_state = "failed"
+    testbed.start_from_operator_file()
     jobs = {"a": ORDER} | {f"d{n}": dependent_template(f"d{n - 1}" if n else "a") for n in range(200)}
     ids = submit_graph(client, "g", jobs | {"sorry": dependent_template({"job": "a", "on": "failed"})})
     info = client.wait(ids["d199"])[1]
@@ -77,31 +79,33 @@
     assert late_response[0] == 201 and client.wait(late_response[1]["jobId"])[1]["jobState"] == "FAILED"
 
 
-def test_a_job_whose_start_time_comes_during_a_drain_keeps_its_place(world: World, client: Client) -> None:
-    runner = world.runner("s-1")
-    world.start_appliance()
-    wait_until(lambda: "ready" in console(world, "servers").stdout)
-    assert console(world, "drain", "s-1").returncode == 0
+def test_a_job_whose_start_time_comes_during_a_drain_keeps_its_place(
+    testbed: DispatcherTestbed, client: Client
+) -> None:
+    runner = testbed.add_worker("s-1")
+    testbed.start_from_operator_file()
+    wait_until(lambda: "ready" in console(testbed, "servers").stdout)
+    assert console(testbed, "drain", "s-1").returncode == 0
     start_time = time.time() + 0.5
     extensions = {"wantedTime": 20.0}
     timed_job = client.run("timed", ORDER | {"startTime": start_time, "implementationSpecific": extensions})
     time.sleep(1.0)
     younger_jobs = [client.run(f"y{n}", ORDER | {"implementationSpecific": extensions}) for n in range(3)]
     assert "no server takes its class" in client.request("GET", f"/{timed_job}")[1]["jobSubState"]
-    listed = console(world, "jobs").stdout
+    listed = console(testbed, "jobs").stdout
     assert "ready for" in listed and timed_job in listed
     assert not runner.jobs
-    assert console(world, "drain", "s-1", "--undo").returncode == 0
+    assert console(testbed, "drain", "s-1", "--undo").returncode == 0
     for job in [timed_job, *younger_jobs]:
         assert client.wait(job)[1]["jobState"] == "DONE"
-    assert arrival_order(world)[0] == timed_job
+    assert arrival_order(testbed)[0] == timed_job
 
 
-def test_holds_arrays_and_invalid_submissions(world: World, client: Client) -> None:
-    runner = world.runner("s-1", seconds=0.05)
-    world.start_appliance()
+def test_holds_arrays_and_invalid_submissions(testbed: DispatcherTestbed, client: Client) -> None:
+    runner = testbed.add_worker("s-1", seconds=0.05)
+    testbed.start_from_operator_file()
     arguments = ("submit", "order", "--hold", "--priority", "50")
-    held = json.loads(console(world, "--json", *arguments).stdout)["jobId"]
+    held = json.loads(console(testbed, "--json", *arguments).stdout)["jobId"]
     bulk = {
         "jobTemplate": {"jobCategory": "order", "args": ["tank $PARAMETRIC_INDEX$"]},
         "beginIndex": 2,
@@ -117,7 +121,7 @@
     assert client.wait(last)[1]["jobState"] == "DONE"
     assert [json.loads(job.body)["args"] for job in runner.jobs[:4]] == [[f"tank {n}"] for n in (2, 4, 6, 8)]
     assert client.state(held) == "QUEUED_HELD"
-    assert console(world, "release", held).returncode == 0
+    assert console(testbed, "release", held).returncode == 0
     assert client.wait(held)[1]["jobState"] == "DONE"
     invalid = client.request("POST", "/bulk", bulk | {"endIndex": 1}, Idempotency_Key="k")
     assert invalid[0] == 400 and "endIndex: 1 is below beginIndex" in invalid[1]["message"]
@@ -130,9 +134,9 @@
     assert cyclic[0] == 400 and "cyclic dependency: " in cyclic[1]["message"]
 
 
-def test_the_schema_is_served(world: World) -> None:
-    world.start_appliance()
-    status, _, text = call(world.drmaa, "GET", "/drmaa2/schema/jobTemplate", b"", {})
+def test_the_schema_is_served(testbed: DispatcherTestbed) -> None:
+    testbed.start_from_operator_file()
+    status, _, text = send_request(testbed.drmaa_address, "GET", "/drmaa2/schema/jobTemplate", b"", {})
     schema = json.loads(text)
     assert status == 200
     assert {"startTime", "submitAsHold", "priority", "jobCategory"} <= set(
@@ -140,8 +144,8 @@
     )
 
 
-def test_an_array_is_terminated_as_a_whole(world: World, client: Client) -> None:
-    world.start_appliance()  # without a worker, so that the jobs wait
+def test_an_array_is_terminated_as_a_whole(testbed: DispatcherTestbed, client: Client) -> None:
+    testbed.start_from_operator_file()  # without a worker, so that the jobs wait
     status, array = client.request(
         "POST", "/bulk", {"jobTemplate": ORDER, "endIndex": 120}, Idempotency_Key="arr"
     )
@@ -149,7 +153,7 @@
 
     def call_array(operation: str) -> Any:
         path = f"/drmaa2/jobarrays/{array['jobArrayId']}{operation}"
-        response = call(world.drmaa, "POST" if operation else "GET", path, b"", {})
+        response = send_request(testbed.drmaa_address, "POST" if operation else "GET", path, b"", {})
         return response[0], json.loads(response[2])
 
     assert call_array("/hold")[0] == 202
@@ -158,26 +162,26 @@
     wait_until(lambda: call_array("")[1]["states"] == {"FAILED": 120})
 
 
-def test_a_planned_stop_does_not_wait_for_queued_jobs(world: World, client: Client) -> None:
-    runner = world.runner("s-1", seconds=0.2)
-    world.start_appliance()
+def test_a_planned_stop_does_not_wait_for_queued_jobs(testbed: DispatcherTestbed, client: Client) -> None:
+    runner = testbed.add_worker("s-1", seconds=0.2)
+    testbed.start_from_operator_file()
     array = client.request("POST", "/bulk", {"jobTemplate": ORDER, "endIndex": 300}, Idempotency_Key="arr")[1]
     wait_until(lambda: len(runner.jobs) > 3)
-    world.process.send_signal(signal.SIGTERM)
-    assert world.process.wait(30) == 0
+    testbed.process.send_signal(signal.SIGTERM)
+    assert testbed.process.wait(30) == 0
     received = len(runner.jobs)
     assert received < 300
-    world.start_appliance()
+    testbed.start_from_operator_file()
     wait_until(lambda: len(runner.jobs) > received)
     assert client.request("GET", f"/{array['jobs'][0]}")[1]["jobState"] == "DONE"
-    sent = arrival_order(world)
+    sent = arrival_order(testbed)
     assert len(sent) == len(set(sent))
 
 
-def test_the_chain_example_runs(world: World) -> None:
-    world.runner("s-1", seconds=0.1)
-    world.start_appliance()
-    command = [sys.executable, str(ROOT / "examples" / "chain.py"), ":".join(map(str, world.drmaa))]
+def test_the_chain_example_runs(testbed: DispatcherTestbed) -> None:
+    testbed.add_worker("s-1", seconds=0.1)
+    testbed.start_from_operator_file()
+    command = [sys.executable, str(ROOT / "examples" / "chain.py"), ":".join(map(str, testbed.drmaa_address))]
     result = subprocess.run(command, capture_output=True, text=True, timeout=60, check=True)
     lines = result.stdout.splitlines()
     assert [line.split()[0] for line in lines if " DONE" in line] == ["read", "plan", "drive"]
--- a/tests/test_jobs_after_restart.py
+++ b/tests/test_jobs_after_restart.py
@@ -11,7 +11,7 @@
 from grebestack.core.api import Outcome
 from grebestack.jobs.earlier_attempts import RETRY_MARGIN_S, EarlierAttempts, retry_limit
 from grebestack.jobs.records import JobState
-from tests.standins import World, wait_until
+from tests.standins import DispatcherTestbed, wait_until
 from tests.test_drmaa import Client
 from tests.test_engine import SETTINGS
 from tests.test_jobs import JobServiceHarness
@@ -134,17 +134,19 @@
     assert until_s(view, cancel=False) is None and until_s(view, max_attempts=1) is None
 
 
-def test_a_keyed_job_whose_worker_hung_through_a_kill_is_done_after_the_restart(world: World) -> None:
+def test_a_keyed_job_whose_worker_hung_through_a_kill_is_done_after_the_restart(
+    testbed: DispatcherTestbed,
+) -> None:
     # The same with real processes: the job was recorded as sent, but no worker had it.
-    runner = world.runner("s-1")
-    runner.hung = True
-    world.start_appliance()
-    client = Client(world)
+    runner = testbed.add_worker("s-1")
+    runner.unresponsive = True
+    testbed.start_from_operator_file()
+    client = Client(testbed)
     job = client.run("k", {"jobCategory": "reading"})
     wait_until(lambda: client.state(job) == "RUNNING")
-    world.kill()
-    runner.hung = False
-    world.start_appliance()
+    testbed.kill()
+    runner.unresponsive = False
+    testbed.start_from_operator_file()
     wait_until(lambda: client.state(job) in ("DONE", "FAILED"))
-    assert client.state(job) == "DONE" and max(world.orders.runs.values()) == 1
-    assert runner.given_up == [job]
+    assert client.state(job) == "DONE" and max(testbed.job_runs.counts.values()) == 1
+    assert runner.cancelled == [job]
--- a/tests/test_peer_connection.py
+++ b/tests/test_peer_connection.py
@@ -23,7 +23,7 @@
 )
 from grebestack.program.config.errors import ConfigError
 from grebestack.program.config.operator_file import from_file
-from tests.standins import APPLIANCE_SETTINGS
+from tests.standins import OPERATOR_SETTINGS
 
 HELLO = Handshake(PROTOCOL_VERSION, "f", "b", "1", 1, 1, {})
 
@@ -151,7 +151,7 @@
 ) -> None:
     path = tmp_path / "a.toml"
     head = 'name = "a"\nlisten = "127.0.0.1:1"\n[servers]\nsource = "list"\nlist = []\n'
-    path.write_text(f"{head}{fleet}{APPLIANCE_SETTINGS}")
+    path.write_text(f"{head}{fleet}{OPERATOR_SETTINGS}")
     with pytest.raises(ConfigError) as error:
         from_file(str(path))
     assert says in str(error.value)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,7 +11,7 @@
 from grebestack.protocol.settings import parse_settings
 from grebestack.routing.engine import Engine
 from grebestack.transport import server
-from tests.standins import OPTIONS
+from tests.standins import SETTINGS
 from tests.test_connections import FakeTransport
 
 
@@ -47,14 +47,14 @@
     return engine.arguments["a"]
 
 
-TENANTS = OPTIONS | {"accounts": [{"name": "electric", "allowancePerS": 9.0}, {"name": "water"}]}
+TENANTS = SETTINGS | {"accounts": [{"name": "electric", "allowancePerS": 9.0}, {"name": "water"}]}
 
 
 def test_the_cost_hint_of_a_job_is_in_microseconds() -> None:
-    assert arguments_of_job(OPTIONS, X_Call_Cost="250000")["cost_ms"] == 250.0
-    assert arguments_of_job(OPTIONS)["cost_ms"] is None
+    assert arguments_of_job(SETTINGS, X_Call_Cost="250000")["cost_ms"] == 250.0
+    assert arguments_of_job(SETTINGS)["cost_ms"] is None
     for invalid in ("-5", "0", "nan", "inf", "much", "1e30"):
-        assert arguments_of_job(OPTIONS, X_Call_Cost=invalid)["cost_ms"] is None
+        assert arguments_of_job(SETTINGS, X_Call_Cost=invalid)["cost_ms"] is None
 
 
 def test_the_caller_is_the_tenant_of_that_name() -> None:
@@ -75,18 +75,18 @@
 
 def test_a_route_hash_gives_the_same_key_everywhere_and_a_retry_is_recognised() -> None:
     first, other = (
-        arguments_of_job(OPTIONS, X_Route_Hash="7f3a", X_Again="1"),
+        arguments_of_job(SETTINGS, X_Route_Hash="7f3a", X_Again="1"),
         arguments_of_job(TENANTS, X_Route_Hash="7f3a"),
     )
     assert first["key"] == other["key"] is not None
-    assert arguments_of_job(OPTIONS, X_Route_Hash="7f3b")["key"] != first["key"]
+    assert arguments_of_job(SETTINGS, X_Route_Hash="7f3b")["key"] != first["key"]
     assert first["retry"] and not other["retry"]
 
 
 def test_during_a_stop_some_of_the_clients_connections_are_kept_free() -> None:
     # Guards against a job that occupies the last free connection, as clients can't open new ones here.
     engine = AcceptingEngine()
-    api = PlatformApi(cast(Engine, engine), parse_settings(OPTIONS), lambda body: CallbackResult.ACCEPTED)
+    api = PlatformApi(cast(Engine, engine), parse_settings(SETTINGS), lambda body: CallbackResult.ACCEPTED)
     acceptor = server.Acceptor(api, max_connections=64)
     wires = [FakeTransport(acceptor()) for _ in range(24)]
     for n, wire in enumerate(wires):
@@ -102,7 +102,7 @@
 
 def test_during_a_stop_a_single_client_is_still_served() -> None:
     engine = AcceptingEngine()
-    api = PlatformApi(cast(Engine, engine), parse_settings(OPTIONS), lambda body: CallbackResult.ACCEPTED)
+    api = PlatformApi(cast(Engine, engine), parse_settings(SETTINGS), lambda body: CallbackResult.ACCEPTED)
     wire = FakeTransport(server.Acceptor(api, max_connections=64)())
     api.stopping = True
     send_job(wire, "a")
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -25,7 +25,7 @@
 )
 from grebestack.consensus.recovery import RecoveredState
 from grebestack.consensus.replica import Replica
-from tests.cluster import Act, Change, Held, History
+from tests.cluster import History, LeasePeriod, ReceivedExport, RegisterChange
 
 TASKS = ("t", "u")
 TERMS = LeaseTerms(term_ms=1000.0, max_clock_drift=0.02, guard_ms=10.0)
@@ -125,7 +125,7 @@
         for task in TASKS:
             token = replica.valid_token(task, clock)
             if token is not None:
-                self.history.acts.append(Act(self.now, task, process.name, token, True))
+                self.history.exports.append(ReceivedExport(self.now, task, process.name, token, True))
         self.execute(process, replica.tick(clock))
         delay = replica.due_ms(clock) - clock
         self.schedule(
@@ -222,12 +222,14 @@
         kv = action.kv
         if action.event == "lease_held":
             begin, end = self.global_time(process, kv["at"]), self.global_time(process, kv["until"])
-            self.history.held.append(Held(kv["task"], process.name, kv["life"], kv["token"], begin, end))
+            self.history.lease_periods.append(
+                LeasePeriod(kv["task"], process.name, kv["life"], kv["token"], begin, end)
+            )
         elif action.event == "lease_lost":
-            self.history.lose(kv["task"], process.name, kv["token"], self.global_time(process, kv["at"]))
+            self.history.end_lease(kv["task"], process.name, kv["token"], self.global_time(process, kv["at"]))
         elif action.event == "fleet_register" and kv["outcome"] == "CHOSEN":
             times = self.global_time(process, kv["asked"]), self.global_time(process, kv["at"])
-            self.history.changes.append(Change(kv["register"], *times, kv["before"], kv["after"]))
+            self.history.changes.append(RegisterChange(kv["register"], *times, kv["before"], kv["after"]))
 
     def all_vote(self) -> bool:
         return all(
@@ -288,20 +290,20 @@
     """Check under 25 random faults that no two members act at once and that no chosen value is lost."""
     world = World(seed, count)
     world.run(3000.0)
-    assert {act.task for act in world.history.acts} == set(TASKS)
+    assert {act.task for act in world.history.exports} == set(TASKS)
     for _ in range(25):
         world.inject_fault()
         world.run(world.random.uniform(50, 1500))
-        assert world.history.wrong() == []
+        assert world.history.violations() == []
     world.cut = set()
     for process in world.processes.values():
         process.stopped_until = 0.0
         if not process.up:
             world.start(process)
     world.run(12_000.0)
-    assert world.history.wrong() == []
+    assert world.history.violations() == []
     assert all(process.replica.acceptor.may_vote for process in world.processes.values())
-    assert {act.task for act in world.history.acts if act.at > world.now - 3000.0} == set(TASKS)
+    assert {act.task for act in world.history.exports if act.at > world.now - 3000.0} == set(TASKS)
 
 
 @settings(max_examples=20, deadline=None)
@@ -321,4 +323,4 @@
     # Guards against a first lease that waits too long for the witnesses of its votes on slow links and disks.
     world = World(seed, count)
     world.run(3 * TERMS.term_ms)
-    assert {act.task for act in world.history.acts} == set(TASKS)
+    assert {act.task for act in world.history.exports} == set(TASKS)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -366,7 +366,7 @@
 
 
 def test_a_cut_is_of_all_gates_and_one_way_of_half(fleet: Fleet) -> None:
-    ways = fleet.proxy.ways
+    ways = fleet.proxy.directions
     assert {fleet.region_of(a) != fleet.region_of(b) for a, b in ways} == {True}
     assert sum(fleet.region_of(a) == "east" for a, _ in ways) == len(ways) // 2 > 0
     player = Player(fleet, 1, True)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,7 +17,7 @@
 from grebestack.program.config.platform import check_reload, from_platform
 from grebestack.protocol.settings import merge_settings, parse_settings
 from tests.policy_driver import IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT, Dispatcher, sends, settings
-from tests.standins import OPTIONS, World, call, wait_until
+from tests.standins import SETTINGS, DispatcherTestbed, send_request, wait_until
 
 VALID: dict[str, Any] = {
     "name": "n0",
@@ -26,7 +26,7 @@
     "seed": "1f",
     "limits": {"sockets": 256},
     "known": {"rev": 1},
-    "settings": OPTIONS,
+    "settings": SETTINGS,
 }
 
 
@@ -86,8 +86,8 @@
 
 
 def test_a_class_keeps_its_index_and_an_index_its_meaning() -> None:
-    first = parse_settings(OPTIONS)
-    changed = deepcopy(OPTIONS)
+    first = parse_settings(SETTINGS)
+    changed = deepcopy(SETTINGS)
     changed["services"][1]["effect"] = "single_shot"
     changed["services"].insert(0, {"name": "new", "aimMs": 1.0, "hardLimitMs": 9.0, "effect": "free"})
     del changed["extra"]["classStretch"], changed["services"][1]
@@ -144,30 +144,32 @@
     policy.handle(2001.0, api.RequestArrived(1, 4, 2100.0))
 
 
-def test_classes_are_added_and_removed_under_load_and_a_broken_file_changes_nothing(world: World) -> None:
-    workers = [world.runner("s-1", seconds=1.5), world.runner("s-2", seconds=1.5)]
-    dispatcher = world.start()
-    path = world.folder / "config.json"
+def test_classes_are_added_and_removed_under_load_and_a_broken_file_changes_nothing(
+    testbed: DispatcherTestbed,
+) -> None:
+    workers = [testbed.add_worker("s-1", seconds=1.5), testbed.add_worker("s-2", seconds=1.5)]
+    dispatcher = testbed.start()
+    path = testbed.folder / "config.json"
     config = json.loads(path.read_text())
 
     def post(call_id: str, job_class: str) -> int:
         headers = {"X-Call-Id": call_id, "X-Call-Class": job_class, "Idempotency-Key": call_id}
-        return call(dispatcher, "POST", "/api", b"", headers)[0]
+        return send_request(dispatcher, "POST", "/api", b"", headers)[0]
 
-    pending = [world.in_background(partial(post, f"old-{c}", c)) for c in ("order", "reading")]
+    pending = [testbed.in_background(partial(post, f"old-{c}", c)) for c in ("order", "reading")]
     wait_until(lambda: all(worker.jobs for worker in workers))
     for worker in workers:
-        worker.seconds = 0.0
+        worker.job_seconds = 0.0
     config["settings"]["services"][1]["effect"] = "single_shot"
     config["settings"]["services"][0]["name"] = "fresh"
     path.write_text(json.dumps(config))
-    world.process.send_signal(signal.SIGHUP)
+    testbed.process.send_signal(signal.SIGHUP)
     wait_until(lambda: post("new", "fresh") == 200)
     assert post("gone", "order") == 400 and post("strict", "reading") == 200
     valid = path.read_text()
     for broken in ("", valid[: len(valid) // 2], valid.replace("hardLimitMs", "x")):
         path.write_text(broken)
-        world.process.send_signal(signal.SIGHUP)
-        assert call(dispatcher, "GET", "/health/ready", b"", {})[0] == 200
+        testbed.process.send_signal(signal.SIGHUP)
+        assert send_request(dispatcher, "GET", "/health/ready", b"", {})[0] == 200
         assert post(f"after-{len(broken)}", "fresh") == 200
     assert [result() for result in pending] == [200, 200]
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -19,14 +19,14 @@
 )
 from grebestack.consensus.register import Ballot
 from tests.dispatcher_group import DispatcherGroup
-from tests.standins import OPTIONS, wait_until
+from tests.standins import SETTINGS, wait_until
 
 MEMORY_MB, SOCKETS = 32, 256  # the platform's smallest day
 
 
 def test_1024_servers_and_dispatchers_fit_the_smallest_dispatcher(tmp_path: Path) -> None:
     yard = DispatcherGroup(tmp_path, dispatchers=1, workers=1024, workers_per_port=64)
-    yard.settings = OPTIONS | {"siblings": 1024, "discovery": "pushed", "me": 1023}
+    yard.settings = SETTINGS | {"siblings": 1024, "discovery": "pushed", "me": 1023}
     try:
         yard.start("n0")
         process = yard.processes["n0"].pid
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -9,7 +9,7 @@
 
 from grebestack.program.lifecycle import KILL_MARGIN_MS, Lifecycle
 from tests.loop_dispatcher import InProcessDispatcher, run_with_dispatcher
-from tests.standins import World, call, wait_until
+from tests.standins import DispatcherTestbed, send_request, wait_until
 
 LONG_DEADLINE_MS = 30_000.0  # of each class at the in-process dispatcher
 
@@ -78,27 +78,29 @@
     run_with_dispatcher(test)
 
 
-def test_no_request_is_open_at_sigkill_even_if_a_worker_hangs_during_the_stop(world: World) -> None:
+def test_no_request_is_open_at_sigkill_even_if_a_worker_hangs_during_the_stop(
+    testbed: DispatcherTestbed,
+) -> None:
     # Guards against requests with deadlines of 5 and 10 s that are cut off by SIGKILL after 3.7 s.
-    worker = world.runner("s-1")
-    worker.hung = True
-    dispatcher = world.start()
+    worker = testbed.add_worker("s-1")
+    worker.unresponsive = True
+    dispatcher = testbed.start()
 
     def job(number: int, name: str) -> dict[str, str]:
         return {"X-Call-Id": f"{name}-{number}", "X-Call-Class": name, "Idempotency-Key": f"k{number}"}
 
     def post(number: int, name: str) -> int:
-        return call(dispatcher, "POST", "/api", b"", job(number, name))[0]
+        return send_request(dispatcher, "POST", "/api", b"", job(number, name))[0]
 
     answers = [
-        world.in_background(lambda number=n, name=name: post(number, name))  # type: ignore[misc]
+        testbed.in_background(lambda number=n, name=name: post(number, name))  # type: ignore[misc]
         for n, name in enumerate(("order", "reading", "order", "reading"))
     ]
-    wait_until(lambda: worker.held >= 1)
+    wait_until(lambda: worker.waiting_requests >= 1)
     began_s = time.monotonic()
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-        world.process.send_signal(number)
+        testbed.process.send_signal(number)
     statuses = [answer() for answer in answers]
     assert time.monotonic() - began_s < 8.0  # their own deadlines would end the orders after 10 s
     assert all(status in (502, 503) for status in statuses) and statuses[1::2] == [503, 503]
-    assert world.process.wait(20) == 0
+    assert testbed.process.wait(20) == 0
