--- a/tests/standins.py
+++ b/tests/standins.py
@@ -221,8 +221,10 @@
         if self.status != 202:
             http.reply(self.status, X_Rejected="1")
             return
-        http.reply(202)
-        threading.Timer(self.job_seconds, self.finish, [headers["x-call-id"]]).start()
+        try:
+            http.reply(202)
+        finally:  # a worker runs a job that it has taken, even if the dispatcher was killed before the 202
+            threading.Timer(self.job_seconds, self.finish, [headers["x-call-id"]]).start()
 
     def finish(self, call_id: str) -> None:
         self.testbed.job_runs.counts[call_id] = self.testbed.job_runs.counts.get(call_id, 0) + 1
