--- a/benchmarks/alone.py
+++ b/benchmarks/alone.py
@@ -90,7 +90,7 @@
 
         try:
             for name in cluster.names:
-                cluster.start(name, plain=True)
+                cluster.start(name, unmodified=True)
             time.sleep(3.5)
             before = {name: spent(name) for name in cluster.names}
             time.sleep(seconds)
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -960,7 +960,7 @@
         return spent, float(last), time.monotonic()
 
     for member in members:
-        cluster.start(member.name, plain=True)
+        cluster.start(member.name, unmodified=True)
     time.sleep(4.0 + 0.2 * len(members))
     before = look()
     time.sleep(seconds)
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,7 +1,8 @@
-"""A fleet of real processes, a proxy on every link between them, faults by a seed, a checker of histories.
+"""A cluster of real processes with a proxy on every link, seeded fault injection and a history checker.
 
-Nothing here is part of the program. A schedule is drawn whole before it is played, so that a seed replays it;
-what is judged is the history: the collector's acts and the members' logs, on one outside clock.
+Nothing here is part of the program. A fault schedule is drawn completely before it is run, so that a seed
+repeats it. The checker works on the history: the exports that the collector received and the members' logs,
+all on one clock outside the members.
 """
 
 from __future__ import annotations
@@ -32,9 +33,9 @@
 
 
 class ReceivedExport(NamedTuple):
-    """One export as the collector met it."""
+    """One export as the collector received it."""
 
-    at: float  # seconds, as all here, of the one outside clock
+    at: float  # seconds of the clock outside the members, like all times here
     task: str
     holder: str
     token: int
@@ -42,7 +43,7 @@
 
 
 class LeasePeriod(NamedTuple):
-    """A member may act, by what it logged; on the outside clock."""
+    """A period in which a member held a lease, according to its log, on the outside clock."""
 
     task: str
     member: str
@@ -53,7 +54,7 @@
 
 
 class RegisterChange(NamedTuple):
-    """One asking of a register that came into force."""
+    """One change of a register that was chosen."""
 
     register: str
     requested_at: float
@@ -63,7 +64,7 @@
 
 
 class Collector(StandIn):
-    """What is acted upon: it refuses a token that is older than one it has seen."""
+    """Receives exports; rejects a fencing token that is older than one it has seen."""
 
     def __init__(self) -> None:
         self.exports: list[ReceivedExport] = []
@@ -86,15 +87,15 @@
 class LinkDirection:
     """One direction of a link."""
 
-    cut: bool = False  # bytes are lost, the connection stays
+    cut: bool = False  # bytes are dropped, the connection stays open
     delay_s: float = 0.0
-    chunk_bytes: int = 0  # bytes at a time, with a pause after each
-    break_message: bool = False  # the next bytes are cut in the middle, and the connection is reset
-    corrupt_pieces: int = 0  # so many pieces yet to come have a bit flipped in their middle
+    chunk_bytes: int = 0  # bytes forwarded at a time, with a pause after each; 0: no limit
+    break_message: bool = False  # half of the next bytes are forwarded, then the connection is reset
+    corrupt_pieces: int = 0  # how many of the next reads have a bit flipped in their middle
 
 
 class Proxy:
-    """All links between members, each through a listener of its own; both directions apart."""
+    """Forwards the links between members, each through its own listener; faults apply to one direction."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -102,11 +103,11 @@
         self.writers: dict[tuple[str, str], set[asyncio.StreamWriter]] = {}
         threading.Thread(target=self.loop.run_forever, daemon=True).start()
 
-    def run(self, work: Coroutine[Any, Any, Any]) -> Any:
-        return asyncio.run_coroutine_threadsafe(work, self.loop).result(20)
+    def run(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(20)
 
     def link(self, a: str, b: str, port: int) -> int:
-        """Listen for a's calls of b; the port."""
+        """Listen for connections from a to b; return the port."""
         self.directions[a, b], self.directions[b, a], self.writers[a, b] = (
             LinkDirection(),
             LinkDirection(),
@@ -132,28 +133,28 @@
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, key: Any) -> None:
         while data := await reader.read(65536):
-            way = self.directions[key]
-            if way.cut:
+            direction = self.directions[key]
+            if direction.cut:
                 continue
-            if way.delay_s:
-                await asyncio.sleep(way.delay_s)
-            if way.break_message:
-                way.break_message = False
+            if direction.delay_s:
+                await asyncio.sleep(direction.delay_s)
+            if direction.break_message:
+                direction.break_message = False
                 writer.write(data[: len(data) // 2])
                 await writer.drain()
                 raise ConnectionResetError
-            if way.corrupt_pieces:
-                way.corrupt_pieces -= 1
+            if direction.corrupt_pieces:
+                direction.corrupt_pieces -= 1
                 middle = len(data) // 2
                 data = data[:middle] + bytes([data[middle] ^ 4]) + data[middle + 1 :]
-            for at in range(0, len(data), way.chunk_bytes or len(data)):
-                writer.write(data[at : at + (way.chunk_bytes or len(data))])
-                if way.chunk_bytes:
+            for at in range(0, len(data), direction.chunk_bytes or len(data)):
+                writer.write(data[at : at + (direction.chunk_bytes or len(data))])
+                if direction.chunk_bytes:
                     await asyncio.sleep(0.005)
         raise ConnectionResetError
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
 
         async def end() -> None:
             tasks = asyncio.all_tasks() - {asyncio.current_task()}
@@ -165,7 +166,7 @@
         self.loop.call_soon_threadsafe(self.loop.stop)
 
     def reset(self, a: str, b: str) -> None:
-        """Reset the link's connections."""
+        """Reset the connections of a link."""
         key = (a, b) if (a, b) in self.writers else (b, a)
 
         def abort() -> None:
@@ -177,19 +178,19 @@
 
 @dataclass
 class MemberProcess:
-    """One member's place: its files, and the process that runs there now."""
+    """One member: its files, addresses and current process."""
 
     name: str
     folder: Path
     admin_address: tuple[str, int]
     client_port: int
-    clock_rate: float  # of its clock
+    clock_rate: float  # its clock relative to the real one
     process: subprocess.Popen[bytes] | None = None
     copy: Path | None = None
 
 
 class Cluster:
-    """So many members, from one folder."""
+    """A cluster whose members keep their files in one folder."""
 
     def __init__(
         self,
@@ -197,33 +198,39 @@
         count: int,
         rates: Iterable[float] = (),
         term_s: float = 2.0,
-        every_s: float = 0.1,
-        servers: str | dict[str, str] = 'source = "list"\nlist = []\n',
-        more: str = "",
-        fronts: tuple[int, ...] = (),
+        export_interval_s: float = 0.1,
+        worker_source: str | dict[str, str] = 'source = "list"\nlist = []\n',
+        cluster_settings: str = "",
+        client_ports: tuple[int, ...] = (),
     ) -> None:
         self.folder, self.collector, self.proxy = folder, Collector(), Proxy()
         self.names = [f"m{n}" for n in range(count)]
-        drift = list(rates) or [1.0] * count
+        clock_rates = list(rates) or [1.0] * count
         ports = {name: reserved_port() for name in self.names}
-        seen: dict[str, dict[str, int]] = {name: {} for name in self.names}
+        peer_ports: dict[str, dict[str, int]] = {name: {} for name in self.names}
         for n, a in enumerate(self.names):
-            for b in self.names[n + 1 :]:  # of two members the first by name calls the other
-                seen[a][b], seen[b][a] = self.proxy.link(a, b, ports[b]), ports[a]
+            for b in self.names[n + 1 :]:  # of two members the first by name opens the connection
+                peer_ports[a][b], peer_ports[b][a] = self.proxy.link(a, b, ports[b]), ports[a]
         self.members: dict[str, MemberProcess] = {}
         for n, name in enumerate(self.names):
-            door, front = ("127.0.0.1", reserved_port()), fronts[n] if fronts else reserved_port()
-            self.members[name] = MemberProcess(name, folder / name, door, front, drift[n])
-            source = servers if isinstance(servers, str) else servers[name]
+            admin_address, client_port = (
+                ("127.0.0.1", reserved_port()),
+                client_ports[n] if client_ports else reserved_port(),
+            )
+            self.members[name] = MemberProcess(
+                name, folder / name, admin_address, client_port, clock_rates[n]
+            )
+            source = worker_source if isinstance(worker_source, str) else worker_source[name]
             (folder / name).mkdir()
-            others = "".join(f'{b} = "127.0.0.1:{port}"\n' for b, port in seen[name].items())
+            others = "".join(f'{b} = "127.0.0.1:{port}"\n' for b, port in peer_ports[name].items())
             (folder / f"{name}.toml").write_text(
-                f'name = "{name}"\nlisten = "127.0.0.1:{front}"\ncontrol = "127.0.0.1:{door[1]}"\n'
+                f'name = "{name}"\nlisten = "127.0.0.1:{client_port}"\n'
+                f'control = "127.0.0.1:{admin_address[1]}"\n'
                 f'platform = true\n[servers]\n{source}[fleet]\nname = "rig"\nfolder = "{name}/disk"\n'
-                f"term_s = {term_s}\ndrift = 0.01\n{more}[fleet.members]\n"
+                f"term_s = {term_s}\ndrift = 0.01\n{cluster_settings}[fleet.members]\n"
                 f'{name} = "127.0.0.1:{ports[name]}"\n{others}[fleet.tallies]\n'
                 f'collector = "127.0.0.1:{self.collector.address[1]}"\n'
-                f"every_s = {every_s}\n{OPERATOR_SETTINGS}"
+                f"every_s = {export_interval_s}\n{OPERATOR_SETTINGS}"
             )
             subprocess.run(
                 [sys.executable, "-m", "grebestack", "form", "--config", str(folder / f"{name}.toml")],
@@ -232,15 +239,15 @@
                 stdout=subprocess.DEVNULL,
             )
 
-    def start(self, name: str, plain: bool = False) -> None:
-        """Start a member; a plain one is the program as it is, without the rig's disk, clock and tasks."""
+    def start(self, name: str, unmodified: bool = False) -> None:
+        """Start a member; an unmodified one has no fault injection, clock drift or additional tasks."""
         member, path = self.members[name], str(self.folder / f"{name}.toml")
-        words = ["tests.cluster_member", path, str(member.folder / "faults"), str(member.clock_rate)]
-        if plain:
-            words = ["grebestack", "--config", path]
+        arguments = ["tests.cluster_member", path, str(member.folder / "faults"), str(member.clock_rate)]
+        if unmodified:
+            arguments = ["grebestack", "--config", path]
         with (self.folder / f"{name}.log").open("ab") as log:
             member.process = subprocess.Popen(
-                [sys.executable, "-m", *words],
+                [sys.executable, "-m", *arguments],
                 cwd=ROOT,
                 stderr=log,
                 stdout=log,
@@ -257,18 +264,18 @@
         return sorted((self.members[name].folder / "disk").glob("registers-*.log"))
 
     def set_disk_faults(self, name: str, **faults: Any) -> None:
-        """Have a member's disk fail from now on, or no longer."""
+        """Set the disk faults of a member from now on; none given: no faults."""
         path = self.members[name].folder / "faults"
         path.with_suffix(".new").write_text(json.dumps(faults))
         path.with_suffix(".new").rename(path)
 
     def holders(self) -> dict[str, str]:
-        """Who acted last for each task."""
-        return {act.task: act.holder for act in self.collector.exports if act.accepted}
+        """The member whose export was accepted last, by task."""
+        return {export.task: export.holder for export in self.collector.exports if export.accepted}
 
-    def admin_output(self, name: str, call: str = "fleet") -> str:
+    def admin_output(self, name: str, command: str = "fleet") -> str:
         try:
-            return send_admin_command(self.members[name].admin_address, call)
+            return send_admin_command(self.members[name].admin_address, command)
         except OSError as error:
             return f"FAILURE {error}"
 
@@ -289,13 +296,13 @@
                 yield dict(part.split("=", 1) for part in shlex.split(line) if "=" in part)
 
     def history(self) -> History:
-        """All that was logged and met so far.
+        """Everything that was logged and exported so far.
 
-        Logs are read one after the other while members go on: what came after the first was read is left out,
-        lest a lease be seen taken that was not seen given back.
+        Logs are read one after the other while the members run. What was logged after the first was read is
+        left out, so that a lease isn't seen as acquired whose earlier release was not read.
         """
         until = time.monotonic() - 0.2
-        history = History(exports=[act for act in self.collector.exports if act.at <= until])
+        history = History(exports=[export for export in self.collector.exports if export.at <= until])
         for name, member in self.members.items():
             scale = 1000.0 * member.clock_rate
             for line in self.log_events(name):
@@ -325,14 +332,14 @@
                     )
                 elif line.get("level") == "error" or "traceback" in line:
                     history.errors.append(f"{name}: {line}")
-        history.lease_periods = [held for held in history.lease_periods if held.begin <= until]
+        history.lease_periods = [period for period in history.lease_periods if period.begin <= until]
         history.changes = [change for change in history.changes if change.at <= until]
         return history
 
 
 @dataclass
 class History:
-    """What is judged."""
+    """The events that the checker examines."""
 
     exports: list[ReceivedExport] = field(default_factory=list)
     lease_periods: list[LeasePeriod] = field(default_factory=list)
@@ -340,84 +347,97 @@
     errors: list[str] = field(default_factory=list)
 
     def end_lease(self, task: str, member: str, token: int, at: float) -> None:
-        """A member says that it acts no more."""
-        for n, one in enumerate(self.lease_periods):
-            if (one.task, one.member, one.token) == (task, member, token) and one.end > at:
-                self.lease_periods[n] = one._replace(end=max(one.begin, at))
+        """A member logged that it lost the lease."""
+        for n, period in enumerate(self.lease_periods):
+            if (period.task, period.member, period.token) == (task, member, token) and period.end > at:
+                self.lease_periods[n] = period._replace(end=max(period.begin, at))
 
     def violations(self) -> list[str]:
-        """Every rule that the history breaks."""
+        """One line for each violation in the history."""
         return [*self.errors, *self._overlaps(), *self._tokens(), *self._registers()]
 
     def _overlaps(self) -> Iterable[str]:
-        """Intervals of members that may act are disjoint."""
-        for task in {h.task for h in self.lease_periods}:
-            last: LeasePeriod | None = None
-            for one in sorted(
-                (h for h in self.lease_periods if h.task == task), key=lambda h: (h.begin, h.end)
+        """Periods in which different members hold the lease of a task must be disjoint."""
+        for task in {p.task for p in self.lease_periods}:
+            latest: LeasePeriod | None = None
+            for period in sorted(
+                (p for p in self.lease_periods if p.task == task), key=lambda p: (p.begin, p.end)
             ):
-                if last is not None and one[1:4] != last[1:4] and one.begin < last.end:
-                    yield f"overlap: {last} and {one}"
-                if last is None or one.end > last.end:
-                    last = one
+                if latest is not None and period[1:4] != latest[1:4] and period.begin < latest.end:
+                    yield f"overlap: {latest} and {period}"
+                if latest is None or period.end > latest.end:
+                    latest = period
 
     def _tokens(self) -> Iterable[str]:
-        """Accepted acts have tokens that don't fall, each of one holder; none is accepted that is stale."""
-        holder: dict[tuple[str, int], tuple[str, int | None]] = {}
-        for h in self.lease_periods:
-            if holder.setdefault((h.task, h.token), (h.member, h.incarnation)) != (h.member, h.incarnation):
-                yield f"token {h.token} of {h.task} was held by {holder[h.task, h.token]} and {h.member}"
+        """Tokens of accepted exports never decrease, and each token has one holder."""
+        holders: dict[tuple[str, int], tuple[str, int | None]] = {}
+        for period in self.lease_periods:
+            if holders.setdefault((period.task, period.token), (period.member, period.incarnation)) != (
+                period.member,
+                period.incarnation,
+            ):
+                yield (
+                    f"token {period.token} of {period.task} was held by "
+                    f"{holders[period.task, period.token]} and {period.member}"
+                )
         highest: dict[str, int] = {}
-        for act in self.exports:
-            known = holder.get((act.task, act.token))
-            if known is not None and known[0] != act.holder:
-                yield f"token {act.token} of {act.task} is {known[0]}'s, {act.holder} acted with it"
-            if act.accepted and act.token < highest.get(act.task, 0):
-                yield f"a stale act was accepted: {act}"
-            highest[act.task] = max(act.token, highest.get(act.task, 0))
+        for export in self.exports:
+            owner = holders.get((export.task, export.token))
+            if owner is not None and owner[0] != export.holder:
+                yield f"token {export.token} of {export.task} is {owner[0]}'s, {export.holder} acted with it"
+            if export.accepted and export.token < highest.get(export.task, 0):
+                yield f"a stale act was accepted: {export}"
+            highest[export.task] = max(export.token, highest.get(export.task, 0))
 
     def _registers(self) -> Iterable[str]:
-        """Changes form one chain from the first value on, and their order is that of the outside clock.
+        """Changes form one chain from the first value on, in the order of the outside clock.
 
-        An asking whose end nobody heard of may have come into force: it is the one whose value others met.
+        A change whose outcome was not logged may have been chosen; others then read its value.
         """
-        for register in {c.register for c in self.changes}:
-            mine = [c for c in self.changes if c.register == register]
-            after: dict[str, RegisterChange] = {}
-            for c in mine:
-                if c.before != c.after and c.before in after and after[c.before].after != c.after:
-                    yield f"{register}: two changes of {c.before!r}: {after[c.before]} and {c}"
-                if c.before != c.after:
-                    after[c.before] = c
-            # Whoever asked after another had its answer must meet that value or a later one. Values are
-            # ordered by token and asking; a set is chosen once.
-            best: tuple[float, tuple[int, ...]] | None = None
-            ends = sorted(mine, key=lambda c: c.at)
-            begins = sorted(mine, key=lambda c: c.requested_at)
+        for register in {change.register for change in self.changes}:
+            changes = [change for change in self.changes if change.register == register]
+            change_of: dict[str, RegisterChange] = {}
+            for change in changes:
+                if (
+                    change.before != change.after
+                    and change.before in change_of
+                    and change_of[change.before].after != change.after
+                ):
+                    yield (
+                        f"{register}: two changes of {change.before!r}: "
+                        f"{change_of[change.before]} and {change}"
+                    )
+                if change.before != change.after:
+                    change_of[change.before] = change
+            # A change requested after another one completed must read that value or a later one. Values are
+            # ordered by token and proposal number; a membership set is chosen once.
+            newest: tuple[float, tuple[int, ...]] | None = None
+            by_completion = sorted(changes, key=lambda change: change.at)
+            by_request = sorted(changes, key=lambda change: change.requested_at)
             n = 0
-            for c in begins:
-                while n < len(ends) and ends[n].at < c.requested_at:
-                    value = register_order(ends[n].after)
-                    if best is None or value > best[1]:
-                        best = ends[n].at, value
+            for change in by_request:
+                while n < len(by_completion) and by_completion[n].at < change.requested_at:
+                    value = register_order(by_completion[n].after)
+                    if newest is None or value > newest[1]:
+                        newest = by_completion[n].at, value
                     n += 1
-                if best is not None and register_order(c.before) < best[1]:
-                    yield f"{register}: {c} met an older value than was in force at {best[0]:.3f}"
+                if newest is not None and register_order(change.before) < newest[1]:
+                    yield f"{register}: {change} met an older value than was in force at {newest[0]:.3f}"
 
 
 def register_order(value: str) -> tuple[int, ...]:
-    """A value's place in the order of its register: token, whether it was given back, asking."""
+    """The sort key of a register's value: token, whether the lease was released, proposal number."""
     parts = value.split("/")
     if len(parts) != 4:
         return (1 if value else 0,)
     return int(parts[2]), int(parts[1] == "0"), int(parts[3])
 
 
-# The faults, and their schedule.
+# Faults and their schedule.
 
 
 class Fault(NamedTuple):
-    """One fault of a schedule: when it comes, how long it stays, and whom it hits."""
+    """One fault of a schedule: its start, its duration and the members that it affects."""
 
     start_s: float
     duration_s: float
@@ -454,49 +474,51 @@
 
 
 def draw_schedule(seed: int, names: list[str], seconds: float, gap: float = 3.0) -> list[Fault]:
-    """Faults drawn from a seed, one after the other or two side by side; all kinds come in turn.
+    """Draw faults from a seed, one after the other or two at a time, with all kinds in turn.
 
-    Those that take a disk or the quorum come alone: what is lost beyond a minority is lost for good.
+    Faults of a disk or of the quorum come alone: records that a majority loses can't be recovered.
     """
-    drawn = random.Random(seed)
+    rng = random.Random(seed)
     faults: list[Fault] = []
-    at, kinds = 0.0, list[str]()
-    while at < seconds:
+    start_s, kinds = 0.0, list[str]()
+    while start_s < seconds:
         if not kinds:
             kinds = list(KINDS)
-            drawn.shuffle(kinds)
+            rng.shuffle(kinds)
         kind = kinds.pop()
-        member, other = drawn.sample(names, 2)
-        lasts = drawn.uniform(0.3, 4.0)
-        faults.append(Fault(at, lasts, kind, member, other))
+        member, other = rng.sample(names, 2)
+        duration_s = rng.uniform(0.3, 4.0)
+        faults.append(Fault(start_s, duration_s, kind, member, other))
         alone = kind in ALONE or bool(kinds) and kinds[-1] in ALONE
-        at += lasts + gap * drawn.uniform(0.7, 1.3) if alone else drawn.uniform(0.5, gap + lasts)
+        start_s += duration_s + gap * rng.uniform(0.7, 1.3) if alone else rng.uniform(0.5, gap + duration_s)
     return faults
 
 
 @dataclass
 class ScheduleResult:
-    """When what was done."""
+    """When faults were injected and ended."""
 
-    kills: list[tuple[float, tuple[str, ...]]] = field(default_factory=list)  # the tasks that lost a holder
+    kills: list[tuple[float, tuple[str, ...]]] = field(default_factory=list)  # with the tasks of the holder
     heals: list[float] = field(default_factory=list)
     skipped: int = 0
 
 
 class FaultInjector:
-    """Plays a schedule over a cluster."""
+    """Injects the faults of a schedule into a cluster."""
 
     def __init__(self, cluster: Cluster, seed: int) -> None:
         self.cluster, self.random = cluster, random.Random(f"{seed} play")
         self.result = ScheduleResult()
-        self.affected: set[str] = set()  # who is down, stopped or cut off by a fault of now
+        self.affected: set[str] = set()  # members that an active fault has stopped, killed or cut off
 
-    def run(self, faults: list[Fault], told: Callable[[str], None] = lambda _: None) -> ScheduleResult:
-        """Play them all; every fault is over when this returns."""
-        began, pending = time.monotonic(), list[tuple[float, Callable[[], None]]]()
+    def run(self, faults: list[Fault], report: Callable[[str], None] = lambda _: None) -> ScheduleResult:
+        """Inject all faults; every one has ended when this returns."""
+        started_at, pending = time.monotonic(), list[tuple[float, Callable[[], None]]]()
         for fault in faults:
-            self._end_faults_until(began + fault.start_s, pending)
-            told(f"{fault.start_s:7.2f} {fault.kind} {fault.member} {fault.other} for {fault.duration_s:.2f}")
+            self._end_faults_until(started_at + fault.start_s, pending)
+            report(
+                f"{fault.start_s:7.2f} {fault.kind} {fault.member} {fault.other} for {fault.duration_s:.2f}"
+            )
             over = self._begin(fault)
             if over is not None:
                 pending.append((time.monotonic() + fault.duration_s, over))
@@ -523,64 +545,71 @@
         if "holder" in fault.kind:
             holders = [h for h in cluster.holders().values() if h not in self.affected]
             member = self.random.choice(sorted(holders)) if holders else member
-        beside = 0 if fault.kind in ALONE else (len(cluster.names) - 1) // 2 - 1  # others that may be hit
-        if member in self.affected or len(self.affected) > beside:
+        # How many other members may be affected at the same time.
+        max_others = 0 if fault.kind in ALONE else (len(cluster.names) - 1) // 2 - 1
+        if member in self.affected or len(self.affected) > max_others:
             self.result.skipped += 1
             return None
-        hit = {member}
+        affected = {member}
         if fault.kind == "quorum lost":
-            hit = set(self.random.sample(cluster.names, len(cluster.names) // 2 + 1))
+            affected = set(self.random.sample(cluster.names, len(cluster.names) // 2 + 1))
         elif fault.kind in ("delay", "slow", "reset", "half", "slow sync"):
-            hit = set()
-        self.affected |= hit
-        end = getattr(self, "_" + fault.kind.replace(" holder", "").replace(" ", "_"))(member, fault, hit)
+            affected = set()
+        self.affected |= affected
+        end = getattr(self, "_" + fault.kind.replace(" holder", "").replace(" ", "_"))(
+            member, fault, affected
+        )
 
         def over() -> None:
             end()
-            self.affected -= hit
+            self.affected -= affected
 
         return over
 
     def _directions(self, member: str) -> list[LinkDirection]:
-        return [way for pair, way in self.cluster.proxy.directions.items() if member in pair]
+        return [direction for pair, direction in self.cluster.proxy.directions.items() if member in pair]
 
-    def _kill(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _kill(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         held = tuple(task for task, holder in self.cluster.holders().items() if holder == member)
         self.cluster.signal(member, signal.SIGKILL)
         if "holder" in fault.kind:
             self.result.kills.append((time.monotonic(), held))
         return lambda: self.cluster.start(member)
 
-    def _terminate(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _terminate(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         self.cluster.signal(member, signal.SIGTERM)
         return lambda: self.cluster.start(member)
 
-    def _stop(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _stop(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         self.cluster.signal(member, signal.SIGSTOP)
         return lambda: self.cluster.signal(member, signal.SIGCONT)
 
-    def _cut(self, ways: list[LinkDirection]) -> Callable[[], None]:
-        for way in ways:
-            way.cut = True
+    def _cut(self, directions: list[LinkDirection]) -> Callable[[], None]:
+        for direction in directions:
+            direction.cut = True
 
         def heal() -> None:
-            for way in ways:
-                way.cut = False
+            for direction in directions:
+                direction.cut = False
 
         return heal
 
-    def _cut_off(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _cut_off(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         return self._cut(self._directions(member))
 
-    def _cut_one_way(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        return self._cut([way for (a, _), way in self.cluster.proxy.directions.items() if a == member])
+    def _cut_one_way(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
+        return self._cut(
+            [direction for (a, _), direction in self.cluster.proxy.directions.items() if a == member]
+        )
 
-    def _stall(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
-        ways = self.cluster.proxy.directions
-        return self._cut([ways[member, fault.other], ways[fault.other, member]])
+    def _stall(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
+        directions = self.cluster.proxy.directions
+        return self._cut([directions[member, fault.other], directions[fault.other, member]])
 
-    def _quorum_lost(self, member: str, fault: Fault, hit: set[str]) -> Callable[[], None]:
-        heal = self._cut([way for pair, way in self.cluster.proxy.directions.items() if set(pair) & hit])
+    def _quorum_lost(self, member: str, fault: Fault, affected: set[str]) -> Callable[[], None]:
+        heal = self._cut(
+            [direction for pair, direction in self.cluster.proxy.directions.items() if set(pair) & affected]
+        )
 
         def over() -> None:
             heal()
@@ -588,47 +617,47 @@
 
         return over
 
-    def _delay(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _delay(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         return self._set(self._directions(member), "delay_s", 0.15, 0.0)
 
-    def _slow(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _slow(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         return self._set(self._directions(member), "chunk_bytes", 16, 0)
 
-    def _set(self, ways: list[LinkDirection], name: str, value: Any, former: Any) -> Callable[[], None]:
-        for way in ways:
-            setattr(way, name, value)
+    def _set(self, directions: list[LinkDirection], name: str, value: Any, former: Any) -> Callable[[], None]:
+        for direction in directions:
+            setattr(direction, name, value)
 
         def over() -> None:
-            for way in ways:
-                setattr(way, name, former)
+            for direction in directions:
+                setattr(direction, name, former)
 
         return over
 
-    def _reset(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _reset(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         self.cluster.proxy.reset(member, fault.other)
         return lambda: None
 
-    def _half(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _half(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         return self._set([self.cluster.proxy.directions[member, fault.other]], "break_message", True, False)
 
-    def _slow_sync(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _slow_sync(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         self.cluster.set_disk_faults(member, slow=0.3)
         return lambda: self.cluster.set_disk_faults(member)
 
-    def _sync_fails(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _sync_fails(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         self.cluster.set_disk_faults(member, sync="EIO")
         return lambda: self.cluster.set_disk_faults(member)
 
-    def _disk_full(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _disk_full(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         self.cluster.set_disk_faults(member, write="ENOSPC")
         return lambda: self.cluster.set_disk_faults(member)
 
-    def _disk_lost(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _disk_lost(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         self.cluster.signal(member, signal.SIGKILL)
         shutil.rmtree(self.cluster.members[member].folder / "disk")
         return lambda: self.cluster.start(member)
 
-    def _old_disk(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _old_disk(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         disk = self.cluster.members[member].folder / "disk"
         old = disk.with_name("old")
         shutil.copytree(disk, old, dirs_exist_ok=True)
@@ -641,7 +670,7 @@
 
         return over
 
-    def _disk_lies(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _disk_lies(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         logs = self.cluster.register_logs(member)
         honest = logs[-1].stat().st_size if logs else 0
         self.cluster.set_disk_faults(member, lie=True)
@@ -656,7 +685,7 @@
 
         return over
 
-    def _bit_flipped(self, member: str, fault: Fault, hit: Any) -> Callable[[], None]:
+    def _bit_flipped(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         self.cluster.signal(member, signal.SIGKILL)
         for log in self.cluster.register_logs(member)[-1:]:
             data = bytearray(log.read_bytes())
@@ -666,5 +695,5 @@
 
 
 def export_tasks() -> tuple[str, ...]:
-    """The tasks of each member."""
+    """The export tasks of each member."""
     return TASKS
--- a/tests/follower_cluster.py
+++ b/tests/follower_cluster.py
@@ -158,7 +158,7 @@
     """So many voters that serve followers, further relays, and followers; zones in two regions."""
 
     def __init__(self, folder: Path, voters: int = 3, relays: int = 0, followers: int = 3) -> None:
-        super().__init__(folder, voters, every_s=5.0)
+        super().__init__(folder, voters, export_interval_s=5.0)
         self.voters = list(self.names)
         self.relays = [*self.voters, *(f"r{n}" for n in range(relays))]
         self.followers = [f"f{n}" for n in range(followers)]
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,7 @@
-"""Small stand-ins for job runners and discovery, on loopback addresses and ports of the system's choice."""
+"""Stand-ins for workers and the discovery service, and a testbed that runs a dispatcher against them.
+
+The stand-ins listen on loopback addresses, on ports that the operating system chooses.
+"""
 
 from __future__ import annotations
 
@@ -84,41 +87,41 @@
 """
 
 
-def wait_until(true: Callable[[], bool], seconds: float = 20.0) -> None:
-    """Wait for something to become true; how long it takes on a busy machine does not matter."""
-    until = time.monotonic() + seconds
-    while not true():
-        assert time.monotonic() < until, "it did not happen"
+def wait_until(condition: Callable[[], bool], seconds: float = 20.0) -> None:
+    """Wait until a condition holds; the timeout is generous, since a busy machine may be slow."""
+    deadline = time.monotonic() + seconds
+    while not condition():
+        assert time.monotonic() < deadline, "the condition did not hold in time"
         time.sleep(0.005)
 
 
-def send_admin_command(door: Address, line: str) -> str:
-    """One call at the operators' door."""
-    with socket.create_connection(door, 30) as caller:
-        caller.sendall(line.encode() + b"\n")
-        return caller.makefile().read()
+def send_admin_command(address: Address, command: str) -> str:
+    """Send one command to an admin server and return its response."""
+    with socket.create_connection(address, 30) as client:
+        client.sendall(command.encode() + b"\n")
+        return client.makefile().read()
 
 
-def repeat_admin_command(door: Address, line: str) -> None:
-    """Call until it is a SUCCESS: during an upgrade a busy machine may have it be said again."""
-    wait_until(lambda: send_admin_command(door, line).startswith("SUCCESS"))
+def repeat_admin_command(address: Address, command: str) -> None:
+    """Send a command until it succeeds; during a hot restart on a busy machine the first may fail."""
+    wait_until(lambda: send_admin_command(address, command).startswith("SUCCESS"))
 
 
-def reports_ready(door: Address) -> bool:
-    """Whether the door says that its process is ready."""
+def reports_ready(address: Address) -> bool:
+    """Whether the admin server at this address reports that its process is ready."""
     try:
-        return send_admin_command(door, "health").startswith("SUCCESS")
+        return send_admin_command(address, "health").startswith("SUCCESS")
     except OSError:
         return False
 
 
 def send_request(address: Address, method: str, path: str, body: bytes, headers: dict[str, str]) -> Response:
-    """One request on a connection of its own."""
+    """Send one HTTP request on a new connection."""
     connection = http.client.HTTPConnection(*address, timeout=30)
     try:
         connection.request(method, path, body, headers)
-        answer = connection.getresponse()
-        return answer.status, {k.lower(): v for k, v in answer.getheaders()}, answer.read()
+        response = connection.getresponse()
+        return response.status, {k.lower(): v for k, v in response.getheaders()}, response.read()
     finally:
         connection.close()
 
@@ -144,7 +147,7 @@
         body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
         self.server.stand_in.handle(self, body)
 
-    do_GET = do_POST = do_PUT = do_DELETE = _any  # noqa: N815 (the library's names)
+    do_GET = do_POST = do_PUT = do_DELETE = _any  # noqa: N815 (names that http.server requires)
 
     def reply(self, status: int, body: bytes = b"", **headers: str) -> None:
         self.send_response(status)
@@ -156,7 +159,7 @@
 
 
 class StandIn:
-    """A server on a thread; `handle` says what it does."""
+    """An HTTP server on a thread; subclasses implement `handle`."""
 
     def __init__(self) -> None:
         self.connections = 0
@@ -175,7 +178,7 @@
 
 @dataclass
 class ReceivedJob:
-    """What a runner was sent."""
+    """A job as a worker received it."""
 
     path: str
     headers: dict[str, str]
@@ -184,13 +187,13 @@
 
 @dataclass
 class JobRuns:
-    """How often each job has run, over all runners."""
+    """How often each job has run, over all workers."""
 
     counts: dict[str, int] = field(default_factory=dict)
 
 
 class WorkerStandIn(StandIn):
-    """Takes jobs with 202, runs each for a while and calls back."""
+    """Accepts jobs with 202, runs each for `job_seconds` and sends a callback with the result."""
 
     def __init__(self, uid: str, testbed: DispatcherTestbed, seconds: float = 0.0) -> None:
         self.uid, self.testbed, self.job_seconds = uid, testbed, seconds
@@ -199,16 +202,16 @@
         self.final_state = "done"
         self.jobs: list[ReceivedJob] = []
         self.cancelled: list[str] = []
-        self.confirms_cancel = False  # whether it says that it gives a job up, and then does
-        self.skips_callbacks = False  # whether it keeps silent about ends
-        self.unresponsive = False  # whether it answers nothing at all
-        self.waiting_requests = 0  # connections that it holds while it is hung
+        self.confirms_cancel = False  # whether it confirms a cancel, and then sends no callback for that job
+        self.skips_callbacks = False  # whether it sends no callback when a job ends
+        self.unresponsive = False  # whether it responds to no request at all
+        self.waiting_requests = 0  # requests that hang while it is unresponsive
         super().__init__()
 
     def handle(self, http: _Handler, body: bytes) -> None:
         if self.unresponsive:
             self.waiting_requests += 1
-            http.rfile.read(1)  # until the dispatcher ends the connection
+            http.rfile.read(1)  # until the dispatcher closes the connection
             self.waiting_requests -= 1
             http.close_connection = True
             return
@@ -234,9 +237,9 @@
             call_id, state=self.final_state, result=f"result of {call_id}", load={"x0": 8, "x1": 8}
         )
 
-    def call_back(self, call_id: str, **what: Any) -> int | None:
-        """Call back until it is answered, ten times at most."""
-        message = json.dumps({"id": call_id, "from": self.uid, **what}).encode()
+    def call_back(self, call_id: str, **fields: Any) -> int | None:
+        """Send a callback, with at most ten tries, until there is a response."""
+        message = json.dumps({"id": call_id, "from": self.uid, **fields}).encode()
         for _ in range(10):
             try:
                 return send_request(self.testbed.client_address, "POST", "/callback", message, {})[0]
@@ -246,30 +249,30 @@
 
 
 class DiscoveryStandIn(StandIn):
-    """Serves the list of the testbed's runners, and watches of it."""
+    """Serves the testbed's worker list to clients that watch it."""
 
     def __init__(self, testbed: DispatcherTestbed) -> None:
         self.testbed = testbed
         self.revision = 1
-        self.sent_revision = 0  # the newest version that a watch was sent
+        self.sent_revision = 0  # the newest revision that was sent to a watch
         self.watch_count = 0
         self.paused = False
         super().__init__()
 
     def full_list(self) -> bytes:
-        """The whole list."""
+        """The complete worker list as one line."""
         targets = [
             {
-                "uid": r.uid,
-                "endpoint": f"127.0.0.1:{r.address[1]}",
+                "uid": worker.uid,
+                "endpoint": f"127.0.0.1:{worker.address[1]}",
                 "az": "here",
                 "model": "c8",
                 "pod_group": 0,
-                "state": r.state,
+                "state": worker.state,
                 "capacity_hint": 1.0,
                 "boot_ms": 0,
             }
-            for r in self.testbed.workers
+            for worker in self.testbed.workers
         ]
         return json.dumps({"rev": self.revision, "all": True, "targets": targets}).encode() + b"\n"
 
@@ -278,17 +281,17 @@
         http.send_header("Transfer-Encoding", "chunked")
         http.end_headers()
         self.watch_count += 1
-        sent, heard = 0, 0.0
+        sent_revision, last_sent_at = 0, 0.0
         while not self.testbed.closed:
             if self.paused:
                 time.sleep(0.05)
                 continue
-            if sent != self.revision or time.monotonic() - heard > 1.0:
-                data = self.full_list() if sent != self.revision else b"\n"
-                sent, heard = self.revision, time.monotonic()
+            if sent_revision != self.revision or time.monotonic() - last_sent_at > 1.0:
+                data = self.full_list() if sent_revision != self.revision else b"\n"
+                sent_revision, last_sent_at = self.revision, time.monotonic()
                 try:
                     http.wfile.write(b"%x\r\n%s\r\n" % (len(data), data))
-                    self.sent_revision = sent
+                    self.sent_revision = sent_revision
                 except OSError:
                     break
             time.sleep(0.005)
@@ -296,7 +299,7 @@
 
 
 class DispatcherTestbed:
-    """Runners, discovery and one dispatcher, which is started as the platform starts it."""
+    """Stand-in workers and discovery, and a dispatcher that is started as the platform starts it."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -308,29 +311,28 @@
         self.client_address: Address = ("127.0.0.1", reserved_port())
         self.admin_address: Address = ("127.0.0.1", reserved_port())
         self.processes: list[subprocess.Popen[bytes]] = []
-        self.initial_list: dict[str, Any] = {}  # the list that a dispatcher holds at its start
-        self.shared_socket: socket.socket | None = (
-            None  # the clients' listening socket, where the platform holds it
-        )
+        self.initial_list: dict[str, Any] = {}  # the worker list that a dispatcher is started with
+        # The listening socket for clients, if the testbed owns it.
+        self.shared_socket: socket.socket | None = None
 
     @property
     def process(self) -> subprocess.Popen[bytes]:
-        """The newest dispatcher."""
+        """The dispatcher process that was started last."""
         return self.processes[-1]
 
     def add_worker(self, uid: str, seconds: float = 0.0) -> WorkerStandIn:
-        """Add a job runner."""
+        """Add a worker."""
         self.workers.append(WorkerStandIn(uid, self, seconds))
         self.discovery.revision += 1
         return self.workers[-1]
 
     def set_state(self, runner: WorkerStandIn, state: str) -> None:
-        """Have discovery tell a state."""
+        """Have discovery report a new state of a worker."""
         runner.state = state
         self.discovery.revision += 1
 
     def start(self) -> Address:
-        """Start the dispatcher; back once it is ready."""
+        """Start the dispatcher, wait until it is ready and return its address for clients."""
         config = PLATFORM_CONFIG | {"known": self.initial_list}
         path = self.folder / "config.json"
         path.write_text(json.dumps(config))
@@ -344,15 +346,15 @@
         self.launch([], environ)
         return self.client_address
 
-    def start_on_shared_socket(self, door: Address | None = None) -> Address:
-        """Start a process on the clients' socket, which the platform holds; returns its door.
+    def start_on_shared_socket(self, admin_address: Address | None = None) -> Address:
+        """Start a process on the listening socket that the testbed owns; return its admin address.
 
-        The first is the dispatcher, each further one an upgrade of it. All share one folder.
+        The first process is the dispatcher, each further one is a hot restart of it. All share one folder.
         """
         if self.shared_socket is None:
             self.shared_socket = socket.create_server(self.client_address, backlog=256)
             (self.folder / "config.json").write_text(json.dumps(PLATFORM_CONFIG))
-        door = door or ("127.0.0.1", reserved_port())
+        admin_address = admin_address or ("127.0.0.1", reserved_port())
         environ = {
             "RELAY_NAME": "n0",
             "RELAY_CONFIG": str(self.folder / "config.json"),
@@ -360,13 +362,13 @@
             "RELAY_LISTEN": f"127.0.0.1:{self.client_address[1]}",
             "RELAY_LISTEN_FD": str(self.shared_socket.fileno()),
             "RELAY_DISCOVERY": f"127.0.0.1:{self.discovery.address[1]}",
-            "RELAY_CONTROL": f"127.0.0.1:{door[1]}",
+            "RELAY_CONTROL": f"127.0.0.1:{admin_address[1]}",
         }
         command = [sys.executable, "-m", "grebestack"]
         self.processes.append(
             subprocess.Popen(command, env=os.environ | environ, pass_fds=[self.shared_socket.fileno()])
         )
-        return door
+        return admin_address
 
     def launch(self, arguments: list[str], environ: dict[str, str]) -> None:
         """Start the program and wait until it is ready."""
@@ -376,8 +378,8 @@
         wait_until(self.is_ready)
 
     def is_ready(self) -> bool:
-        """Whether the newest dispatcher, which must be running, says that it is ready."""
-        assert self.process.poll() is None, "the program ended"
+        """Whether the newest dispatcher, which must be running, reports that it is ready."""
+        assert self.process.poll() is None, "the dispatcher has ended"
         try:
             return send_request(self.client_address, "GET", "/health/ready", b"", {})[0] == 200
         except OSError:
@@ -386,7 +388,7 @@
     def start_from_operator_file(
         self, source: str = "discovery", settings: str = "", consul_wait: str = ""
     ) -> Address:
-        """Start the dispatcher from an operator's file; returns the DRMAA front's address."""
+        """Start the dispatcher from an operator's file; return the address of its DRMAA API."""
         if not hasattr(self, "drmaa_address"):
             self.drmaa_address: Address = ("127.0.0.1", reserved_port())
         path = self.folder / "appliance.toml"
@@ -409,24 +411,24 @@
         return self.drmaa_address
 
     def kill(self) -> None:
-        """Have the dispatcher die."""
+        """Kill the dispatcher."""
         self.process.kill()
         self.process.wait()
 
-    def in_background(self, work: Callable[[], T]) -> Callable[[], T]:
-        """Do something on a thread; the call returned waits for what came of it."""
-        done: list[T] = []
-        thread = threading.Thread(target=lambda: done.append(work()), daemon=True)
+    def in_background(self, function: Callable[[], T]) -> Callable[[], T]:
+        """Call a function on a thread; return a function that waits for its result."""
+        results: list[T] = []
+        thread = threading.Thread(target=lambda: results.append(function()), daemon=True)
         thread.start()
 
         def result() -> T:
             thread.join(30)
-            return done[0]
+            return results[0]
 
         return result
 
     def close(self) -> None:
-        """End all that was started."""
+        """Stop everything that was started."""
         self.closed = True
         for process in self.processes:
             if process.poll() is None:
--- a/tests/test_cluster_tasks.py
+++ b/tests/test_cluster_tasks.py
@@ -308,8 +308,8 @@
         tmp_path / "cluster",
         3,
         term_s=1.0,
-        more="share_servers = true\n",
-        servers=f'source = "discovery"\naddress = "127.0.0.1:{discovery.address[1]}"\n',
+        cluster_settings="share_servers = true\n",
+        worker_source=f'source = "discovery"\naddress = "127.0.0.1:{discovery.address[1]}"\n',
     )
 
     def one_member_reads() -> bool:
@@ -346,7 +346,7 @@
 
 
 def test_a_cluster_of_processes_restarts_one_member_at_a_time(tmp_path: Path) -> None:
-    cluster = Cluster(tmp_path, 3, term_s=1.0, more="return_s = 30.0\npause_s = 0.2\n")
+    cluster = Cluster(tmp_path, 3, term_s=1.0, cluster_settings="return_s = 30.0\npause_s = 0.2\n")
     restarted, max_down = set[str](), 0
 
     def supervise() -> None:
