--- a/grebestack/cluster_tasks/shared_discovery.py
+++ b/grebestack/cluster_tasks/shared_discovery.py
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadSource:
-    """Begin or stop reading the own source."""
+    """Begin or stop reading this member's source."""
 
     enabled: bool
 
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseLease:
-    """Release the lease, since the own source does not respond."""
+    """Release the lease, since this member's source does not respond."""
 
 
 Action = SendMessage | ReadSource | UpdateList | ConfirmLists | ReleaseLease
@@ -142,7 +142,7 @@
     holder: str = ""  # the member that is followed; empty: none
     is_current: bool = False  # whether all changes that the holder has sent were received
     received_entries: list[ListEntry] = field(default_factory=list)  # of an incomplete list
-    source_responded_ms: float | None = None  # when the own source last responded
+    source_responded_ms: float | None = None  # when this member's source last responded
     next_heartbeat_ms: float = 0.0
     lease_since_ms: float = 0.0
 
@@ -179,7 +179,7 @@
         return actions
 
     def is_source_healthy(self, now_ms: float) -> bool:
-        """Return whether the own source is read and has responded within its timeout."""
+        """Return whether this member reads its source, which has responded within its timeout."""
         responded_ms = self.source_responded_ms
         if not self.reads_source or responded_ms is None:
             return False
@@ -191,20 +191,20 @@
         self.reads_source = enabled
         return [ReadSource(enabled)]
 
-    # Events of the own source.
+    # Events of this member's source.
 
     def on_source_responded(self, now_ms: float) -> None:
-        """Handle a response of the own source, with or without changes."""
+        """Handle a response of this member's source, with or without changes."""
         self.source_responded_ms = now_ms
 
     def on_source_failed(self) -> None:
-        """Handle a failure of the own source to respond."""
+        """Handle a failed read of this member's source."""
         self.source_responded_ms = None
 
     def on_source_update(
         self, now_ms: float, source: int, is_complete_list: bool, entries: Iterable[ListEntry]
     ) -> list[Action]:
-        """Handle a list or changes from the own source: the holder sends them to the others."""
+        """Handle a list or changes from this member's source; the holder sends them to the others."""
         self.source_responded_ms = now_ms
         entries = tuple(entries)
         self._apply(source, is_complete_list, entries)
--- a/grebestack/consensus/acceptor.py
+++ b/grebestack/consensus/acceptor.py
@@ -242,8 +242,8 @@
         incarnation, reported = handshake.log_positions.get(self.name, ("", 0))
         if incarnation != self.state.disk_incarnation:
             reported = 0
-        # At the first contact it can only know of records that were durable before the start. Records written
-        # since then must not make up for lost ones.
+        # At the first contact the member can only know of records that were durable before the start. Records
+        # written since then must not make up for lost ones.
         is_first_contact = handshake.name not in self.confirming_peers
         last_expected = self.recovered_record if is_first_contact else self.last_record
         if reported > last_expected:
--- a/grebestack/consensus/failure_detector.py
+++ b/grebestack/consensus/failure_detector.py
@@ -15,7 +15,7 @@
 from grebestack.consensus.actions import Action, Disconnect, LogMessage, Send
 from grebestack.consensus.messages import Heartbeat, HeartbeatResponse
 
-INDIRECT_PROBES = 2  # members that are asked about a silent one
+INDIRECT_PROBES = 2  # members that are asked about an unresponsive one
 MAX_TOLERANCE = 8.0  # multiplies the timeout
 TOLERANCE_GROWTH = 2.0  # factor after a late tick
 TOLERANCE_DECAY = 0.9  # factor after each punctual tick
@@ -152,7 +152,7 @@
         return actions
 
     def _probe(self, name: str, peer: _PeerRecord, now_ms: float) -> list[Action]:
-        """Ask some members that are up about a silent one."""
+        """Ask some members that are up about an unresponsive one."""
         up = [n for n in self.peers if n != name and self.state_of(n, now_ms) is PeerState.UP]
         chosen = self.random.sample(up, min(INDIRECT_PROBES, len(up)))
         if peer.probed_since_ms is None and chosen:
--- a/grebestack/consensus/lease.py
+++ b/grebestack/consensus/lease.py
@@ -160,7 +160,7 @@
     proposed_ms: float | None = None  # when the open proposal began
     proposal_count: int = 0  # in this process incarnation
     next_proposal_ms: float = 0.0  # no proposal before this
-    is_candidate: bool = True  # whether this member wants the lease
+    is_candidate: bool = True  # whether this member tries to acquire the lease
 
     def valid_token(self, now_ms: float) -> int | None:
         """Return the fencing token to act with now, or None. Call this before each act; do not cache it."""
--- a/grebestack/consensus/messages.py
+++ b/grebestack/consensus/messages.py
@@ -49,7 +49,7 @@
         return frozenset(name for name, _ in self.members)
 
     def is_voter(self, name: str, disk_incarnation: str) -> bool:
-        """Tell whether a member's vote counts under this disk incarnation."""
+        """Return whether a member's vote counts under this disk incarnation."""
         return (name, disk_incarnation) in self.members
 
 
--- a/grebestack/consensus/register.py
+++ b/grebestack/consensus/register.py
@@ -22,7 +22,7 @@
 
 
 class Ballot(NamedTuple):
-    """The number that orders the proposals for a register. Each proposal has its own."""
+    """The ballot number of a proposal. Ballots order the proposals for a register; no two share one."""
 
     number: int = 0
     member: str = ""
--- a/grebestack/consensus/replica.py
+++ b/grebestack/consensus/replica.py
@@ -103,7 +103,7 @@
         return self.acceptor.state.config
 
     def start(self, now_ms: float) -> list[Action]:
-        """Begin with the recovered state."""
+        """Start from the recovered state."""
         self._observe_registers(now_ms)
         return self._deliver_to_self(now_ms, self.acceptor.start())
 
--- a/grebestack/consensus/witnesses.py
+++ b/grebestack/consensus/witnesses.py
@@ -16,11 +16,11 @@
 
 
 class RecordWitnesses:
-    """The records of the own log that each connected member knows of."""
+    """The records of this member's log that each connected member knows of."""
 
     def __init__(self) -> None:
         """Initialize without connections."""
-        self.known_records: dict[str, int] = {}  # by connected member: the last own record that it knows of
+        self.known_records: dict[str, int] = {}  # by connected member: the last record it knows of
         self.open_heartbeats: dict[
             str, deque[int]
         ] = {}  # the record sent with each open_heartbeats heartbeat
@@ -54,7 +54,7 @@
         return sum(self.known_records.get(name, 0) >= record for name in among)
 
     def members_to_notify(self, record: int, among: Collection[str]) -> list[str]:
-        """Return the connected members that do not know of a record and have no heartbeat with it open."""
+        """Return the connected members that neither know of a record nor have an open heartbeat with it."""
         return sorted(
             name
             for name in among
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -39,9 +39,7 @@
         self.disk: list[LogRecord] = []
         self.synced = 0
         self.starts = 0
-        self.generation = (
-            0  # incremented with each start and new disk; callbacks of an earlier one are ignored
-        )
+        self.generation = 0  # incremented with each start and new disk; older callbacks are ignored
         self.up = False
         self.ignores_syncs = False  # the disk reports syncs that it did not do
         self.stopped_until = 0.0
