--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -310,7 +310,7 @@
     """
     try:
         if not stat.S_ISREG(os.stat(path).st_mode):
-            raise ConfigError("not a regular file")
+            raise ConfigError("no regular file")
         with open(path, "rb") as file:
             contents = file.read(MAX_CONTENTS_BYTES + 1)
     except OSError as error:
