--- a/grebestack/program/console_arguments.py
+++ b/grebestack/program/console_arguments.py
@@ -71,7 +71,7 @@
     submit.add_argument(
         "--any", action="store_true", help="start after any one of the --after jobs instead of all"
     )
-    submit.add_argument("--priority", type=int, help="-100 to 100; each 50 more halve the latency objective")
+    submit.add_argument("--priority", type=int, help="-100 to 100; adding 50 halves the latency objective")
     submit.add_argument(
         "--wanted", type=float, metavar="S", help="latency objective: how long the job may wait in the queue"
     )
