--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures shared by the tests; hypothesis takes the same steps on every machine."""
+"""Fixtures shared by the tests, and a hypothesis profile that draws the same examples on every machine."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def testbed(tmp_path: Path) -> Iterator[DispatcherTestbed]:
-    """Stand-ins, and a dispatcher once it is started."""
-    made = DispatcherTestbed(tmp_path)
-    yield made
-    made.close()
+    """A testbed whose dispatcher is not started yet."""
+    created = DispatcherTestbed(tmp_path)
+    yield created
+    created.close()
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -1,4 +1,4 @@
-"""Every file that the program writes, by its name in its folder, as hexadecimal digits or as rows."""
+"""Every kind of file that the program writes: its bytes as hexadecimal digits, databases as rows."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from tests.golden_samples import GOLDEN_FOLDER, RECORDS, VERSION_SET, WORKER, encode_record_sample
 
 WAIT_S = 10.0
-INCARNATION = 9_000_000_000_000  # later than any clock says: the next start counts on from it
+INCARNATION = 9_000_000_000_000  # later than any clock, so that the next start increments it
 OLD_CONTENTS, CONTENTS = b"[settings]\nzone = 1\n", b"[settings]\nzone = 2\n"
 OLD_VERSION = Version(16, digest_of(OLD_CONTENTS), len(OLD_CONTENTS), "m-1", 1_700_000_000_001)
 VERSION = Version(17, digest_of(CONTENTS), len(CONTENTS), "m-2", 1_700_000_000_002)
@@ -46,20 +46,20 @@
 
 
 def contents_of(folder: str) -> dict[str, str]:
-    """The files of a folder, but for the lock, which is empty."""
+    """The files of a folder, except for the lock file, which is empty."""
     names = sorted(name for name in os.listdir(folder) if name != "lock")
     return {name: Path(folder, name).read_bytes().hex() for name in names}
 
 
 async def _wait_for(start: Callable[[Callable[[Any], None]], None]) -> Any:
-    """What a call that is answered later on the loop is answered with."""
-    answered: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-    start(answered.set_result)
-    return await asyncio.wait_for(answered, WAIT_S)
+    """The result of an operation that calls back later on the loop."""
+    result: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
+    start(result.set_result)
+    return await asyncio.wait_for(result, WAIT_S)
 
 
 async def _member_files(folder: str) -> dict[str, dict[str, str]]:
-    """The records of a member as it is founded, goes on, begins its file anew and puts it aside."""
+    """The log files of a member after bootstrap, an append, a compaction and a replacement."""
     payloads = [encode_record_sample(record) for record in RECORDS.values()]
     states = {}
     synced: asyncio.Queue[int] = asyncio.Queue()
@@ -80,7 +80,7 @@
 
 
 async def _version_files(folder: str) -> dict[str, str]:
-    """The folder of a configuration with two versions and contents that are not decided."""
+    """The folder of a configuration store with two versions, and contents that are not decided."""
     Path(folder, "life").write_text(str(INCARNATION), encoding="ascii")
     contents = ConfigStore(asyncio.get_running_loop(), folder, "fleet-a")
     contents.open()
@@ -92,45 +92,45 @@
 
 
 def audit_recorder() -> Recorder:
-    """A recorder that ends a segment with each batch."""
+    """A recorder that closes the segment with each batch."""
     return Recorder("d-1", "f00d", VersionSets(VERSION_SET), RecorderLimits(2000.0, 20_000, 1, 100.25), 12)
 
 
 def _audit_files(folder: str) -> dict[str, str]:
-    """Two segments of the record of acts."""
-    told: queue.Queue[str] = queue.Queue()
-    writer = SegmentWriter(folder, 1e9, Files(), told.put)
+    """Two segments of an audit log."""
+    outcomes: queue.Queue[str] = queue.Queue()
+    writer = SegmentWriter(folder, 1e9, Files(), outcomes.put)
     writer.thread.start()
     recorder = audit_recorder()
     recorder.on_versions_changed(1000.5)
     recorder.record_action(1001.5, "send", "job-1", "runner-1")
-    _write_batch(recorder, writer, told)
+    _write_batch(recorder, writer, outcomes)
     recorder.record_action(1002.5, "operator", "cordon", "runner-2")
     recorder.stop(1003.5)
-    _write_batch(recorder, writer, told)
+    _write_batch(recorder, writer, outcomes)
     writer.queue.put(None)
     writer.thread.join(WAIT_S)
     return contents_of(folder)
 
 
-def _write_batch(recorder: Recorder, writer: SegmentWriter, told: queue.Queue[str]) -> None:
+def _write_batch(recorder: Recorder, writer: SegmentWriter, outcomes: queue.Queue[str]) -> None:
     segment = recorder.segment
     batch = recorder.next_batch(1004.5)
     assert batch is not None
     writer.queue.put(RecordBatch(segment, *batch))
-    assert told.get(timeout=WAIT_S) == ""
+    assert outcomes.get(timeout=WAIT_S) == ""
     recorder.on_written()
 
 
-def _founding_files(folder: str) -> dict[str, str]:
-    """What an operator's file with a fleet founds."""
+def _bootstrap_files(folder: str) -> dict[str, str]:
+    """The files that bootstrapping a member from an operator's file creates."""
     text = (GOLDEN_FOLDER / "operator_voter.toml").read_text(encoding="utf-8")
     found_cluster(from_text(os.path.join(folder, "operator.toml"), text))
     return contents_of(os.path.join(folder, "fleet"))
 
 
 def all_files() -> dict[str, Any]:
-    """All files but the database."""
+    """All files except for the databases."""
     with TemporaryDirectory() as top:
         names = ("member", "founding", "configuration", "audit", "snapshot")
         folders = {name: os.path.join(top, name) for name in names}
@@ -139,7 +139,7 @@
         save_lists(os.path.join(folders["snapshot"], "servers.json"), LISTS)
         return {
             "member": asyncio.run(_member_files(folders["member"])),
-            "founding": _founding_files(folders["founding"]),
+            "founding": _bootstrap_files(folders["founding"]),
             "configuration": asyncio.run(_version_files(folders["configuration"])),
             "audit": _audit_files(folders["audit"]),
             "snapshot": contents_of(folders["snapshot"]),
@@ -166,26 +166,26 @@
     store.set_drained("runner-3", True)
 
 
-def _plain(sql: str | None) -> str | None:
-    """A statement without its comments and its layout."""
+def _normalized(sql: str | None) -> str | None:
+    """An SQL statement without comments and line breaks."""
     return None if sql is None else " ".join(re.sub(r"--[^\n]*", "", sql).split())
 
 
 def dump(path: str) -> dict[str, Any]:
-    """The version, the schema without comments, and all rows of a database; no other may have it open."""
+    """The version, schema and rows of a database, which no other connection may have open."""
     database = sqlite3.connect(path)
     (version,) = database.execute("PRAGMA user_version").fetchone()
-    chosen = "SELECT type, name, tbl_name, sql FROM sqlite_master ORDER BY type, name"
-    schema = [[kind, name, table, _plain(sql)] for kind, name, table, sql in database.execute(chosen)]
+    query = "SELECT type, name, tbl_name, sql FROM sqlite_master ORDER BY type, name"
+    schema = [[kind, name, table, _normalized(sql)] for kind, name, table, sql in database.execute(query)]
     tables = [name for kind, name, _, _ in schema if kind == "table"]
     rows = {name: database.execute(f"SELECT * FROM {name} ORDER BY rowid").fetchall() for name in tables}
     database.close()
-    shown = {name: [[repr(value) for value in row] for row in found] for name, found in rows.items()}
-    return {"version": version, "schema": schema, "rows": shown}
+    rows_text = {name: [[repr(value) for value in row] for row in found] for name, found in rows.items()}
+    return {"version": version, "schema": schema, "rows": rows_text}
 
 
 def new_database(path: str) -> dict[str, Any]:
-    """What the store writes into a new file."""
+    """The dump of a new database that the store has filled."""
     store = JobStore(path)
     fill_store(store)
     store.close()
@@ -193,21 +193,21 @@
 
 
 def old_database(path: str) -> None:
-    """A file of the first version, from the golden text."""
+    """Create a database of the first version from the golden SQL file."""
     database = sqlite3.connect(path)
     database.executescript((GOLDEN_FOLDER / "jobs_1.sql").read_text(encoding="utf-8"))
     database.close()
 
 
 def migrated_database(path: str) -> dict[str, Any]:
-    """What the store makes of a file of the first version."""
+    """The dump of a database of the first version that the store has migrated."""
     old_database(path)
     JobStore(path).close()
     return dump(path)
 
 
 def all_databases() -> dict[str, Any]:
-    """The dumps of an old file, of what it becomes, and of a new one."""
+    """The dumps of an old database, of the same one migrated, and of a new one."""
     with TemporaryDirectory() as folder:
         old = os.path.join(folder, "old.sqlite")
         old_database(old)
--- a/tests/golden_samples.py
+++ b/tests/golden_samples.py
@@ -1,4 +1,4 @@
-"""One sample or more of each message and record, built positionally, with the codec that it goes through."""
+"""Samples of every message and record, built from positional arguments, with their codecs."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Codec:
-    """How the samples of one group become bytes and come back, and which types the group must have."""
+    """How the samples of one group are encoded and decoded, and the types that the group must cover."""
 
     encode: Callable[[Any], bytes]
     decode: Callable[[bytes], Any]
@@ -215,20 +215,20 @@
 
 
 def encode_samples(codec: Codec) -> dict[str, str]:
-    """The samples of a group as hexadecimal digits, by name."""
+    """The encoded samples of a group as hexadecimal digits, by name."""
     return {name: codec.encode(sample).hex() for name, sample in codec.samples.items()}
 
 
 def encode_record_sample(record: object) -> bytes:
-    """A record of a member as it is written."""
+    """A record of a member's log as it is written."""
     return CODECS["records"].encode(record)
 
 
 def encode_all_samples() -> dict[str, dict[str, str]]:
-    """The samples of all groups."""
+    """The encoded samples of all groups."""
     return {group: encode_samples(codec) for group, codec in CODECS.items()}
 
 
 def load_golden(name: str) -> Any:
-    """A golden file."""
+    """The parsed contents of a golden file."""
     return json.loads((GOLDEN_FOLDER / name).read_text(encoding="utf-8"))
--- a/tests/golden_texts.py
+++ b/tests/golden_texts.py
@@ -1,4 +1,4 @@
-"""Texts in which names from the code could show: refusals of messages, the audit's report, the schema."""
+"""Texts that could contain names from the code: rejections of messages, the audit report, the schema."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def relay_refusals() -> dict[str, list[str]]:
-    """Why a relay ends a link, by the message that came first, or after the greeting."""
+    """Why a relay closes a link, by the message that came first, or after the subscription."""
     refusals = {}
     for name, message in RELAY_MESSAGES.items():
         relay = Relay("m-2", "fleet-a", 3, Random(1))
@@ -46,8 +46,8 @@
 
 
 def subscription_refusals() -> dict[str, list[str]]:
-    """Why a relay does not take a greeting."""
-    greetings = {
+    """Why a relay rejects a subscription."""
+    subscriptions = {
         "form": Subscribe(2, "fleet-a", "d-1", 14, "east/e1", 0, ""),
         "fleet": Subscribe(1, "fleet-b", "d-1", 14, "east/e1", 0, ""),
         "name": Subscribe(1, "fleet-a", "d 1", 14, "east/e1", 0, ""),
@@ -56,11 +56,14 @@
         "digest": Subscribe(1, "fleet-a", "d-1", 14, "east/e1", 16, "ab"),
     }
     relay = Relay("m-2", "fleet-a", 3, Random(1))
-    return {name: _reasons(list(relay.on_message(0.0, LINK, one))) for name, one in greetings.items()}
+    return {
+        name: _reasons(list(relay.on_message(0.0, LINK, subscription)))
+        for name, subscription in subscriptions.items()
+    }
 
 
 def follower_refusals() -> dict[str, list[str]]:
-    """Why a follower ends a link, by the message that came first."""
+    """Why a follower closes a link, by the message that came first."""
     refusals = {}
     for name, message in RELAY_MESSAGES.items():
         follower = Follower("d-1", "fleet-a", "east/e1", 14, {"m-2": "east/e1"}, Random(1))
@@ -73,7 +76,7 @@
 
 
 def version_problems() -> dict[str, str]:
-    """What is said of versions that can't be, and of contents that are not a version's."""
+    """The problems reported for invalid versions, and for contents that don't match their version."""
     return {
         "none": version_problem(VERSION),
         "number": version_problem(Version(0, DIGEST, 1, "m-1", 2)),
@@ -85,7 +88,7 @@
 
 
 def audit_report() -> dict[str, Any]:
-    """What the golden record of acts is told as: for programs, for people, and as a page."""
+    """The report on the golden audit log: as data, as text and as an HTML page."""
     files = [(name, bytes.fromhex(digits)) for name, digits in load_golden("files.json")["audit"].items()]
     audit = merge({"d-1": read_audit_log("d-1", files), "d-2": read_audit_log("d-2", [])})
     return {
@@ -96,8 +99,8 @@
 
 
 def enum_values() -> dict[str, list[str]]:
-    """The words for states and outcomes, which stand in files, messages and logs."""
-    kinds: dict[str, type[Enum]] = {
+    """The values of states and outcomes that are written to files, messages and logs."""
+    enums: dict[str, type[Enum]] = {
         "outcome of an attempt": Outcome,
         "state of a server": WorkerState,
         "kind of a list": ListKind,
@@ -108,18 +111,18 @@
         "fault of a call": JobErrorKind,
         "stage of a dispatcher": Stage,
     }
-    return {name: [str(one.value) for one in kind] for name, kind in kinds.items()}
+    return {name: [str(member.value) for member in enum] for name, enum in enums.items()}
 
 
 def fields_requiring_restart() -> list[str]:
-    """The names of what has changed in an operator's file and waits for a restart."""
+    """The fields that differ between two operator's files and take effect only after a restart."""
     former = operator_config(golden_text("operator_voter.toml"))
     new = operator_config(golden_text("operator_follower.toml"))
     return Dispatcher.fields_requiring_restart(MagicMock(config=former), new)
 
 
 def all_texts() -> dict[str, Any]:
-    """All of them."""
+    """All texts, by group."""
     return {
         "relay": relay_refusals(),
         "greeting": subscription_refusals(),
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,8 +1,8 @@
-"""Ports on loopback that are given out once among all processes of this machine.
+"""Loopback ports, each reserved by at most one process of this machine.
 
-A port that is merely free now may be taken before it is listened on: by an outgoing connection, by a listener
-that has the system choose its port, or by another test that was given the same one. So a port is reserved
-here by a name that only one process can hold, and lies outside the range from which the system chooses.
+A port that is free now may be taken before the test's program listens on it: by an outgoing connection, by a
+listener whose port the system chooses, or by another test that was given the same one. So a port is reserved
+by a socket name that only one process can hold, and lies outside the range from which the system chooses.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 FIRST_PORT, LAST_PORT = 10_000, 60_999
 SYSTEM_RANGE_FILE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 DEFAULT_SYSTEM_RANGE = (32_768, 60_999)
-MAX_RESERVED_PORTS = 300  # of one process, each a descriptor; then its oldest reservations lapse
+MAX_RESERVED_PORTS = 300  # per process, each takes a descriptor; beyond it the oldest are released
 
-_reservations: deque[socket.socket] = deque()  # held open for as long as the ports are reserved
+_reservations: deque[socket.socket] = deque()  # each is open as long as its port is reserved
 
 
 def system_range() -> tuple[int, int]:
@@ -56,7 +56,7 @@
 
 
 def _reserve(port: int) -> socket.socket | None:
-    """Take the name that stands for a port; None if another process has it or something listens there."""
+    """Bind the name of a port; None if another process holds it or something listens on the port."""
     reservation = socket.socket(socket.AF_UNIX)
     try:
         reservation.bind(f"\0grebestack reserved port {port}")
--- a/tests/test_follower_cluster.py
+++ b/tests/test_follower_cluster.py
@@ -1,4 +1,4 @@
-"""A configuration in force among real processes, with faults between them, judged by its history."""
+"""A configuration distributed among real processes under injected faults, checked by its history."""
 
 from __future__ import annotations
 
@@ -25,54 +25,54 @@
 )
 from tests.standins import wait_until
 
-RUNS = 3  # a run on a machine that was late is repeated, so often at most
+MAX_RUNS = 3  # a run is repeated if the machine was too late
 
 
-def play(
+def run_script(
     folder: Path,
     script: Callable[[FollowerCluster], None],
     relays: int = 0,
     followers: int = 3,
-    before: Callable[[FollowerCluster], None] = lambda cluster: None,
+    prepare: Callable[[FollowerCluster], None] = lambda cluster: None,
 ) -> None:
-    """Start all, have a first version in force, play the script, judge."""
-    for run in range(RUNS):
-        place = folder / str(run)
-        place.mkdir()
-        lateness, cluster = SchedulingDelayMonitor(), FollowerCluster(place, 3, relays, followers)
+    """Start all processes, run the script and check the history."""
+    for run in range(MAX_RUNS):
+        run_folder = folder / str(run)
+        run_folder.mkdir()
+        delays, cluster = SchedulingDelayMonitor(), FollowerCluster(run_folder, 3, relays, followers)
         try:
-            before(cluster)
+            prepare(cluster)
             for name in cluster.members:
                 cluster.start(name)
             all_vote(cluster)
             script(cluster)
-            wrong = cluster.violations()
+            violations = cluster.violations()
         finally:
-            lateness.stopped = True
+            delays.stopped = True
             cluster.close()
         if (
-            wrong
-            and lateness.max_delay_ms > MAX_SCHEDULING_DELAY_MS
-            and all(why.startswith("late: ") for why in wrong)
+            violations
+            and delays.max_delay_ms > MAX_SCHEDULING_DELAY_MS
+            and all(violation.startswith("late: ") for violation in violations)
         ):
-            print(f"the machine was {lateness.max_delay_ms:.0f} ms late: again; {wrong}")
+            print(f"the machine was {delays.max_delay_ms:.0f} ms late: repeating; {violations}")
             continue
-        assert wrong == []
+        assert violations == []
         return
-    pytest.fail(f"the machine was late in each of {RUNS} runs")
+    pytest.fail(f"the machine was late in each of {MAX_RUNS} runs")
 
 
 def all_vote(cluster: FollowerCluster) -> None:
     wait_until(lambda: all(f"{name}: votes" in cluster.admin_output(name) for name in cluster.voters), 60)
 
 
-def until_linked(cluster: FollowerCluster, *names: str) -> None:
-    """The start, or the last fault, is over for these, the relays that they follow, and the voters."""
+def wait_until_linked(cluster: FollowerCluster, *names: str) -> None:
+    """Wait until the voters vote and these processes follow a relay and have a recent confirmation."""
     all_vote(cluster)
     wait_until(lambda: all(relay_of(cluster, name) and confirmed(cluster, name) for name in names), 60)
 
 
-def until_shown(cluster: FollowerCluster, number: int, *names: str) -> None:
+def wait_until_shown(cluster: FollowerCluster, number: int, *names: str) -> None:
     wait_until(
         lambda: all(
             f"version {number}," in cluster.admin_output(name)
@@ -83,17 +83,20 @@
     )
 
 
-def again(cluster: FollowerCluster, name: str, number: int) -> None:
-    """Wait until a version is in force in the second life of a process."""
+def wait_for_second_start(cluster: FollowerCluster, name: str, number: int) -> None:
+    """Wait until a process has applied a version after its second start."""
     wait_until(
-        lambda: any(one.start_count == 2 and one.number == number for one in cluster.applied_versions(name)),
+        lambda: any(
+            version.start_count == 2 and version.number == number
+            for version in cluster.applied_versions(name)
+        ),
         30,
     )
 
 
 def relay_of(cluster: FollowerCluster, name: str) -> str:
-    found = re.search(r"relay (\w+), no message", cluster.admin_output(name))
-    return found[1] if found else ""
+    match = re.search(r"relay (\w+), no message", cluster.admin_output(name))
+    return match[1] if match else ""
 
 
 def other_voter(cluster: FollowerCluster, name: str) -> str:
@@ -101,140 +104,143 @@
 
 
 def confirmed(cluster: FollowerCluster, name: str) -> bool:
-    """Whether a process knows of a majority that lately knew nothing newer."""
-    found = re.search(r"confirmed by a majority (\d+\.\d) s ago", cluster.admin_output(name))
-    return found is not None and float(found[1]) < 4.0
+    """Whether a majority recently confirmed to a process that there is no newer version."""
+    match = re.search(r"confirmed by a majority (\d+\.\d) s ago", cluster.admin_output(name))
+    return match is not None and float(match[1]) < 4.0
 
 
-def one_has(cluster: FollowerCluster, number: int, names: list[str]) -> None:
+def wait_until_one_has(cluster: FollowerCluster, number: int, names: list[str]) -> None:
     wait_until(lambda: any(cluster.latest_version(name) == number for name in names), 30)
 
 
-def rest(cluster: FollowerCluster, *without: str) -> list[str]:
-    return [name for name in cluster.members if name not in without]
+def others(cluster: FollowerCluster, *excluded: str) -> list[str]:
+    return [name for name in cluster.members if name not in excluded]
 
 
-def back(cluster: FollowerCluster, name: str, number: int) -> None:
-    """Start a process again; it is to have the version too, and a voter is to know of it and vote."""
+def restart(cluster: FollowerCluster, name: str, number: int) -> None:
+    """Start a process again and wait until it has applied the version, the voters see that and all vote."""
     cluster.start(name)
     cluster.expect_now(number, [name])
     cluster.wait_for_version(number, [name])
-    until_shown(cluster, number, name)
+    wait_until_shown(cluster, number, name)
     all_vote(cluster)
 
 
-def test_a_relay_killed_at_each_step_of_a_change_holds_nobody_up(tmp_path: Path) -> None:
+def test_a_relay_killed_at_any_step_of_a_change_delays_no_other_process(tmp_path: Path) -> None:
     def script(cluster: FollowerCluster) -> None:
         cluster.wait_for_version(cluster.apply("m0", config_contents(6)))
         for step, limit in (("before the push", 7), ("after the push", 8), ("before it is answered", 9)):
-            until_linked(cluster, *cluster.followers)
+            wait_until_linked(cluster, *cluster.followers)
             relay = relay_of(cluster, "f0")
-            door = other_voter(cluster, relay)
-            mine = [name for name in cluster.followers if relay_of(cluster, name) == relay]
+            other = other_voter(cluster, relay)
+            followers = [name for name in cluster.followers if relay_of(cluster, name) == relay]
             with contextlib.ExitStack() as cuts:
                 if step == "before the push":
                     cuts.enter_context(cluster.cut([relay], cluster.followers))
                 elif step == "before it is answered":
                     cuts.enter_context(cluster.cut(cluster.followers, [relay]))
-                number = cluster.apply(door, config_contents(limit))
-                cluster.expect_now(number, rest(cluster, relay))
+                number = cluster.apply(other, config_contents(limit))
+                cluster.expect_now(number, others(cluster, relay))
                 if step != "before the push":
-                    one_has(cluster, number, mine)
+                    wait_until_one_has(cluster, number, followers)
                 cluster.kill(relay)
-            cluster.wait_for_version(number, rest(cluster, relay))
-            back(cluster, relay, number)
+            cluster.wait_for_version(number, others(cluster, relay))
+            restart(cluster, relay, number)
 
-    play(tmp_path, script, relays=1)
+    run_script(tmp_path, script, relays=1)
 
 
-def test_a_voter_lost_changes_nothing_and_without_a_majority_nothing_new_is_in_force(tmp_path: Path) -> None:
+def test_a_lost_voter_changes_nothing_and_without_a_majority_no_new_version_is_applied(
+    tmp_path: Path,
+) -> None:
     def script(cluster: FollowerCluster) -> None:
         cluster.wait_for_version(cluster.apply("m0", config_contents(6)))
         cluster.kill("m2")
         number = cluster.apply("m0", config_contents(7))
-        cluster.expect_now(number, rest(cluster, "m2"))
-        cluster.wait_for_version(number, rest(cluster, "m2"))
+        cluster.expect_now(number, others(cluster, "m2"))
+        cluster.wait_for_version(number, others(cluster, "m2"))
         cluster.kill("m1")
-        began = monotonic_ms()
-        answers = [cluster.propose("m0", config_contents(8))]  # asked before it is noticed, or after
-        for _ in range(60):  # the first may be under way for a while, which is told
-            answers.append(cluster.propose("m0", config_contents(9)))
-            assert answers[-1].startswith("FAILURE"), answers
-            if "another change is under way at m0" not in answers[-1]:
+        started_at_ms = monotonic_ms()
+        # The first proposal may come before or after the lost voter is noticed.
+        responses = [cluster.propose("m0", config_contents(8))]
+        for _ in range(60):  # the first may still be under way, which the response says
+            responses.append(cluster.propose("m0", config_contents(9)))
+            assert responses[-1].startswith("FAILURE"), responses
+            if "another change is under way at m0" not in responses[-1]:
                 break
-            del answers[-1]
+            del responses[-1]
             time.sleep(0.2)
-        assert len(answers) == 2, answers
-        assert all(answer.startswith("FAILURE") for answer in answers), answers
-        assert all(re.search("needed: 2|no majority", answer) for answer in answers), answers
+        assert len(responses) == 2, responses
+        assert all(response.startswith("FAILURE") for response in responses), responses
+        assert all(re.search("needed: 2|no majority", response) for response in responses), responses
         time.sleep(3.0)
         assert all(cluster.latest_version(name) == number for name in ("m0", *cluster.followers))
-        cluster.config_history.without_majority.append((began, monotonic_ms()))
+        cluster.config_history.without_majority.append((started_at_ms, monotonic_ms()))
         cluster.start("m1")
         cluster.start("m2")
         all_vote(cluster)
-        until_shown(cluster, number, "m2")
+        wait_until_shown(cluster, number, "m2")
         number = cluster.apply("m2", config_contents(10))
         cluster.expect_now(number, cluster.members)
         cluster.wait_for_version(number)
 
-    play(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-@pytest.mark.parametrize("way", ["nothing comes", "nothing goes", "no other voter is heard"])
-def test_a_cut_one_way_heals_by_itself(tmp_path: Path, way: str) -> None:
+@pytest.mark.parametrize("case", ["from the relay", "to the relay", "from the other voters"])
+def test_a_link_cut_in_one_direction_is_bypassed(tmp_path: Path, case: str) -> None:
     def script(cluster: FollowerCluster) -> None:
         cluster.wait_for_version(cluster.apply("m0", config_contents(6)))
-        until_linked(cluster, *cluster.followers)
+        wait_until_linked(cluster, *cluster.followers)
         relay = relay_of(cluster, "f0")
-        others = [name for name in cluster.voters if name != relay]
-        begin, end = {
-            "nothing comes": ([relay], cluster.followers),
-            "nothing goes": (cluster.followers, [relay]),
-            "no other voter is heard": (others, [relay]),
-        }[way]
-        with cluster.cut(begin, end):
-            number = cluster.apply(others[0], config_contents(7))
-            reached = rest(cluster, relay) if way == "no other voter is heard" else list(cluster.members)
+        other_voters = [name for name in cluster.voters if name != relay]
+        senders, receivers = {
+            "from the relay": ([relay], cluster.followers),
+            "to the relay": (cluster.followers, [relay]),
+            "from the other voters": (other_voters, [relay]),
+        }[case]
+        with cluster.cut(senders, receivers):
+            number = cluster.apply(other_voters[0], config_contents(7))
+            reached = others(cluster, relay) if case == "from the other voters" else list(cluster.members)
             cluster.expect_now(number, reached)
             cluster.wait_for_version(number, reached)
         cluster.expect_now(number, cluster.members)
         cluster.wait_for_version(number)
 
-    play(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-def test_one_that_is_stopped_and_goes_on_catches_up(tmp_path: Path) -> None:
+def test_a_process_that_is_stopped_and_continued_catches_up(tmp_path: Path) -> None:
     def script(cluster: FollowerCluster) -> None:
         cluster.wait_for_version(cluster.apply("m0", config_contents(6)))
-        until_linked(cluster, *cluster.followers)
+        wait_until_linked(cluster, *cluster.followers)
         for limit, name in ((7, relay_of(cluster, "f0")), (9, "f1")):
-            until_linked(cluster, *cluster.followers)
-            door = other_voter(cluster, name)
+            wait_until_linked(cluster, *cluster.followers)
+            other = other_voter(cluster, name)
             cluster.signal(name, signal.SIGSTOP)
-            number = cluster.apply(door, config_contents(limit))
-            cluster.expect_now(number, rest(cluster, name))
-            number = cluster.apply(door, config_contents(limit + 1))
-            cluster.expect_now(number, rest(cluster, name))
-            cluster.wait_for_version(number, rest(cluster, name))
+            number = cluster.apply(other, config_contents(limit))
+            cluster.expect_now(number, others(cluster, name))
+            number = cluster.apply(other, config_contents(limit + 1))
+            cluster.expect_now(number, others(cluster, name))
+            cluster.wait_for_version(number, others(cluster, name))
             cluster.signal(name, signal.SIGCONT)
             cluster.expect_now(number, [name])
             cluster.wait_for_version(number, [name])
 
-    play(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-def test_old_and_spoilt_disks_put_nothing_old_or_half_in_force(tmp_path: Path) -> None:
+def test_old_and_corrupt_disks_cause_no_old_or_partial_version(tmp_path: Path) -> None:
     def script(cluster: FollowerCluster) -> None:
         cluster.wait_for_version(cluster.apply("m0", config_contents(6)))
-        old = {name: cluster.save_disk(name) for name in ("f0", "f1")}
+        restore = {name: cluster.save_disk(name) for name in ("f0", "f1")}
         number = cluster.apply("m0", config_contents(7))
         cluster.wait_for_version(number)
-        for name in old:
+        for name in restore:
             cluster.kill(name)
-            old[name]()
-        back(cluster, "f0", number)
-        # f1 reaches nobody: it serves under what it has, says so, and never looks back once it is reached.
+            restore[name]()
+        restart(cluster, "f0", number)
+        # f1 reaches no relay: it applies its old version, reports it, and updates once a relay is reached.
         with cluster.cut(cluster.relays, ["f1"]), cluster.cut(["f1"], cluster.relays):
             cluster.config_history.isolated.add(("f1", 2))
             cluster.start("f1")
@@ -250,18 +256,18 @@
                 path.write_bytes(data)
             cluster.start(name)
             cluster.expect_now(number, [name])
-            again(cluster, name, number)
+            wait_for_second_start(cluster, name, number)
             assert cluster.has_logged(name, "configuration_doubted", why="is not what was written")
 
-    play(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-def test_what_is_spoilt_on_the_way_is_not_put_in_force_and_comes_again(tmp_path: Path) -> None:
+def test_contents_corrupted_in_transit_are_not_applied_and_are_sent_again(tmp_path: Path) -> None:
     def script(cluster: FollowerCluster) -> None:
         cluster.wait_for_version(cluster.apply("m0", config_contents(6)))
         for limit in (7, 8):
-            for way in cluster.directions(cluster.relays, cluster.followers):
-                way.corrupt_pieces = 2
+            for direction in cluster.directions(cluster.relays, cluster.followers):
+                direction.corrupt_pieces = 2
             number = cluster.apply("m0", config_contents(limit, servers=[f"s{n}" for n in range(20)]))
             cluster.expect_now(number, cluster.members)
             cluster.wait_for_version(number)
@@ -271,42 +277,44 @@
             for line in cluster.log_events(name)
         )
 
-    play(tmp_path, script)
+    run_script(tmp_path, script)
 
 
-def test_of_two_operators_at_once_one_wins_and_the_other_is_told_by_whom(tmp_path: Path) -> None:
+def test_of_two_concurrent_proposals_one_wins_and_the_other_response_names_the_winner(tmp_path: Path) -> None:
     def script(cluster: FollowerCluster) -> None:
         cluster.apply("m0", config_contents(6))
         number = 1
         for turn in range(20):
-            answers: dict[str, str] = {}
-            pair = [(door, config_contents(10 + 2 * turn + n)) for n, door in enumerate(("m0", "m1"))]
+            responses: dict[str, str] = {}
+            pair = [(name, config_contents(10 + 2 * turn + n)) for n, name in enumerate(("m0", "m1"))]
 
-            def ask(door: str, data: bytes, answers: dict[str, str] = answers) -> None:
-                answers[door] = cluster.propose(door, data)
+            def propose(name: str, data: bytes, responses: dict[str, str] = responses) -> None:
+                responses[name] = cluster.propose(name, data)
 
-            threads = [threading.Thread(target=ask, args=one) for one in pair]
+            threads = [threading.Thread(target=propose, args=arguments) for arguments in pair]
             for thread in threads:
                 thread.start()
             for thread in threads:
                 thread.join(30)
-            won = [door for door, answer in answers.items() if answer.startswith("SUCCESS")]
-            assert won, answers
-            number += len(won)
-            if len(won) == 1:
-                lost = "m1" if won == ["m0"] else "m0"
-                assert won[0] in answers[lost] and str(number) in answers[lost], answers
+            winners = [name for name, response in responses.items() if response.startswith("SUCCESS")]
+            assert winners, responses
+            number += len(winners)
+            if len(winners) == 1:
+                loser = "m1" if winners == ["m0"] else "m0"
+                assert winners[0] in responses[loser] and str(number) in responses[loser], responses
                 break
         else:
-            pytest.fail("no two were ever at once")
+            pytest.fail("no two proposals were ever concurrent")
         cluster.expect_now(number, cluster.members)
         cluster.wait_for_version(number)
         assert {cluster.latest_version(name) for name in cluster.members} == {number}
 
-    play(tmp_path, script, followers=1)
+    run_script(tmp_path, script, followers=1)
 
 
-def test_what_is_wrong_is_denied_at_the_door_and_refused_where_it_does_not_fit(tmp_path: Path) -> None:
+def test_invalid_contents_are_rejected_by_the_admin_server_or_refused_by_incompatible_processes(
+    tmp_path: Path,
+) -> None:
     def other_zones(cluster: FollowerCluster) -> None:
         path = cluster.folder / "f1.toml"
         path.write_text(path.read_text().replace('zones = ["here"]', 'zones = ["here", "there"]'))
@@ -316,7 +324,7 @@
         large = cluster.folder / "large.toml"
         with large.open("wb") as file:
             file.truncate(MAX_CONTENTS_BYTES + 1)
-        for answer, why in (
+        for response, reason in (
             (cluster.admin_output("m0", f"configure {large}"), f"{MAX_CONTENTS_BYTES + 1} bytes; allowed"),
             (cluster.admin_output("m0", "configure none.toml"), "No such file"),
             (cluster.admin_output("m0", "configure"), "configure takes one ID"),
@@ -330,14 +338,14 @@
             ),
             (cluster.propose("f0", config_contents(6)), "f0 does not vote"),
         ):
-            assert answer.startswith("FAILURE") and why in answer, answer
+            assert response.startswith("FAILURE") and reason in response, response
         number = cluster.apply("m0", config_contents(6))
         assert number == 1
-        cluster.wait_for_version(number, rest(cluster, "f1"))
+        cluster.wait_for_version(number, others(cluster, "f1"))
         refused = re.compile(r"refused: .*f1.*zones is \['here'\]")
         wait_until(lambda: refused.search(cluster.admin_output("m2")) is not None, 30)
         assert cluster.latest_version("f1") == 0 and "zones" in cluster.admin_output("f1")
-        # A file that is read again keeps the version over it; once it fits, the version is taken.
+        # A reload of the file keeps the version; once the file is compatible, the version is applied.
         cluster.signal("f0", signal.SIGHUP)
         wait_until(lambda: cluster.has_logged("f0", "reloaded", moved="False", waits_for_restart=""), 30)
         assert (
@@ -346,13 +354,15 @@
         path = cluster.folder / "f1.toml"
         path.write_text(path.read_text().replace(', "there"', ""))
         cluster.signal("f1", signal.SIGTERM)
-        back(cluster, "f1", number)
+        restart(cluster, "f1", number)
 
-    play(tmp_path, script, followers=2, before=other_zones)
+    run_script(tmp_path, script, followers=2, prepare=other_zones)
 
 
-def test_the_record_of_acts_has_the_stamps_of_each_version_and_who_asked_for_it(tmp_path: Path) -> None:
-    def audited(cluster: FollowerCluster) -> None:
+def test_the_audit_log_has_the_digests_of_each_version_and_the_command_that_proposed_it(
+    tmp_path: Path,
+) -> None:
+    def enable_audit(cluster: FollowerCluster) -> None:
         for name in ("m0", "f0"):
             with (cluster.folder / f"{name}.toml").open("a") as file:
                 file.write(f'[audit]\nfolder = "{name}/audit"\n')
@@ -366,14 +376,20 @@
             cluster.signal(name, signal.SIGTERM)
         for name in ("m0", "f0"):
             record = read_record(name, str(cluster.members[name].folder / "audit"))
-            stamps = [period.versions.settings for period in record.periods]
-            laid = [line.settings for line in cluster.applied_versions(name)]
-            assert not record.doubts and [one for one in stamps if one in laid] and laid[-1] == stamps[-1]
-            assert sorted(set(laid), key=laid.index) == sorted(set(stamps[1:]) & set(laid), key=stamps.index)
-            asked = [action.worker for action in record.actions if action.call_id == "configure"]
-            assert len(asked) == (2 if name == "m0" else 0)
+            recorded = [period.versions.settings for period in record.periods]
+            applied = [line.settings for line in cluster.applied_versions(name)]
+            assert (
+                not record.doubts
+                and [digest for digest in recorded if digest in applied]
+                and applied[-1] == recorded[-1]
+            )
+            assert sorted(set(applied), key=applied.index) == sorted(
+                set(recorded[1:]) & set(applied), key=recorded.index
+            )
+            proposals = [action.worker for action in record.actions if action.call_id == "configure"]
+            assert len(proposals) == (2 if name == "m0" else 0)
 
-    play(tmp_path, script, followers=1, before=audited)
+    run_script(tmp_path, script, followers=1, prepare=enable_audit)
 
 
 KINDS = (
@@ -389,15 +405,15 @@
 
 
 @pytest.mark.parametrize("seed", [int(os.environ.get("FOLLOWER_SEED", "1"))])
-def test_faults_by_a_seed_one_after_the_other(tmp_path: Path, seed: int) -> None:
+def test_seeded_faults_one_after_the_other(tmp_path: Path, seed: int) -> None:
     print(f"FOLLOWER_SEED={seed}")
 
     def script(cluster: FollowerCluster) -> None:
-        drawn = random.Random(seed)
+        rng = random.Random(seed)
         cluster.wait_for_version(cluster.apply("m0", config_contents(6)))
-        for turn, kind in enumerate(drawn.sample(KINDS, 4)):
-            until_linked(cluster, *cluster.followers)
-            name = drawn.choice(
+        for turn, kind in enumerate(rng.sample(KINDS, 4)):
+            wait_until_linked(cluster, *cluster.followers)
+            name = rng.choice(
                 {
                     "kill a voter": cluster.voters,
                     "kill a follower": cluster.followers,
@@ -405,34 +421,34 @@
                     "reset": cluster.followers,
                 }.get(kind, cluster.relays)
             )
-            door = drawn.choice([voter for voter in cluster.voters if voter != name])
-            print(f"{turn}: {kind} {name}, asked for at {door}")
+            proposer = rng.choice([voter for voter in cluster.voters if voter != name])
+            print(f"{turn}: {kind} {name}, asked for at {proposer}")
             restore = cluster.save_disk(name) if kind == "old disk" else lambda: None
-            reached = rest(cluster, name)
-            with contextlib.ExitStack() as over:
+            reached = others(cluster, name)
+            with contextlib.ExitStack() as cleanup:
                 if kind == "stop a relay":
                     cluster.signal(name, signal.SIGSTOP)
-                    over.callback(cluster.signal, name, signal.SIGCONT)
+                    cleanup.callback(cluster.signal, name, signal.SIGCONT)
                 elif kind == "cut from a relay":
-                    over.enter_context(cluster.cut([name], cluster.followers))
+                    cleanup.enter_context(cluster.cut([name], cluster.followers))
                 elif kind == "cut to a relay":
-                    over.enter_context(cluster.cut(cluster.followers, [name]))
+                    cleanup.enter_context(cluster.cut(cluster.followers, [name]))
                 elif kind == "reset":
                     for relay in cluster.relays:
                         cluster.proxy.reset(name, relay)
                 elif kind != "old disk":
                     cluster.kill(name)
-                    over.callback(cluster.start, name)
-                number = cluster.apply(door, config_contents(10 + turn))
+                    cleanup.callback(cluster.start, name)
+                number = cluster.apply(proposer, config_contents(10 + turn))
                 cluster.expect_now(number, reached)
-                time.sleep(drawn.uniform(0.0, 1.0))
+                time.sleep(rng.uniform(0.0, 1.0))
                 cluster.wait_for_version(number, reached)
                 if kind == "old disk":
                     cluster.kill(name)
                     restore()
-                    over.callback(cluster.start, name)
+                    cleanup.callback(cluster.start, name)
             cluster.expect_now(number, cluster.members)
-            until_shown(cluster, number, *cluster.members)
+            wait_until_shown(cluster, number, *cluster.members)
             cluster.wait_for_version(number)
 
-    play(tmp_path, script, relays=1)
+    run_script(tmp_path, script, relays=1)
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -1,4 +1,4 @@
-"""Files byte by byte: each version must write what the golden files have, and read it."""
+"""Each version must write files with the bytes of the golden files, and read those."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def write_golden(folder: Path, kind: str, state: str = "") -> None:
-    """Lay golden files into a folder."""
+    """Write golden files to a folder."""
     files = load_golden(FILES)[kind]
     for name, digits in (files[state] if state else files).items():
         (folder / name).write_bytes(bytes.fromhex(digits))
@@ -77,15 +77,15 @@
 
 
 def test_golden_segments_of_the_audit_are_read() -> None:
-    whats = []
+    actions = []
     for digits in load_golden(FILES)["audit"].values():
         segment = read_log(bytes.fromhex(digits), 1, MAGIC)
         assert segment.corruption == "" and not segment.has_torn_end
         for payload in segment.payloads:
             items = records.decode(payload)
             assert records.encode(items) == payload
-            whats += [item.what for item in items if isinstance(item, records.ActionRecord)]
-    assert whats == ["send", "operator"]
+            actions += [item.what for item in items if isinstance(item, records.ActionRecord)]
+    assert actions == ["send", "operator"]
 
 
 def test_the_golden_file_of_bans_is_read() -> None:
@@ -94,7 +94,7 @@
     assert decode_ban_file(bytes.fromhex(golden["none"])) == set()
 
 
-def test_a_golden_snapshot_of_servers_is_read(tmp_path: Path) -> None:
+def test_a_golden_snapshot_of_workers_is_read(tmp_path: Path) -> None:
     write_golden(tmp_path, "snapshot")
     lists = load_lists(str(tmp_path / "servers.json"))
     assert set(lists) == set(LISTS)
@@ -104,7 +104,7 @@
     assert lists["discovery"][0] == LISTS["discovery"][0]
 
 
-def test_databases_are_those_of_the_golden_file() -> None:
+def test_databases_match_the_golden_file() -> None:
     actual, golden = all_databases(), load_golden(DATABASES)
     for kind in ("old", "migrated", "new"):
         assert actual[kind] == golden[kind], kind
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -1,4 +1,4 @@
-"""Messages and records byte by byte: each version must write what the golden files have, and read it."""
+"""Each version must encode messages and records to the bytes of the golden files, and decode those."""
 
 from __future__ import annotations
 
@@ -72,11 +72,11 @@
     assert export_request() == load_golden("export_request.json")
 
 
-def test_the_packets_of_an_upgrade() -> None:
+def test_the_packets_of_a_hot_restart() -> None:
     assert handover_packets() == load_golden("handover.json")
 
 
-def test_what_a_dispatcher_has_learned() -> None:
+def test_the_learned_state_of_a_dispatcher() -> None:
     assert keepsake() == load_golden("keepsake.json")
 
 
@@ -94,7 +94,7 @@
         assert [packet.decode() for packet in pack(message)] == packets, name
 
 
-def test_golden_servers_and_requests_are_read() -> None:
+def test_golden_workers_and_requests_are_read() -> None:
     golden = load_golden("handover.json")
     welcome, job = (Unpacker().feed(golden[name][0].encode()) for name in ("welcome", "job"))
     assert welcome is not None and job is not None
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The layers: imports point only inward, and nothing is started for a single request."""
+"""Imports only point to inner layers, and no coroutine or task is started for a single request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 PACKAGE = Path(__file__).resolve().parent.parent / "grebestack"
-INWARD = {
+ALLOWED_IMPORTS = {
     "core": {"core"},
     "routing": {"core", "routing"},
     "job_queue": {"job_queue"},
@@ -48,7 +48,7 @@
         "program",
     },
 }
-# Opening a connection, which the loop offers only as a coroutine, and the program's own start.
+# The loop offers opening a connection only as a coroutine; the others belong to the start of the program.
 COROUTINES = {
     "ConnectionPools._open_connection",
     "DiscoveryWatcher._connect",
@@ -80,14 +80,14 @@
     return names
 
 
-@pytest.mark.parametrize("layer", INWARD)
+@pytest.mark.parametrize("layer", ALLOWED_IMPORTS)
 def test_imports_point_inward(layer: str) -> None:
     for path in (PACKAGE / layer).rglob("*.py"):
-        assert imported(ast.parse(path.read_text())) <= INWARD[layer], path.name
+        assert imported(ast.parse(path.read_text())) <= ALLOWED_IMPORTS[layer], path.name
 
 
 def modules_imported(path: Path) -> set[str]:
-    """The modules of the package that a file imports anywhere, for the types alone too."""
+    """The modules that a file imports anywhere, including imports for type checking only."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("grebestack"):
@@ -98,7 +98,7 @@
 
 
 def imports_within(package: str) -> dict[str, set[str]]:
-    """What each module of a package imports, by the module's name."""
+    """The imports of each module of a package, by module name."""
     imports = {}
     for path in (PACKAGE / package).rglob("*.py"):
         parts = path.relative_to(PACKAGE.parent).with_suffix("").parts
@@ -107,35 +107,35 @@
     return imports
 
 
-def circle_of(imports: dict[str, set[str]]) -> list[str]:
-    """Modules that import each other in a circle; none: there is no such."""
-    left = {name: imported & set(imports) for name, imported in imports.items()}
-    while ends := [name for name, imported in left.items() if not imported]:
-        for name in ends:
-            del left[name]
-        left = {name: imported - set(ends) for name, imported in left.items()}
-    return sorted(left)
+def import_cycle(imports: dict[str, set[str]]) -> list[str]:
+    """The modules that take part in or lead to an import cycle; empty without a cycle."""
+    remaining = {name: imported & set(imports) for name, imported in imports.items()}
+    while leaves := [name for name, imported in remaining.items() if not imported]:
+        for name in leaves:
+            del remaining[name]
+        remaining = {name: imported - set(leaves) for name, imported in remaining.items()}
+    return sorted(remaining)
 
 
-def test_the_distribution_names_all_packages() -> None:
-    named = tomllib.loads((PACKAGE.parent / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"]
+def test_the_distribution_lists_all_packages() -> None:
+    listed = tomllib.loads((PACKAGE.parent / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"]
     folders = {path.parent.relative_to(PACKAGE.parent) for path in PACKAGE.rglob("__init__.py")}
-    assert sorted(named) == sorted(".".join(folder.parts) for folder in folders)
+    assert sorted(listed) == sorted(".".join(folder.parts) for folder in folders)
 
 
-def test_a_circle_is_found() -> None:
-    assert circle_of({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": set()}) == ["a", "b", "c"]
-    assert circle_of({"a": {"a"}}) == ["a"]
-    assert circle_of({"a": {"b", "c"}, "b": {"c"}, "c": set()}) == []
+def test_an_import_cycle_is_found() -> None:
+    assert import_cycle({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": set()}) == ["a", "b", "c"]
+    assert import_cycle({"a": {"a"}}) == ["a"]
+    assert import_cycle({"a": {"b", "c"}, "b": {"c"}, "c": set()}) == []
 
 
-def test_no_modules_of_the_program_import_each_other_in_a_circle() -> None:
+def test_the_program_has_no_import_cycle() -> None:
     imports = imports_within("program")
     assert "grebestack.program.config.model" in imports["grebestack.program.dispatcher"]
-    assert not circle_of(imports)
+    assert not import_cycle(imports)
 
 
-def test_coroutines_and_tasks_belong_to_connections_and_the_program_alone() -> None:
+def test_only_connections_and_the_program_use_coroutines_and_tasks() -> None:
     found, tasks = set(), []
 
     def walk(node: ast.AST, name: str) -> None:
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -1,4 +1,4 @@
-"""The platform's path stays lean: what `run` starts loads these modules and no others."""
+"""A dispatcher on the platform loads exactly these modules."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import subprocess
 import sys
 
-OURS = {
+OWN_MODULES = {
     "core",
     "core.actions",
     "core.admission",
@@ -61,10 +61,10 @@
     "endpoint_watch.timing",
 }
 LIBRARIES = {"httptools", "uvloop"}
-NEVER = {"sqlite3", "http.client", "tkinter", "multiprocessing", "unittest"}
+FORBIDDEN = {"sqlite3", "http.client", "tkinter", "multiprocessing", "unittest"}
 
 
-def test_the_platform_loads_no_more_than_it_needs() -> None:
+def test_the_platform_loads_only_what_it_needs() -> None:
     code = (
         "import sys; before = set(sys.modules); import grebestack.__main__, json; "
         "print(json.dumps({n: getattr(sys.modules[n], '__file__', None) for n in set(sys.modules) - before}))"
@@ -73,15 +73,15 @@
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=True
     )
     loaded = json.loads(result.stdout)
-    ours = {name.removeprefix("grebestack.") for name in loaded if name.startswith("grebestack.")}
-    assert ours - {"__main__"} == OURS
+    own_modules = {name.removeprefix("grebestack.") for name in loaded if name.startswith("grebestack.")}
+    assert own_modules - {"__main__"} == OWN_MODULES
     installed = {name.partition(".")[0] for name, file in loaded.items() if file and "site-packages" in file}
     assert installed - {"grebestack"} == LIBRARIES
-    assert not NEVER & set(loaded)
-    # The configuration in force and all of the fleet is an operator's file's alone.
+    assert not FORBIDDEN & set(loaded)
+    # Only a dispatcher with an operator's file distributes configuration or is a member of a cluster.
     assert not {
         name
-        for name in ours
+        for name in own_modules
         if name.split(".")[0] in ("consensus", "config_distribution", "cluster_tasks", "cluster_io")
     }
-    assert not {"program.config_updates", "program.cluster_member"} & ours
+    assert not {"program.config_updates", "program.cluster_member"} & own_modules
--- a/tests/test_module_limits.py
+++ b/tests/test_module_limits.py
@@ -1,4 +1,4 @@
-"""The limits that hold for the packages which have been split by concern: size, docstrings, no circles."""
+"""Limits on file and function length, and on import cycles, for packages that are split by concern."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.test_layers import PACKAGE, circle_of, imports_within
+from tests.test_layers import PACKAGE, import_cycle, imports_within
 
 PACKAGES = (
     "admin",
@@ -38,5 +38,5 @@
 
 
 @pytest.mark.parametrize("package", PACKAGES)
-def test_no_modules_of_a_package_import_each_other_in_a_circle(package: str) -> None:
-    assert not circle_of(imports_within(package))
+def test_packages_have_no_import_cycles(package: str) -> None:
+    assert not import_cycle(imports_within(package))
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that tests reserve for the programs that they start."""
+"""Ports that tests reserve for the programs they start."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 RESERVE = "import sys; from tests import ports; ports.candidate_ports = lambda: map(int, sys.argv[1:]);"
 
 
-def test_a_reserved_port_is_none_that_the_system_chooses() -> None:
-    # Guards against a program that finds its port taken by a stand-in of another test.
+def test_a_reserved_port_is_outside_the_range_of_the_system() -> None:
+    # Guards against a program whose port is taken by a stand-in of another test.
     first, last = ports.system_range()
-    taken = {ports.reserved_port() for _ in range(50)}
-    assert len(taken) == 50 and not any(first <= port <= last for port in taken)
+    reserved = {ports.reserved_port() for _ in range(50)}
+    assert len(reserved) == 50 and not any(first <= port <= last for port in reserved)
 
 
 def test_two_processes_that_want_the_same_port_get_two(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against two tests side by side that are given one port before either listens on it.
+    # Guards against two parallel tests that are given the same port before either listens on it.
     wanted = [ports.reserved_port() for _ in range(2)]
     ports._reservations.pop().close()  # the second is free again
     monkeypatch.setattr(ports, "candidate_ports", lambda: wanted)
@@ -34,7 +34,7 @@
 
 
 def test_a_port_that_is_listened_on_is_not_reserved(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a port of a program that knows nothing of reservations.
+    # Guards against a port that a program uses without a reservation.
     with socket.create_server(("127.0.0.1", 0)) as server:
         monkeypatch.setattr(ports, "candidate_ports", lambda: [server.getsockname()[1]])
         with pytest.raises(OSError, match="no port is left"):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,4 @@
-"""Lists and fleets of 1,024: one real dispatcher of the smallest size takes them, and serves."""
+"""Worker lists and clusters of 1,024: a real dispatcher with the smallest limits handles them and serves."""
 
 from __future__ import annotations
 
@@ -21,32 +21,33 @@
 from tests.dispatcher_group import DispatcherGroup
 from tests.standins import SETTINGS, wait_until
 
-MEMORY_MB, SOCKETS = 32, 256  # the platform's smallest day
+MEMORY_MB, SOCKETS = 32, 256  # the smallest limits that the platform sets
 
 
-def test_1024_servers_and_dispatchers_fit_the_smallest_dispatcher(tmp_path: Path) -> None:
-    yard = DispatcherGroup(tmp_path, dispatchers=1, workers=1024, workers_per_port=64)
-    yard.settings = SETTINGS | {"siblings": 1024, "discovery": "pushed", "me": 1023}
+def test_1024_workers_and_dispatchers_fit_the_smallest_dispatcher(tmp_path: Path) -> None:
+    group = DispatcherGroup(tmp_path, dispatchers=1, workers=1024, workers_per_port=64)
+    group.settings = SETTINGS | {"siblings": 1024, "discovery": "pushed", "me": 1023}
     try:
-        yard.start("n0")
-        process = yard.processes["n0"].pid
-        yard.send_traffic(0.05)
-        wait_until(lambda: len(yard.sends) > 60)
-        yard.changes += [(f"s-{n}", "Terminating") for n in range(0, 1024, 2)]  # comes indented
-        yard.run_on_loop(lambda: yard.update_agent("n0"))
-        before = len(yard.sends)
-        wait_until(lambda: len(yard.sends) > before + 60)
-        status = Path(f"/proc/{process}/status").read_text()
-        size = {name: int(kb) / 1024 for name, kb in re.findall(r"(\w+):\s+(\d+) kB", status)}
-        assert size["VmHWM"] - size["RssFile"] <= MEMORY_MB  # its own: what it maps is everybody's
-        assert len(os.listdir(f"/proc/{process}/fd")) <= SOCKETS
+        group.start("n0")
+        pid = group.processes["n0"].pid
+        group.send_traffic(0.05)
+        wait_until(lambda: len(group.sends) > 60)
+        group.changes += [(f"s-{n}", "Terminating") for n in range(0, 1024, 2)]  # the agent sends it indented
+        group.run_on_loop(lambda: group.update_agent("n0"))
+        sends_before = len(group.sends)
+        wait_until(lambda: len(group.sends) > sends_before + 60)
+        status = Path(f"/proc/{pid}/status").read_text()
+        memory_mb = {name: int(kb) / 1024 for name, kb in re.findall(r"(\w+):\s+(\d+) kB", status)}
+        # Without mapped files, which the processes of a machine share.
+        assert memory_mb["VmHWM"] - memory_mb["RssFile"] <= MEMORY_MB
+        assert len(os.listdir(f"/proc/{pid}/fd")) <= SOCKETS
     finally:
-        yard.close()
+        group.close()
     log = (tmp_path / "n0.log").read_text()
     assert "servers=1024 live=True" in log and "level=warning" not in log, log[-2000:]
 
 
-def test_a_set_of_1024_members_fits_a_message() -> None:
+def test_a_membership_of_1024_fits_a_message() -> None:
     members = tuple((f"{n:064}", f"{n:032x}") for n in range(1024))
     names = tuple(name for name, _ in members)
     ballot, plan = Ballot(1 << 60, names[0], 1 << 60), RestartPlan(1, names[0], names, names)
