--- a/grebestack/cluster_io/config_store.py
+++ b/grebestack/cluster_io/config_store.py
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredConfig:
-    """What a folder holds; `doubts` has a line for each corrupt file."""
+    """What a folder holds; `corrupt_files` has a line for each corrupt file."""
 
     versions: tuple[tuple[Version, bytes], ...] = ()
-    kept: dict[str, bytes] = field(default_factory=dict)  # undecided contents by digest
-    doubts: tuple[str, ...] = ()
+    undecided: dict[str, bytes] = field(default_factory=dict)  # contents by digest
+    corrupt_files: tuple[str, ...] = ()
     incarnation: int = 1  # of this start, for configuration messages; higher than any before
 
 
@@ -75,7 +75,7 @@
             Another process has it.
         """
         self.lock = lock_folder(self.folder)
-        versions, kept, doubts = list[tuple[Version, bytes]](), dict[str, bytes](), list[str]()
+        versions, undecided, corrupt_files = list[tuple[Version, bytes]](), dict[str, bytes](), list[str]()
         for name in sorted(os.listdir(self.folder)):
             path = os.path.join(self.folder, name)
             try:
@@ -85,13 +85,13 @@
                     versions.append(self._read_version(path))
                 elif name.startswith(KEPT):
                     digest, contents = self._read_kept(name)
-                    kept[digest] = contents
+                    undecided[digest] = contents
             except (OSError, CorruptFileError) as error:
-                doubts.append(f"{name}: {error}")
+                corrupt_files.append(f"{name}: {error}")
                 self._put_aside(name)
         incarnation = self._next_incarnation()
         self.thread.start()
-        return StoredConfig(tuple(versions), kept, tuple(doubts), incarnation)
+        return StoredConfig(tuple(versions), undecided, tuple(corrupt_files), incarnation)
 
     def store(
         self,
@@ -104,11 +104,11 @@
         """Write a version; of the others `beside` and `also` are kept. It fails if a newer one is stored."""
         self.queue.put((lambda: self._store(version, contents, {beside, *also}), done))
 
-    def keep(self, digest: str, contents: bytes, done: Done) -> None:
+    def store_undecided(self, digest: str, contents: bytes, done: Done) -> None:
         """Write undecided contents."""
         self.queue.put((lambda: self._write(KEPT + digest, [contents]), done))
 
-    def discard(self, digest: str) -> None:
+    def discard_undecided(self, digest: str) -> None:
         """Remove undecided contents."""
         self.queue.put((lambda: self._remove(KEPT + digest), lambda why: None))
 
--- a/grebestack/cluster_io/configuration_node.py
+++ b/grebestack/cluster_io/configuration_node.py
@@ -53,13 +53,14 @@
         settings = node.settings
         self.contents = ConfigStore(node.loop, folder, settings.cluster, files)
         self.held = self.contents.open()
-        for doubt in self.held.doubts:
+        for doubt in self.held.corrupt_files:
             log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
         self.voter = ConfigurationVoter(
             settings.name, settings.cluster, self.held.incarnation, node.random, self.clock()
         )
         self.relay: LocalRelay | None = None
-        self.settled: Callable[[], None] = lambda: None  # called when a version or a confirmation has come
+        # Called when a version is applied or refused, or a majority has confirmed the version in force.
+        self.on_applied_or_confirmed: Callable[[], None] = lambda: None
         self.last_proposal_id = 0
         self.asked: dict[int, Callable[[ProposalResult], None]] = {}  # by proposal id
         self.counted = dict.fromkeys(("messages_in", "messages_out", "bytes_in", "bytes_out"), 0)
@@ -82,14 +83,14 @@
         """Messages and bytes each way among voters, for the configuration alone."""
         return self.counted
 
-    def shown(self) -> list[str]:
+    def status_lines(self) -> list[str]:
         """Describe the newest decided version, and who has it, to operators."""
         return self.voter.status_lines(self.clock())
 
     def start(self) -> None:
         """Begin to take messages, from what the disk holds."""
         self.node.message_handlers[TASK] = self._on_message
-        self.turns.run(self.voter.start(self.clock(), list(self.held.versions), self.held.kept))
+        self.turns.run(self.voter.start(self.clock(), list(self.held.versions), self.held.undecided))
 
     def stop(self) -> None:
         """Carry out no more actions and close the disk."""
@@ -155,10 +156,10 @@
         self.node.send_task_message(action.to, TASK, action.body)
 
     def _store_contents(self, action: StoreContents) -> None:
-        self.contents.keep(action.digest, action.contents, partial(self._kept, action.digest))
+        self.contents.store_undecided(action.digest, action.contents, partial(self._kept, action.digest))
 
     def _discard_contents(self, action: DiscardContents) -> None:
-        self.contents.discard(action.digest)
+        self.contents.discard_undecided(action.digest)
 
     def _store(self, action: Store) -> None:
         stored = partial(self._stored, action.version.number)
@@ -167,7 +168,7 @@
     def _apply(self, action: Apply) -> None:
         why = self.take(action.version, action.contents)
         self.turns.run(self.voter.on_applied(self.clock(), action.version.number, why))
-        self.settled()
+        self.on_applied_or_confirmed()
 
     def _publish(self, action: PublishVersion) -> None:
         if self.relay is not None:
@@ -176,7 +177,7 @@
     def _confirm(self, action: MajorityConfirmed) -> None:
         if self.relay is not None:
             self.relay.on_majority_confirmed(action.at_ms)
-        self.settled()
+        self.on_applied_or_confirmed()
 
     def _change_register(self, action: ChangeRegister) -> None:
         self.node.propose(REGISTER, register_change(action.version), self._registered)
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -103,7 +103,8 @@
             is_relay,
         )
         self.relay: LocalRelay | None = None
-        self.settled: Callable[[], None] = lambda: None  # called when a version or a confirmation has come
+        # Called when a version is applied or refused, or a majority has confirmed the version in force.
+        self.on_applied_or_confirmed: Callable[[], None] = lambda: None
         self.traffic = Traffic()
         self.dials = 0
         self.link: RelayConnection | None = None
@@ -118,7 +119,7 @@
         if self.contents is None:
             return StoredConfig(incarnation=time.time_ns() // 1_000_000)
         held = self.contents.open()
-        for doubt in held.doubts:
+        for doubt in held.corrupt_files:
             log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
         return held
 
@@ -144,7 +145,7 @@
         """Messages and bytes each way, and connections that were tried."""
         return self.traffic.counts() | {"dials": self.dials}
 
-    def shown(self) -> str:
+    def status_line(self) -> str:
         """Its version, by which relay, and for how long it has heard nothing."""
         return self.follower.status_line(self.clock())
 
@@ -200,7 +201,7 @@
     def _apply(self, action: Apply) -> None:
         why = self.take(action.version, action.contents)
         self.turns.run(self.follower.on_applied(self.clock(), action.version.number, why))
-        self.settled()
+        self.on_applied_or_confirmed()
 
     def _publish(self, action: PublishVersion) -> None:
         if self.relay is not None:
@@ -209,7 +210,7 @@
     def _confirm(self, action: MajorityConfirmed) -> None:
         if self.relay is not None:
             self.relay.on_majority_confirmed(action.at_ms)
-        self.settled()
+        self.on_applied_or_confirmed()
 
     def _connect(self, action: Connect) -> None:
         if self.link is not None:
--- a/grebestack/cluster_io/relay_server.py
+++ b/grebestack/cluster_io/relay_server.py
@@ -41,7 +41,7 @@
             on_report,
             clock,
         )
-        self.links: dict[int, RelayConnection] = {}
+        self.connections: dict[int, RelayConnection] = {}
         self.numbers = 0
         self.traffic = Traffic()
         self.server: asyncio.Server | None = None
@@ -59,7 +59,7 @@
     @property
     def counts(self) -> dict[str, int]:
         """Messages and bytes each way, followers that are connected, their connections so far."""
-        return self.traffic.counts() | {"links": len(self.links), "accepted": self.numbers}
+        return self.traffic.counts() | {"links": len(self.connections), "accepted": self.numbers}
 
     async def start(self) -> None:
         """Listen."""
@@ -72,7 +72,7 @@
         self.turns.stop()
         if self.server is not None:
             self.server.close()
-        for link in list(self.links.values()):
+        for link in list(self.connections.values()):
             link.close("stopping")
 
     def accept(self) -> RelayConnection:
@@ -92,19 +92,19 @@
 
     def on_connected(self, link: RelayConnection) -> None:
         """A follower's connection is up; the follower sends the first message."""
-        if self.turns.stopped or len(self.links) >= self.relay.max_followers + SPARE_CONNECTIONS:
+        if self.turns.stopped or len(self.connections) >= self.relay.max_followers + SPARE_CONNECTIONS:
             link.close("too many connections")
         else:
-            self.links[link.number] = link
+            self.connections[link.number] = link
 
     def on_message(self, link: RelayConnection, message: Message) -> None:
         """A message has come."""
-        if not self.turns.stopped and self.links.get(link.number) is link:
+        if not self.turns.stopped and self.connections.get(link.number) is link:
             self.turns.run(self.relay.on_message(self.clock(), link.number, message))
 
     def on_closed(self, link: RelayConnection, why: str) -> None:
         """A connection has ended."""
-        if self.links.pop(link.number, None) is not None and not self.turns.stopped:
+        if self.connections.pop(link.number, None) is not None and not self.turns.stopped:
             self.turns.run(self.relay.on_disconnected(self.clock(), link.number, why))
 
     # Actions of the pure part.
@@ -113,7 +113,7 @@
         self.performers[type(action)](action)
 
     def _send(self, action: Send) -> None:
-        connection = self.links.get(action.link)
+        connection = self.connections.get(action.link)
         if connection is None:
             return
         if self.last[0] is not action.message:
@@ -121,7 +121,7 @@
         connection.write(self.last[1])
 
     def _close(self, action: Close) -> None:
-        connection = self.links.pop(action.link, None)
+        connection = self.connections.pop(action.link, None)
         if connection is not None:
             connection.close_after_writing(action.why)  # a rejection may still be on its way out
 
--- a/grebestack/program/config_updates.py
+++ b/grebestack/program/config_updates.py
@@ -237,7 +237,7 @@
             await self.relay.start()
         part = self.voter or self.follower
         assert part is not None
-        part.settled = self._finish_start
+        part.on_applied_or_confirmed = self._finish_start
         self.loop.call_later(STARTUP_GRACE_MS / 1000.0 + START_MARGIN_S, self._finish_start)
         part.start()
         await self.start_finished
@@ -256,9 +256,9 @@
 
     def describe_lines(self) -> list[str]:
         """Return lines that describe the version in force and the state of other dispatchers."""
-        lines = self.voter.shown() if self.voter is not None else []
+        lines = self.voter.status_lines() if self.voter is not None else []
         if self.follower is not None:
-            lines.append(self.follower.shown())
+            lines.append(self.follower.status_line())
         if self.relay is not None:
             lines.append(self.relay.relay.status_line(CLOCK()))
         return lines
--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -57,7 +57,7 @@
         self.local_operations = LocalOperations(dispatcher)
         self.predecessor_attempts = checkpoint.InheritedAttempts(dispatcher.engine.policy)
         self._executors = self._action_table()
-        dispatcher.platform_api.query_other_process = self.called_back
+        dispatcher.platform_api.query_other_process = self.offer_callback
         dispatcher.platform_api.is_open_elsewhere = self._is_open_elsewhere
         dispatcher.engine.on_request_closed = self._on_request_closed
 
@@ -128,7 +128,7 @@
         self.state_machine.on_stop()
         self.rendezvous.close()
 
-    def let_go(self) -> None:
+    def hand_over_in_flight(self) -> None:
         """This process is about to be killed: the successor answers the requests that workers run."""
         if (successor := self.state_machine.successor) is not None:
             self.handover.hand_over_in_flight(successor)
@@ -259,7 +259,7 @@
     def _on_query_timeout(self, number: int) -> None:
         self._execute(self.state_machine.on_query_timeout(number))
 
-    def called_back(self, body: bytes, reply: Callable[[bool | None], None]) -> None:
+    def offer_callback(self, body: bytes, reply: Callable[[bool | None], None]) -> None:
         """Offer the other process a call-back that is unknown here.
 
         `reply` is called with whether either process took it, or None if that is not known in time.
--- a/grebestack/program/lifecycle_control.py
+++ b/grebestack/program/lifecycle_control.py
@@ -91,7 +91,7 @@
         dispatcher.loop.call_later(LATE_MS / 1000.0, dispatcher.platform_api.limit_deadlines, deadline_ms)
         if dispatcher.hot_restart is not None:
             handover_s = max(0.0, (deadline_ms - now_ms) / 1000.0 - _HANDOVER_BEFORE_DEADLINE_S)
-            dispatcher.loop.call_later(handover_s, dispatcher.hot_restart.let_go)
+            dispatcher.loop.call_later(handover_s, dispatcher.hot_restart.hand_over_in_flight)
         self.apply()
 
     def _end_when_idle(self) -> None:
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -86,7 +86,7 @@
     contents.open()
     await _wait_for(lambda done: contents.store(OLD_VERSION, OLD_CONTENTS, 0, done))
     await _wait_for(lambda done: contents.store(VERSION, CONTENTS, 16, done))
-    await _wait_for(lambda done: contents.keep(digest_of(b"kept"), b"kept", done))
+    await _wait_for(lambda done: contents.store_undecided(digest_of(b"kept"), b"kept", done))
     contents.close()
     return contents_of(folder)
 
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -122,7 +122,7 @@
     engine.on_attempt_ended(session.attempts[0])
     engine.on_request_closed("job-1")
     dispatcher.acceptor.hand_over.call_args.args[0](connection, True)
-    runner.let_go()
+    runner.hand_over_in_flight()
     return channel.messages
 
 
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -49,7 +49,7 @@
         return self._wait(lambda done: self.contents.store(V[number], TEXTS[number], beside, done, also))
 
     def keep(self, contents: bytes) -> str:
-        return self._wait(lambda done: self.contents.keep(digest_of(contents), contents, done))
+        return self._wait(lambda done: self.contents.store_undecided(digest_of(contents), contents, done))
 
     def close(self) -> None:
         self.contents.close()
@@ -67,7 +67,7 @@
     assert [disk.store(1), disk.store(2, 1), disk.store(3, 1)] == ["", "", ""]
     disk.close()
     found = held(tmp_path)
-    assert dict(found.versions) == {V[1]: TEXTS[1], V[3]: TEXTS[3]} and not found.doubts
+    assert dict(found.versions) == {V[1]: TEXTS[1], V[3]: TEXTS[3]} and not found.corrupt_files
 
 
 def test_what_a_start_found_stays_until_something_is_in_force(tmp_path: Path) -> None:
@@ -92,9 +92,9 @@
 def test_contents_that_are_not_decided_are_kept_by_digest_until_discarded(tmp_path: Path) -> None:
     disk = Disk(tmp_path)
     assert disk.keep(b"one") == "" and disk.keep(b"two") == ""
-    disk.contents.discard(digest_of(b"one"))
+    disk.contents.discard_undecided(digest_of(b"one"))
     disk.close()
-    assert held(tmp_path).kept == {digest_of(b"two"): b"two"}
+    assert held(tmp_path).undecided == {digest_of(b"two"): b"two"}
 
 
 @pytest.mark.parametrize("how", ["open", "write", "sync", "rename"])
@@ -106,7 +106,7 @@
     assert os.strerror(errno.EIO) in failing.store(2, 1)
     failing.close()
     found = held(tmp_path)
-    assert dict(found.versions) == {V[1]: TEXTS[1]} and not found.doubts
+    assert dict(found.versions) == {V[1]: TEXTS[1]} and not found.corrupt_files
 
 
 @pytest.mark.parametrize("at", ["cut", "flipped", "empty", "longer", "another's magic"])
@@ -129,9 +129,9 @@
     path.write_bytes(bytes(spoilt[at]))
     found = held(tmp_path)
     assert dict(found.versions) == {V[1]: TEXTS[1]}
-    assert len(found.doubts) == 1 and path.name in found.doubts[0]
+    assert len(found.corrupt_files) == 1 and path.name in found.corrupt_files[0]
     assert [p.name for p in tmp_path.glob("doubted-*")] == [f"doubted-000001-{path.name}"]
-    assert not held(tmp_path).doubts  # it is read once
+    assert not held(tmp_path).corrupt_files  # it is read once
 
 
 def test_no_length_of_a_torn_file_is_taken_for_a_whole_one(tmp_path: Path) -> None:
@@ -149,7 +149,7 @@
 def test_half_a_write_counts_nowhere(tmp_path: Path) -> None:
     (tmp_path / f"version-{3:016x}.new").write_bytes(MAGIC)
     found = held(tmp_path)
-    assert not found.versions and not found.doubts and not list(tmp_path.glob("*.new"))
+    assert not found.versions and not found.corrupt_files and not list(tmp_path.glob("*.new"))
 
 
 def test_contents_of_another_fleet_or_digest_are_not_believed(tmp_path: Path) -> None:
@@ -159,15 +159,15 @@
     disk.close()
     (tmp_path / f"kept-{digest_of(b'one')}").rename(tmp_path / f"kept-{digest_of(b'two')}")
     found = held(tmp_path, "ranch")
-    assert not found.versions and not found.kept
-    assert "it is of the fleet 'farm', not 'ranch'" in " ".join(found.doubts)
-    assert f"its digest is {digest_of(b'one')}" in " ".join(found.doubts)
+    assert not found.versions and not found.undecided
+    assert "it is of the fleet 'farm', not 'ranch'" in " ".join(found.corrupt_files)
+    assert f"its digest is {digest_of(b'one')}" in " ".join(found.corrupt_files)
 
 
 def test_files_put_aside_are_few(tmp_path: Path) -> None:
     for _ in range(9):
         (tmp_path / f"version-{3:016x}").write_bytes(b"nothing of ours")
-        assert len(held(tmp_path).doubts) == 1
+        assert len(held(tmp_path).corrupt_files) == 1
     assert len(list(tmp_path.glob("doubted-*"))) == 4
 
 
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -255,7 +255,7 @@
         await rig.until(lambda: node.version.number == 1)
         relay.publish(version(2, TWO), TWO)
         await rig.until(lambda: [s.why for s in relay.relay.followers.values()] == ["mostTries is 6"])
-        assert node.version.number == 1 and "mostTries is 6" in node.shown()
+        assert node.version.number == 1 and "mostTries is 6" in node.status_line()
         relay.publish(version(3, ONE), ONE)
         await rig.until(lambda: node.version.number == 3)
 
@@ -280,7 +280,7 @@
 
         node = rig.follower("f0", take, str(tmp_path))
         settled: list[int] = []
-        node.settled = lambda: settled.append(1)
+        node.on_applied_or_confirmed = lambda: settled.append(1)
         await rig.until(lambda: settled)
         assert taken == [(7, ONE)] and node.version == version(7, ONE)
         await rig.until(lambda: node.counts["dials"] > 2)  # and it goes on trying
@@ -358,7 +358,7 @@
         relay = await rig.relay()
         reader, writer = await asyncio.open_connection(*relay.address)
         await rig.until(lambda: relay.counts["links"] == 1)
-        assert await reader.read() == b"" and not relay.links
+        assert await reader.read() == b"" and not relay.connections
         writer.close()
 
     play(script)
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -70,9 +70,9 @@
     held = contents.open()
     contents.close()
     loop.close()
-    assert held.doubts == ()
+    assert held.corrupt_files == ()
     assert held.versions == ((OLD_VERSION, OLD_CONTENTS), (VERSION, CONTENTS))
-    assert list(held.kept.values()) == [b"kept"]
+    assert list(held.undecided.values()) == [b"kept"]
     assert held.incarnation == INCARNATION + 2
 
 
