--- a/grebestack/cluster_io/__init__.py
+++ b/grebestack/cluster_io/__init__.py
@@ -1,1 +1,1 @@
-"""The asyncio and disk side of the cluster: files, connections, clock. It decides nothing."""
+"""The cluster's disk, connections and clock. The decisions are made in the pure packages."""
--- a/grebestack/cluster_io/action_runner.py
+++ b/grebestack/cluster_io/action_runner.py
@@ -11,21 +11,21 @@
 
 
 class Scheduled(Protocol):
-    """The time-dependent side of a pure state machine."""
+    """A pure state machine that acts at certain times."""
 
     def due_ms(self, now_ms: float) -> float:
-        """Return when `tick` must be called next, at the latest; milliseconds of the runner's clock."""
+        """Return the latest time of the next `tick`, in milliseconds of the runner's clock."""
 
 
 class ActionRunner(Generic[A]):
-    """Carries out actions one by one. The actions that one leads to come after those requested before.
+    """Carries out actions in order; those that an action leads to are queued behind all others.
 
     Parameters
     ----------
     clock
         Returns the time in milliseconds.
     state_machine
-        Says when its next tick is due.
+        Its `due_ms` gives the time of the next tick.
     carry_out
         Carries out one action; it may call `run`.
     tick
@@ -40,7 +40,7 @@
         carry_out: Callable[[A], None],
         tick: Callable[[], Iterable[A]],
     ) -> None:
-        """Begin with nothing to do and no timer."""
+        """Create a runner with no actions and no timer."""
         self.loop, self.clock, self.state_machine = loop, clock, state_machine
         self.carry_out, self.tick = carry_out, tick
         self.actions: deque[A] = deque()
@@ -73,7 +73,7 @@
         self.run(self.tick())
 
     def stop(self) -> None:
-        """Carry out no more actions."""
+        """Stop the timer and carry out no more actions."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
--- a/grebestack/cluster_io/follower_client.py
+++ b/grebestack/cluster_io/follower_client.py
@@ -34,7 +34,8 @@
 from grebestack.consensus.actions import LogMessage
 
 log = logging.getLogger(__name__)
-ApplyVersion = Callable[[Version, bytes], str]  # puts a version in force; returns why it is refused, or empty
+# Puts a version in force; returns the reason for a refusal, or an empty text.
+ApplyVersion = Callable[[Version, bytes], str]
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +53,7 @@
     name: str
     cluster: str
     place: str  # region/zone
-    relays: Mapping[str, RelayAddress]  # those it may follow
+    relays: Mapping[str, RelayAddress]  # that it may follow
     folder: str  # empty: no disk
 
 
@@ -60,14 +61,14 @@
     """The relay that runs in the same process."""
 
     def publish(self, version: Version, contents: bytes) -> None:
-        """A decided version, checked."""
+        """Offer a decided, validated version to followers."""
 
     def on_majority_confirmed(self, at_ms: float) -> None:
-        """At that instant a majority knew nothing newer."""
+        """Note that at this time a majority of voters knew of no newer version."""
 
 
 class FollowerClient:
-    """One follower; `take` is called on the loop for each version that is to be in force.
+    """One follower. `apply_version` is called on the loop for each version to put in force.
 
     Raises
     ------
@@ -79,25 +80,23 @@
         self,
         loop: asyncio.AbstractEventLoop,
         settings: FollowerSettings,
-        take: ApplyVersion,
+        apply_version: ApplyVersion,
         clock: Callable[[], float] = monotonic_ms,
         random: Random | None = None,
         files: Files | None = None,
         is_relay: bool = False,
     ) -> None:
-        """Open the folder and build the follower; `start` connects it."""
-        self.loop, self.settings, self.take, self.clock = loop, settings, take, clock
-        self.contents = (
-            ConfigStore(loop, settings.folder, settings.cluster, files) if settings.folder else None
-        )
-        held = self._read_disk()
-        self.held = held.versions
+        """Open the folder and create the follower; `start` connects it."""
+        self.loop, self.settings, self.apply_version, self.clock = loop, settings, apply_version, clock
+        self.store = ConfigStore(loop, settings.folder, settings.cluster, files) if settings.folder else None
+        recovered = self._read_disk()
+        self.recovered_versions = recovered.versions
         places = {name: relay.place for name, relay in settings.relays.items()}
         self.follower = Follower(
             settings.name,
             settings.cluster,
             settings.place,
-            held.incarnation,
+            recovered.incarnation,
             places,
             random or Random(int.from_bytes(os.urandom(8), "big")),
             is_relay,
@@ -106,24 +105,24 @@
         # Called when a version is applied or refused, or a majority has confirmed the version in force.
         self.on_applied_or_confirmed: Callable[[], None] = lambda: None
         self.traffic = Traffic()
-        self.dials = 0
-        self.link: RelayConnection | None = None
-        self.opening: ConnectionAttempt | None = None
-        self.performers = self._performers()
-        self.turns: ActionRunner[FollowerAction] = ActionRunner(
-            self.loop, self.clock, self.follower, self._perform, lambda: self.follower.tick(self.clock())
+        self.dial_count = 0
+        self.connection: RelayConnection | None = None
+        self.connection_attempt: ConnectionAttempt | None = None
+        self.action_handlers = self._action_handler_table()
+        self.action_runner: ActionRunner[FollowerAction] = ActionRunner(
+            self.loop, self.clock, self.follower, self._carry_out, lambda: self.follower.tick(self.clock())
         )
 
     def _read_disk(self) -> StoredConfig:
-        """Return what the disk holds; without a folder, an empty configuration of a new incarnation."""
-        if self.contents is None:
+        """Return what the disk holds; without a folder, no versions and a new incarnation."""
+        if self.store is None:
             return StoredConfig(incarnation=time.time_ns() // 1_000_000)
-        held = self.contents.open()
-        for doubt in held.corrupt_files:
-            log.warning("configuration_doubted", extra={"kv": {"why": doubt}})
-        return held
+        recovered = self.store.open()
+        for corrupt_file in recovered.corrupt_files:
+            log.warning("configuration_doubted", extra={"kv": {"why": corrupt_file}})
+        return recovered
 
-    def _performers(self) -> dict[type[FollowerAction], Callable[[Any], None]]:
+    def _action_handler_table(self) -> dict[type[FollowerAction], Callable[[Any], None]]:
         return {
             Send: self._send,
             Connect: self._connect,
@@ -142,65 +141,67 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Messages and bytes each way, and connections that were tried."""
-        return self.traffic.counts() | {"dials": self.dials}
+        """Messages and bytes each way, and the connections tried."""
+        return self.traffic.counts() | {"dials": self.dial_count}
 
     def status_line(self) -> str:
-        """Its version, by which relay, and for how long it has heard nothing."""
+        """Describe its version, its relay and the time since the last message, for operators."""
         return self.follower.status_line(self.clock())
 
     def start(self) -> None:
-        """Follow from now on."""
-        held, self.held = self.held, ()
-        self.turns.run(self.follower.start(self.clock(), held))
+        """Start the follower with the versions that the disk holds."""
+        versions, self.recovered_versions = self.recovered_versions, ()
+        self.action_runner.run(self.follower.start(self.clock(), versions))
 
     def stop(self) -> None:
-        """End."""
-        self.turns.stop()
-        if self.link is not None:
-            self.link.close("stopping")
-        if self.contents is not None:
-            self.contents.close()
+        """Close the connection and the store; carry out no more actions."""
+        self.action_runner.stop()
+        if self.connection is not None:
+            self.connection.close("stopping")
+        if self.store is not None:
+            self.store.close()
 
     def on_status_report(self, report: StatusReport) -> None:
         """Send a status report of this process's own relay, or of one below it, upstream."""
-        self.turns.run(self.follower.on_status_report(self.clock(), report))
+        self.action_runner.run(self.follower.on_status_report(self.clock(), report))
 
     # Events of the connection.
 
-    def on_connected(self, link: RelayConnection) -> None:
-        """The connection that was dialled is up."""
-        if self.link is link:
-            self.turns.run(self.follower.on_connected(self.clock(), link.number))
+    def on_connected(self, connection: RelayConnection) -> None:
+        """Handle the start of the connection to the relay."""
+        if self.connection is connection:
+            self.action_runner.run(self.follower.on_connected(self.clock(), connection.link_number))
 
-    def on_message(self, link: RelayConnection, message: Message) -> None:
-        """A message has come."""
-        if self.link is link:
-            self.turns.run(self.follower.on_message(self.clock(), link.number, message))
+    def on_message(self, connection: RelayConnection, message: Message) -> None:
+        """Handle a message."""
+        if self.connection is connection:
+            self.action_runner.run(self.follower.on_message(self.clock(), connection.link_number, message))
 
-    def on_closed(self, link: RelayConnection, why: str) -> None:
-        """The connection has ended, or could not be made."""
-        if self.link is link:
-            self.link = None
-            self.turns.run(self.follower.on_disconnected(self.clock(), link.number, why))
+    def on_closed(self, connection: RelayConnection, reason: str) -> None:
+        """Handle the end of the connection, or the failure to open it."""
+        if self.connection is connection:
+            self.connection = None
+            self.action_runner.run(
+                self.follower.on_disconnected(self.clock(), connection.link_number, reason)
+            )
 
-    # Actions of the pure part.
+    # Actions of the follower's state machine.
 
-    def _perform(self, action: FollowerAction) -> None:
-        self.performers[type(action)](action)
+    def _carry_out(self, action: FollowerAction) -> None:
+        self.action_handlers[type(action)](action)
 
     def _send(self, action: Send) -> None:
-        if self.link is not None and self.link.number == action.link:
-            self.link.write(encode(action.message))
+        if self.connection is not None and self.connection.link_number == action.link:
+            self.connection.write(encode(action.message))
 
     def _close(self, action: Close) -> None:
-        if self.link is not None and self.link.number == action.link:
-            link, self.link = self.link, None
-            link.close(action.why)
+        if self.connection is not None and self.connection.link_number == action.link:
+            connection, self.connection = self.connection, None
+            connection.close(action.why)
 
     def _apply(self, action: Apply) -> None:
-        why = self.take(action.version, action.contents)
-        self.turns.run(self.follower.on_applied(self.clock(), action.version.number, why))
+        reason = self.apply_version(action.version, action.contents)
+        self.action_runner.run(self.follower.on_applied(self.clock(), action.version.number, reason))
         self.on_applied_or_confirmed()
 
     def _publish(self, action: PublishVersion) -> None:
@@ -213,21 +214,23 @@
         self.on_applied_or_confirmed()
 
     def _connect(self, action: Connect) -> None:
-        if self.link is not None:
-            self.link.close("another is dialled")
-        self.dials += 1
-        self.link = link = RelayConnection(self.loop, self, action.link, self.traffic)
+        if self.connection is not None:
+            self.connection.close("another connection is opened")
+        self.dial_count += 1
+        self.connection = connection = RelayConnection(self.loop, self, action.link, self.traffic)
         address = self.settings.relays[action.relay].address
-        self.opening = ConnectionAttempt(self.loop, link, address, partial(self.on_closed, link))
+        self.connection_attempt = ConnectionAttempt(
+            self.loop, connection, address, partial(self.on_closed, connection)
+        )
 
     def _store(self, action: Store) -> None:
         number = action.version.number
 
-        def done(why: str) -> None:
-            if not self.turns.stopped:
-                self.turns.run(self.follower.on_stored(self.clock(), number, why))
+        def on_stored(reason: str) -> None:
+            if not self.action_runner.stopped:
+                self.action_runner.run(self.follower.on_stored(self.clock(), number, reason))
 
-        if self.contents is None:
-            done("")
+        if self.store is None:
+            on_stored("")
         else:
-            self.contents.store(action.version, action.contents, action.keep_number, done, action.also_keep)
+            self.store.store(action.version, action.contents, action.keep_number, on_stored, action.also_keep)
--- a/grebestack/cluster_io/framing.py
+++ b/grebestack/cluster_io/framing.py
@@ -1,6 +1,6 @@
-"""Connections of whole messages, in bounded memory: the common part of all connections in a cluster.
+"""Connections that carry framed messages, in bounded memory: the base of all connections in a cluster.
 
-A frame is a header, whose first field is the length of the message in bytes, and the message.
+A frame is a header, whose first field is the message's length in bytes, and the message.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
     """Messages and bytes each way, headers included, of one connection or of several that share it."""
 
     def __init__(self) -> None:
-        """Begin at zero."""
+        """Start all counters at zero."""
         self.messages_in = self.messages_out = self.bytes_in = self.bytes_out = 0
 
     def counts(self) -> dict[str, int]:
@@ -31,7 +31,7 @@
 
 
 class FramedConnection(asyncio.Protocol):
-    """One connection, which ends unless the handshake completes in time, or if the other end does not read.
+    """One connection. It is closed if the handshake takes too long or the other end does not read.
 
     States: handshake, open (from `complete_handshake` on), closed. Subclasses implement `on_connected`,
     `on_frame` and `on_closed`.
@@ -39,11 +39,11 @@
 
     header: ClassVar[struct.Struct] = struct.Struct(">I")
     max_message_bytes: int  # without the header
-    max_queued_bytes: int  # written here and not read by the other end
+    max_queued_bytes: int  # that the other end has not read yet
     handshake_timeout_s: float = 0.7
 
     def __init__(self, loop: asyncio.AbstractEventLoop, traffic: Traffic | None = None) -> None:
-        """Begin unconnected: the loop calls `connection_made`."""
+        """Create an unconnected protocol; the loop calls `connection_made`."""
         self.loop, self.traffic = loop, traffic or Traffic()
         self.transport: asyncio.Transport | None = None
         self.unparsed = b""
@@ -51,7 +51,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def on_connected(self) -> None:
-        """Handle a connection that is up."""
+        """Handle the start of the connection."""
 
     def on_frame(self, data: bytes, *fields: int) -> None:
         """Handle a message, with the fields of its header that follow the length."""
@@ -63,10 +63,10 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the handshake's timeout (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.close_reason:  # it was given up while it was being opened
+        if self.close_reason:  # closed while it was being opened
             self.transport.abort()
             return
-        self.timer = self.loop.call_later(self.handshake_timeout_s, self.close, "it did not say who it is")
+        self.timer = self.loop.call_later(self.handshake_timeout_s, self.close, "no handshake in time")
         self.on_connected()
 
     def complete_handshake(self) -> None:
@@ -79,7 +79,7 @@
             self.timer = None
 
     def write(self, data: bytes, *fields: int) -> None:
-        """Send a message; the connection ends if the other end does not read."""
+        """Send a message; the connection is closed if the other end does not read."""
         if self.transport is None or self.transport.is_closing():
             return
         if len(data) > self.max_message_bytes:
@@ -95,7 +95,7 @@
     def data_received(self, data: bytes) -> None:
         """Handle all messages that are complete (asyncio)."""
         self.traffic.bytes_in += len(data)
-        if self.close_reason:  # it is ending: nothing more is read, or kept
+        if self.close_reason:  # closing: drop what still arrives
             self.unparsed = b""
             return
         data = self.unparsed + data
@@ -105,22 +105,22 @@
             if length > self.max_message_bytes:
                 self.close(f"a message of {length} bytes; allowed: {self.max_message_bytes}")
                 return
-            begin = offset + header_size
-            if len(data) - begin < length:
+            start = offset + header_size
+            if len(data) - start < length:
                 break
-            offset = begin + length
+            offset = start + length
             self.traffic.messages_in += 1
-            self.on_frame(data[begin:offset], *fields)
+            self.on_frame(data[start:offset], *fields)
         self.unparsed = data[offset:]
 
     def close(self, reason: str) -> None:
-        """End the connection at once; the first reason stays."""
+        """Close the connection at once; the first reason given is kept."""
         self.close_reason = self.close_reason or reason
         if self.transport is not None:
             self.transport.abort()
 
     def close_after_writing(self, reason: str) -> None:
-        """End the connection once all is sent, or after `handshake_timeout_s` at the latest."""
+        """Close the connection once all is sent, or after `handshake_timeout_s` at the latest."""
         self.close_reason = self.close_reason or reason
         if self.transport is not None:
             self.transport.close()
@@ -131,7 +131,7 @@
         """Report the end of the connection (asyncio)."""
         self.transport = None
         self._cancel_timer()
-        self.on_closed(self.close_reason or (str(exc) if exc else "it has ended"))
+        self.on_closed(self.close_reason or (str(exc) if exc else "connection closed"))
 
 
 class ConnectionAttempt:
@@ -150,7 +150,7 @@
         address: tuple[str, int],
         on_failed: Callable[[str], None],
     ) -> None:
-        """Begin at once."""
+        """Start the attempt."""
         self.loop, self.protocol, self.address, self.on_failed = loop, protocol, address, on_failed
         self.task = loop.create_task(self._open())
 
@@ -159,6 +159,6 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self.loop.create_connection(lambda: self.protocol, *self.address)
         except (OSError, TimeoutError) as error:
-            # A connection that came up at the last moment reports its own end.
+            # A connection that opened just before the timeout reports its own end.
             if self.protocol.transport is None and not self.protocol.close_reason:
                 self.on_failed(str(error) or f"no connection within {CONNECT_TIMEOUT_S:g} s")
--- a/grebestack/cluster_io/log_store.py
+++ b/grebestack/cluster_io/log_store.py
@@ -1,7 +1,7 @@
-"""The log of a member on its disk: records are appended and synced in batches by a thread.
+"""The on-disk log of a member: a thread appends and syncs its records in batches.
 
 A record counts as written only once a sync that began after its write has returned. Once a write or sync has
-failed, the file is quarantined and never read again: what the system's cache shows of it may not be on disk.
+failed, the file is quarantined and never read again: the page cache may show data that is not on the disk.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 RECORD_OVERHEAD_BYTES = HEADER.size + CHECKSUM.size
 MAX_BATCH_ITEMS = 256
 LOG_PREFIX, LOG_SUFFIX, QUARANTINE_PREFIX = "registers-", ".log", "doubted-"
-CLOSE_TIMEOUT_S = 0.3  # for the disk to finish when the process stops
+CLOSE_TIMEOUT_S = 0.3  # for queued writes to finish when the process stops
 MAX_QUARANTINED_FILES = 4  # older ones are removed
 
 
 class Files:
-    """The file system calls in use; tests replace them by ones that fail."""
+    """The file system calls that the stores use; tests replace them with failing ones."""
 
     def read(self, path: str) -> bytes:
         """Return the contents of a file."""
@@ -46,7 +46,7 @@
             data = data[self.write(fd, data) :]
 
     def sync(self, fd: int) -> None:
-        """Return once all that was written is on the disk."""
+        """Return once all written data is on the disk."""
         os.fsync(fd)
 
     def truncate(self, path: str, size: int) -> None:
@@ -65,7 +65,7 @@
     Parameters
     ----------
     payloads
-        Those of the records, in order.
+        The payloads of the records, in order.
     last_record
         The sequence number of the last record.
     fault
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Replace:
-    """Quarantine all files and begin an empty one; report why that failed, or nothing."""
+    """Quarantine all files and start an empty one; report the reason for a failure, or an empty text."""
 
     on_done: Callable[[str], None]
 
@@ -148,12 +148,12 @@
         on_failed: Callable[[str], None],
         files: Files | None = None,
     ) -> None:
-        """Begin closed: `open` reads the log and starts the thread."""
+        """Create a closed store; `open` reads the log and starts the thread."""
         self.loop, self.folder, self.files = loop, folder, files or Files()
         self.on_synced, self.on_failed = on_synced, on_failed
         self.queue: queue.SimpleQueue[_Append | _Compact | _Replace | _Stop] = queue.SimpleQueue()
         self.last_record = 0
-        self.size_bytes = 0  # of the file, with all that is queued
+        self.size_bytes = 0  # of the file, including queued records
         self.fd = self.lock = -1
         self.has_failed = False  # the thread drops records until the file is replaced
         self.thread = threading.Thread(target=self._work, name="fleet-store", daemon=True)
@@ -182,7 +182,7 @@
                 return RecoveredLog(fault="there is no record of this member")
             return self._recover_file(logs[-1], logs[:-1])
         except (OSError, ValueError) as error:
-            return RecoveredLog(fault=f"the records can't be read: {error}")
+            return RecoveredLog(fault=f"the log can't be read: {error}")
 
     def _recover_file(self, name: str, older: Sequence[str]) -> RecoveredLog:
         path = os.path.join(self.folder, name)
@@ -190,7 +190,7 @@
         first = int(name[len(LOG_PREFIX) : -len(LOG_SUFFIX)], 16)
         contents = read_log(data, first)
         if not contents.corruption and not contents.payloads:
-            return RecoveredLog(fault="the file of records is empty")
+            return RecoveredLog(fault="the log is empty")
         if not contents.corruption:
             if contents.has_torn_end:
                 self.files.truncate(path, contents.valid_bytes)
@@ -220,12 +220,12 @@
         self.queue.put(_Compact(first, tuple(payloads)))
 
     def replace(self, on_done: Callable[[str], None]) -> None:
-        """Quarantine all files and begin an empty log at record 1.
+        """Quarantine all files and start an empty log at record 1.
 
         Parameters
         ----------
         on_done
-            Called on the loop with the reason for a failure, or nothing.
+            Called on the loop with the reason for a failure, or an empty text.
         """
 
         def on_replaced(reason: str) -> None:
@@ -236,7 +236,7 @@
         self.queue.put(_Replace(on_replaced))
 
     def close(self) -> None:
-        """Write what is queued, as far as the disk is in time, and unlock the folder."""
+        """Finish the queued writes, waiting at most CLOSE_TIMEOUT_S, and unlock the folder."""
         self.queue.put(_Stop())
         if self.thread.is_alive():
             self.thread.join(CLOSE_TIMEOUT_S)
@@ -258,7 +258,7 @@
         return batch
 
     def _carry_out(self, batch: list[_Append | _Compact | _Replace | _Stop]) -> bool:
-        """Carry out a batch, with one sync for records in a row; return whether the thread goes on."""
+        """Carry out a batch, with one sync for consecutive records; return False at `_Stop`."""
         records: list[_Append] = []
         for item in batch:
             if isinstance(item, _Append):
@@ -300,7 +300,7 @@
             return
         try:
             former = self._log_names()
-            self._begin_file(item.first, item.payloads)
+            self._start_file(item.first, item.payloads)
             self._remove(former)
         except OSError as error:
             self._fail(str(error))
@@ -310,15 +310,15 @@
     def _replace(self, item: _Replace) -> None:
         try:
             self._quarantine(self._log_names())
-            self._begin_file(1, ())
+            self._start_file(1, ())
         except OSError as error:
             self._call_on_loop(item.on_done, str(error))
             return
         self.has_failed = False
         self._call_on_loop(item.on_done, "")
 
-    def _begin_file(self, first: int, payloads: Sequence[bytes]) -> None:
-        """Write a new file under a temporary name, sync it and rename it: a crash leaves the old one."""
+    def _start_file(self, first: int, payloads: Sequence[bytes]) -> None:
+        """Write and sync a new file under a temporary name, then rename it: a crash leaves the old file."""
         path = os.path.join(self.folder, _log_name(first))
         fd = self.files.open(path + ".new")
         try:
@@ -357,7 +357,7 @@
 
 
 def sync_folder(files: Files, folder: str) -> None:
-    """Make the names in a folder durable."""
+    """Sync a folder, so that its entries are durable."""
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         files.sync(fd)
--- a/grebestack/cluster_io/node.py
+++ b/grebestack/cluster_io/node.py
@@ -1,4 +1,4 @@
-"""One member of the cluster as it runs: its replica with disk, connections and clock."""
+"""A running member of the cluster: its replica with disk, connections and clock."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 log = logging.getLogger(__name__)
 Address = tuple[str, int]
 DIAL_BACKOFF_S, MAX_DIAL_BACKOFF_S = 0.1, 0.6
-REPLACE_BACKOFF_S, MAX_REPLACE_BACKOFF_S = 1.0, 30.0  # between attempts to begin an empty log
+REPLACE_BACKOFF_S, MAX_REPLACE_BACKOFF_S = 1.0, 30.0  # between attempts to start an empty log
 MAX_BACKOFF_DOUBLINGS = 10
 DISK_INCARNATION_BITS = 48
 
@@ -115,7 +115,7 @@
         self.replica, self.disk_fault_at_start = self._recover()
 
     def _recover(self) -> tuple[Replica, str]:
-        """Return the replica with its recovered state, and why the log can't be trusted, or nothing."""
+        """Return the replica with its recovered state, and why the log can't be trusted, or an empty text."""
         recovered = self.store.open()
         settings, fault = self.settings, recovered.fault
         state = RecoveredState(settings.cluster)
@@ -136,14 +136,14 @@
         return replica, fault
 
     def _apply_records(self, state: RecoveredState, payloads: tuple[bytes, ...]) -> str:
-        """Apply the log's records; return why they can't be trusted, or nothing."""
+        """Apply the log's records; return why they can't be trusted, or an empty text."""
         try:
             for payload in payloads:
                 state.apply(decode_record(payload))
         except msgspec.DecodeError as error:
-            return f"a record is none of version {PROTOCOL_VERSION}: {error}"
+            return f"a record is not of protocol version {PROTOCOL_VERSION}: {error}"
         if state.cluster != self.settings.cluster:
-            return f"the records are of the fleet {state.cluster!r}"
+            return f"the log belongs to the fleet {state.cluster!r}"
         return ""
 
     def listen(self, server: asyncio.Server) -> None:
@@ -154,7 +154,7 @@
         else:
             self._run(self.replica.start(self.clock()))
         for name, address in self.settings.members.items():
-            if name > self.settings.name:  # of two members the first by name dials the other
+            if name > self.settings.name:  # of two members, the one whose name sorts first dials
                 self.diallers[name] = Dialler(self.loop, self, name, address, self._backoff_s)
                 self.diallers[name].dial()
 
@@ -163,14 +163,14 @@
         return PeerConnection(self.loop, self)
 
     def _backoff_s(
-        self, failures: int, first_s: float = DIAL_BACKOFF_S, longest_s: float = MAX_DIAL_BACKOFF_S
+        self, failures: int, first_s: float = DIAL_BACKOFF_S, max_s: float = MAX_DIAL_BACKOFF_S
     ) -> float:
-        """Return the seconds before the next attempt: doubled with each failure, with jitter."""
-        longest_s = min(longest_s, first_s * 2.0 ** min(failures, MAX_BACKOFF_DOUBLINGS))
-        return self.random.uniform(longest_s / 2.0, longest_s)
+        """Return the seconds before the next attempt: exponential, with jitter."""
+        max_s = min(max_s, first_s * 2.0 ** min(failures, MAX_BACKOFF_DOUBLINGS))
+        return self.random.uniform(max_s / 2.0, max_s)
 
     def stop(self) -> None:
-        """Close everything. Leases are only given back by `release` before."""
+        """Close everything. Leases are not released; call `release` first for that."""
         self.stopped = True
         if self.server is not None:
             self.server.close()
@@ -185,30 +185,30 @@
     # For cluster tasks.
 
     def valid_token(self, task: str) -> int | None:
-        """Return the fencing token to act with now, or None. Check it at each act."""
+        """Return the fencing token while the lease is valid here, else None; check it at each action."""
         return None if self.stopped else self.replica.valid_token(task, self.clock())
 
     def release(self, task: str, to: str = "") -> None:
-        """Give a task's lease back, or hand it over to a member by name."""
+        """Release a task's lease, or transfer it to a member by name."""
         self._run(self.replica.release_lease(self.clock(), task, to))
 
     def on_fenced(self, task: str) -> None:
-        """Handle a resource's rejection of this member's token for a later one."""
+        """Handle a resource's rejection of this member's token: the resource has seen a later one."""
         self._run(self.replica.on_fenced(self.clock(), task))
 
     def become_candidate(self, task: str) -> None:
-        """Propose the lease of a task again, after a release."""
+        """Compete for the lease of a task again, after a release."""
         self.replica.become_candidate(self.clock(), task)
         self._run([])
 
     def propose(self, register: str, change: Change, on_ended: Callable[[bool, Value], None]) -> None:
-        """Change or read a register.
+        """Propose a change to a register, or read it.
 
         Parameters
         ----------
         on_ended
-            Called with whether the value is known to be chosen, and the value; at once with False if a
-            proposal for the register is open here or too few members are connected.
+            Called with whether the value is known to be chosen, and the value; at once with False if this
+            member has an open proposal for the register or too few members are connected.
         """
         if self.replica.has_open_proposal(register) or not self.replica.can_reach_quorum():
             on_ended(False, None)
@@ -225,7 +225,7 @@
         if to in self.connections:
             self.connections[to].send(TaskMessage(task, body))
 
-    # The owner of the connections.
+    # Callbacks of the connections.
 
     def handshake(self) -> Handshake:
         """Return the first message on each connection."""
@@ -236,16 +236,16 @@
         return self.replica.acceptor.reported_record
 
     def on_handshake(self, connection: PeerConnection, handshake: Handshake) -> str:
-        """Handle the other end's handshake; return why it is rejected, or nothing."""
+        """Handle the other end's handshake; return why it is rejected, or an empty text."""
         if handshake.version != PROTOCOL_VERSION or handshake.cluster != self.settings.cluster:
-            return f"it is of fleet {handshake.cluster!r}, version {handshake.version}"
+            return f"it belongs to fleet {handshake.cluster!r}, protocol version {handshake.version}"
         name = handshake.name
         if name not in self.settings.members or name == self.settings.name:
-            return f"{name!r} is no other member"
+            return f"{name!r} is not another member"
         former = self.connections.get(name)
         if former is not None:
             if self.replica.connections[name].process_incarnation > handshake.process_incarnation:
-                return f"a later start of {name} is connected"
+                return f"a later process of {name} is connected"
             self._disconnect(former, "it has connected again")
         connection.accept_peer(name)
         self.connections[name] = connection
@@ -294,7 +294,7 @@
         if not self.stopped:
             self._run(self.replica.on_disk_fault(self.clock(), reason))
 
-    def _begin_empty_log(self) -> None:
+    def _start_empty_log(self) -> None:
         if not self.stopped:
             self.store.replace(self._on_log_replaced)
 
@@ -303,17 +303,17 @@
             return
         if failure:
             self.replace_failures += 1
-            pause_s = self._backoff_s(self.replace_failures, REPLACE_BACKOFF_S, MAX_REPLACE_BACKOFF_S)
-            log.warning("fleet_disk_unusable", extra={"kv": {"why": failure, "again_s": pause_s}})
-            self.loop.call_later(pause_s, self._begin_empty_log)
+            delay_s = self._backoff_s(self.replace_failures, REPLACE_BACKOFF_S, MAX_REPLACE_BACKOFF_S)
+            log.warning("fleet_disk_unusable", extra={"kv": {"why": failure, "again_s": delay_s}})
+            self.loop.call_later(delay_s, self._start_empty_log)
             return
         self.replace_failures = 0
         disk_incarnation = f"{self.random.getrandbits(DISK_INCARNATION_BITS):012x}"
         log.warning("fleet_reborn", extra={"kv": {"incarnation": disk_incarnation}})
         self._run(self.replica.on_disk_replaced(self.clock(), disk_incarnation))
-        # Their handshakes named the former disk incarnation.
+        # Reconnect: the handshakes sent on these connections named the former disk incarnation.
         for connection in list(self.connections.values()):
-            self._disconnect(connection, "a new incarnation")
+            self._disconnect(connection, "new disk incarnation")
 
     # The replica's actions and its timer.
 
@@ -322,7 +322,7 @@
         disconnects: list[Disconnect] = []
         for action in actions:
             if isinstance(action, Disconnect):
-                # Carried out last: it makes the replica return further actions.
+                # Carried out last, since disconnecting makes the replica return further actions.
                 disconnects.append(action)
             else:
                 self.action_handlers[type(action)](action)
@@ -346,7 +346,7 @@
             self.loop.call_soon(listener)
 
     def _replace_disk(self, action: ReplaceDisk) -> None:
-        self._begin_empty_log()
+        self._start_empty_log()
 
     def _set_timer(self) -> None:
         if self.timer is not None:
--- a/grebestack/cluster_io/peer_connection.py
+++ b/grebestack/cluster_io/peer_connection.py
@@ -1,4 +1,4 @@
-"""Connections between two members: messages each way, and the dialler that keeps one open."""
+"""Connections between two members, and the dialler that keeps one open."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         """Return the last log record to report with a message."""
 
     def on_handshake(self, connection: PeerConnection, handshake: Handshake) -> str:
-        """Handle the other end's handshake; return why it is rejected, or nothing."""
+        """Handle the other end's handshake; return why it is rejected, or an empty text."""
 
     def on_message(self, connection: PeerConnection, last_record: int, message: Message) -> None:
         """Handle a message, with the last log record that the other end reports."""
@@ -59,7 +59,7 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, owner: PeerConnectionOwner, expected_peer: str = ""
     ) -> None:
-        """Begin unconnected, with the handshake to come."""
+        """Create an unconnected protocol; the handshake comes first."""
         super().__init__(loop)
         self.owner, self.expected_peer = owner, expected_peer
         self.peer = ""  # the member at the other end, once its handshake is accepted
@@ -69,7 +69,7 @@
         self.send(self.owner.handshake())
 
     def send(self, message: Message) -> None:
-        """Send a message; the connection ends if the other end does not read."""
+        """Send a message; the connection is closed if the other end does not read."""
         self.write(encode(message), self.owner.reported_record())
 
     def on_frame(self, data: bytes, *fields: int) -> None:
@@ -77,19 +77,19 @@
         try:
             message = decode_message(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.close(f"no message of version {PROTOCOL_VERSION}: {error}")
+            self.close(f"not a message of protocol version {PROTOCOL_VERSION}: {error}")
             return
         if self.peer:
             self.owner.on_message(self, fields[0], message)
         elif not isinstance(message, Handshake):
-            self.close("it did not say who it is first")
+            self.close("its first message is not a handshake")
         elif self.expected_peer and message.name != self.expected_peer:
             self.close(f"{message.name} answers where {self.expected_peer} should")
         elif reason := self.owner.on_handshake(self, message):
             self.close(reason)
 
     def accept_peer(self, peer: str) -> None:
-        """Accept the other end as this member."""
+        """Accept the other end as the member `peer`."""
         self.peer = peer
         self.complete_handshake()
 
@@ -104,7 +104,7 @@
     Parameters
     ----------
     backoff_s
-        Returns the seconds before the next attempt, from the number of failed ones.
+        Returns the seconds before the next attempt, given the number of failed ones.
     """
 
     def __init__(
@@ -115,7 +115,7 @@
         address: tuple[str, int],
         backoff_s: Callable[[int], float],
     ) -> None:
-        """Begin unconnected: `dial` opens the first connection."""
+        """Create the dialler; `dial` opens the first connection."""
         self.loop, self.owner, self.name, self.address = loop, owner, name, address
         self.backoff_s = backoff_s
         self.failures = 0
@@ -136,7 +136,7 @@
             self.on_closed()
 
     def on_closed(self) -> None:
-        """Handle the end of the connection: dial again after a pause."""
+        """Handle the end of the connection: dial again after a backoff."""
         self.connection = None
         self.failures += 1
         self.loop.call_later(self.backoff_s(self.failures), self.dial)
--- a/grebestack/cluster_io/relay_connection.py
+++ b/grebestack/cluster_io/relay_connection.py
@@ -15,43 +15,43 @@
 class RelayConnectionOwner(Protocol):
     """Handles the events of connections."""
 
-    def on_connected(self, link: RelayConnection) -> None:
-        """The connection is up."""
+    def on_connected(self, connection: RelayConnection) -> None:
+        """Handle the start of the connection."""
 
-    def on_message(self, link: RelayConnection, message: Message) -> None:
-        """A message has come."""
+    def on_message(self, connection: RelayConnection, message: Message) -> None:
+        """Handle a message."""
 
-    def on_closed(self, link: RelayConnection, why: str) -> None:
-        """The connection has ended; called once for each that was up."""
+    def on_closed(self, connection: RelayConnection, reason: str) -> None:
+        """Handle the end of the connection; called once for each that was open."""
 
 
 class RelayConnection(FramedConnection):
-    """Frames and decodes messages; `number` is the link number of the pure part."""
+    """Encodes and decodes frames; `link_number` names the connection to the state machine."""
 
     max_message_bytes, max_queued_bytes = MAX_MESSAGE_BYTES, 2 * MAX_MESSAGE_BYTES
     handshake_timeout_s = SUBSCRIBE_TIMEOUT_MS / 1000.0
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, owner: RelayConnectionOwner, number: int, traffic: Traffic
+        self, loop: asyncio.AbstractEventLoop, owner: RelayConnectionOwner, link_number: int, traffic: Traffic
     ) -> None:
-        """Begin unconnected."""
+        """Create an unconnected protocol."""
         super().__init__(loop, traffic)
-        self.owner, self.number = owner, number
+        self.owner, self.link_number = owner, link_number
 
     def on_connected(self) -> None:
-        """The connection is up."""
+        """Report the start to the owner."""
         self.owner.on_connected(self)
 
     def on_frame(self, data: bytes, *fields: int) -> None:
-        """A message has come."""
+        """Decode a message and pass it to the owner."""
         try:
             message = decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.close(f"no message of form {PROTOCOL_VERSION}: {error}")
+            self.close(f"not a message of protocol version {PROTOCOL_VERSION}: {error}")
             return
         self.complete_handshake()
         self.owner.on_message(self, message)
 
-    def on_closed(self, why: str) -> None:
-        """The connection has ended."""
-        self.owner.on_closed(self, why)
+    def on_closed(self, reason: str) -> None:
+        """Report the end to the owner."""
+        self.owner.on_closed(self, reason)
--- a/grebestack/cluster_io/relay_server.py
+++ b/grebestack/cluster_io/relay_server.py
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 BACKLOG = 1024  # all followers of a zone may reconnect at once
-SPARE_CONNECTIONS = 256  # beyond the followers served: not subscribed yet, or being closed
+SPARE_CONNECTIONS = 256  # beyond `max_followers`: not subscribed yet, or being closed
 
 
 class RelayServer:
-    """Serves followers; `on_report` is called with each status report."""
+    """Serves followers. `on_report` is called with each status report."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         on_report: Callable[[StatusReport], None],
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
-        """Begin closed; `start` listens at the address."""
+        """Create a closed server; `start` listens at the address."""
         self.loop, self.relay, self.address, self.on_report, self.clock = (
             loop,
             relay,
@@ -42,14 +42,14 @@
             clock,
         )
         self.connections: dict[int, RelayConnection] = {}
-        self.numbers = 0
+        self.last_link_number = 0
         self.traffic = Traffic()
         self.server: asyncio.Server | None = None
-        self.turns: ActionRunner[RelayAction] = ActionRunner(
-            loop, clock, relay, self._perform, lambda: self.relay.tick(self.clock())
+        self.action_runner: ActionRunner[RelayAction] = ActionRunner(
+            loop, clock, relay, self._carry_out, lambda: self.relay.tick(self.clock())
         )
-        self.last: tuple[Message | None, bytes] = None, b""  # a push to all is encoded once
-        self.performers: dict[type[RelayAction], Callable[[Any], None]] = {
+        self.last_encoded: tuple[Message | None, bytes] = None, b""  # so that a push to all is encoded once
+        self.action_handlers: dict[type[RelayAction], Callable[[Any], None]] = {
             Send: self._send,
             Close: self._close,
             StatusReceived: self._forward_report,
@@ -58,72 +58,75 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Messages and bytes each way, followers that are connected, their connections so far."""
-        return self.traffic.counts() | {"links": len(self.connections), "accepted": self.numbers}
+        """Messages and bytes each way, open connections, and connections accepted so far."""
+        return self.traffic.counts() | {"links": len(self.connections), "accepted": self.last_link_number}
 
     async def start(self) -> None:
         """Listen."""
         self.server = await self.loop.create_server(self.accept, *self.address, backlog=BACKLOG)
         log.info("relay_listening", extra={"kv": {"address": ":".join(map(str, self.address))}})
-        self.turns.run([])
+        self.action_runner.run([])
 
     def stop(self) -> None:
-        """End."""
-        self.turns.stop()
+        """Close the listener and all connections; carry out no more actions."""
+        self.action_runner.stop()
         if self.server is not None:
             self.server.close()
-        for link in list(self.connections.values()):
-            link.close("stopping")
+        for connection in list(self.connections.values()):
+            connection.close("stopping")
 
     def accept(self) -> RelayConnection:
-        """A connection that a follower has made."""
-        self.numbers += 1
-        return RelayConnection(self.loop, self, self.numbers, self.traffic)
+        """Return the protocol for a connection that a follower has opened."""
+        self.last_link_number += 1
+        return RelayConnection(self.loop, self, self.last_link_number, self.traffic)
 
     def publish(self, version: Version, contents: bytes) -> None:
-        """A decided version, checked: pushed at once if it is newer."""
-        self.turns.run(self.relay.publish(self.clock(), version, contents))
+        """Offer a decided, validated version; it is pushed at once if it is newer."""
+        self.action_runner.run(self.relay.publish(self.clock(), version, contents))
 
     def on_majority_confirmed(self, at_ms: float) -> None:
-        """At that instant a majority knew nothing newer than what is offered."""
-        self.turns.run(self.relay.on_majority_confirmed(self.clock(), at_ms))
+        """Note that at this time a majority of voters knew of nothing newer than the offered version."""
+        self.action_runner.run(self.relay.on_majority_confirmed(self.clock(), at_ms))
 
     # Events of the connections.
 
-    def on_connected(self, link: RelayConnection) -> None:
-        """A follower's connection is up; the follower sends the first message."""
-        if self.turns.stopped or len(self.connections) >= self.relay.max_followers + SPARE_CONNECTIONS:
-            link.close("too many connections")
+    def on_connected(self, connection: RelayConnection) -> None:
+        """Handle the start of a follower's connection; the follower sends the first message."""
+        if (
+            self.action_runner.stopped
+            or len(self.connections) >= self.relay.max_followers + SPARE_CONNECTIONS
+        ):
+            connection.close("too many connections")
         else:
-            self.connections[link.number] = link
+            self.connections[connection.link_number] = connection
 
-    def on_message(self, link: RelayConnection, message: Message) -> None:
-        """A message has come."""
-        if not self.turns.stopped and self.connections.get(link.number) is link:
-            self.turns.run(self.relay.on_message(self.clock(), link.number, message))
+    def on_message(self, connection: RelayConnection, message: Message) -> None:
+        """Handle a message."""
+        if not self.action_runner.stopped and self.connections.get(connection.link_number) is connection:
+            self.action_runner.run(self.relay.on_message(self.clock(), connection.link_number, message))
 
-    def on_closed(self, link: RelayConnection, why: str) -> None:
-        """A connection has ended."""
-        if self.connections.pop(link.number, None) is not None and not self.turns.stopped:
-            self.turns.run(self.relay.on_disconnected(self.clock(), link.number, why))
+    def on_closed(self, connection: RelayConnection, reason: str) -> None:
+        """Handle the end of a connection."""
+        if self.connections.pop(connection.link_number, None) is not None and not self.action_runner.stopped:
+            self.action_runner.run(self.relay.on_disconnected(self.clock(), connection.link_number, reason))
 
-    # Actions of the pure part.
+    # Actions of the relay's state machine.
 
-    def _perform(self, action: RelayAction) -> None:
-        self.performers[type(action)](action)
+    def _carry_out(self, action: RelayAction) -> None:
+        self.action_handlers[type(action)](action)
 
     def _send(self, action: Send) -> None:
         connection = self.connections.get(action.link)
         if connection is None:
             return
-        if self.last[0] is not action.message:
-            self.last = action.message, encode(action.message)
-        connection.write(self.last[1])
+        if self.last_encoded[0] is not action.message:
+            self.last_encoded = action.message, encode(action.message)
+        connection.write(self.last_encoded[1])
 
     def _close(self, action: Close) -> None:
         connection = self.connections.pop(action.link, None)
         if connection is not None:
-            connection.close_after_writing(action.why)  # a rejection may still be on its way out
+            connection.close_after_writing(action.why)  # a rejection may still be in the write buffer
 
     def _forward_report(self, action: StatusReceived) -> None:
         self.on_report(action.report)
--- a/grebestack/cluster_io/runtime.py
+++ b/grebestack/cluster_io/runtime.py
@@ -14,7 +14,7 @@
 def monotonic_ms() -> float:
     """Return a monotonic time in milliseconds.
 
-    It goes on while the machine is suspended, so that a lease has run out when its holder wakes up.
+    The clock runs on while the machine is suspended, so that a lease has expired when its holder resumes.
     """
     return time.clock_gettime(_CLOCK) * 1000.0
 
--- a/tests/test_follower_client.py
+++ b/tests/test_follower_client.py
@@ -1,4 +1,4 @@
-"""Followers and relays over real connections in one loop; the file's keys; versions applied over the file."""
+"""Followers and relays over real connections in one loop; the file's keys; versions merged with the file."""
 
 from __future__ import annotations
 
@@ -45,17 +45,17 @@
     return Version(number, digest_of(data), len(data), "m0", 1)
 
 
-class Wire:
-    """A transport that keeps what is written."""
+class FakeTransport:
+    """A transport that records what is written."""
 
     def __init__(self) -> None:
-        self.written, self.unread, self.aborted, self.closed = b"", 0, False, False
+        self.written, self.buffered_bytes, self.aborted, self.closed = b"", 0, False, False
 
     def write(self, data: bytes) -> None:
         self.written += data
 
     def get_write_buffer_size(self) -> int:
-        return self.unread
+        return self.buffered_bytes
 
     def is_closing(self) -> bool:
         return self.aborted or self.closed
@@ -67,118 +67,120 @@
         self.closed = True
 
 
-class Loop:
-    """Timers that never come."""
+class FakeLoop:
+    """An event loop whose timers never fire."""
 
     class Handle:
         def cancel(self) -> None:
-            """Nothing."""
+            """Do nothing."""
 
-    def call_later(self, *args: object) -> Loop.Handle:
-        return Loop.Handle()
+    def call_later(self, *args: object) -> FakeLoop.Handle:
+        return FakeLoop.Handle()
 
 
-class Ear:
-    """Owns one link and keeps what it heard."""
+class RecordingOwner:
+    """Owns one connection and records its messages."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
-        self.why = ""
+        self.reason = ""
 
-    def on_connected(self, link: RelayConnection) -> None:
-        """Nothing."""
+    def on_connected(self, connection: RelayConnection) -> None:
+        """Do nothing."""
 
-    def on_message(self, link: RelayConnection, message: Message) -> None:
+    def on_message(self, connection: RelayConnection, message: Message) -> None:
         self.messages.append(message)
 
-    def on_closed(self, link: RelayConnection, why: str) -> None:
-        self.why = why
+    def on_closed(self, connection: RelayConnection, reason: str) -> None:
+        self.reason = reason
 
 
-def linked() -> tuple[RelayConnection, Ear, Wire]:
-    ear, wire = Ear(), Wire()
-    link = RelayConnection(cast(asyncio.AbstractEventLoop, Loop()), ear, 1, Traffic())
-    link.connection_made(cast(asyncio.Transport, wire))
-    return link, ear, wire
+def connected() -> tuple[RelayConnection, RecordingOwner, FakeTransport]:
+    owner, transport = RecordingOwner(), FakeTransport()
+    connection = RelayConnection(cast(asyncio.AbstractEventLoop, FakeLoop()), owner, 1, Traffic())
+    connection.connection_made(cast(asyncio.Transport, transport))
+    return connection, owner, transport
 
 
 def framed(*items: Message) -> bytes:
     return b"".join(struct.pack(">I", len(encode(item))) + encode(item) for item in items)
 
 
-SAID: list[Message] = [Subscribe(1, "farm", "f0", 3, PLACE, 0, ""), Poll(4, "d" * 64), NotModified(5, 7)]
+MESSAGES: list[Message] = [Subscribe(1, "farm", "f0", 3, PLACE, 0, ""), Poll(4, "d" * 64), NotModified(5, 7)]
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_messages_are_the_same_however_they_are_cut(seed: int) -> None:
-    (link, ear, _), drawn, data = linked(), random.Random(seed), framed(*SAID, *SAID)
+def test_messages_are_decoded_however_the_bytes_are_split(seed: int) -> None:
+    (connection, owner, _), rng, data = connected(), random.Random(seed), framed(*MESSAGES, *MESSAGES)
     while data:
-        size = drawn.randint(1, len(data))
-        link.data_received(data[:size])
+        size = rng.randint(1, len(data))
+        connection.data_received(data[:size])
         data = data[size:]
-    assert ear.messages == [*SAID, *SAID] and not link.unparsed
-    assert link.traffic.messages_in == 6 and link.traffic.bytes_in == len(framed(*SAID, *SAID))
+    assert owner.messages == [*MESSAGES, *MESSAGES] and not connection.unparsed
+    assert connection.traffic.messages_in == 6 and connection.traffic.bytes_in == len(
+        framed(*MESSAGES, *MESSAGES)
+    )
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "reason"),
     [
         (
             struct.pack(">I", MAX_MESSAGE_BYTES + 1),
             f"a message of {MAX_MESSAGE_BYTES + 1} bytes; allowed: {MAX_MESSAGE_BYTES}",
         ),
-        (struct.pack(">I", 3) + b"\xc1\xc1\xc1", "no message of form 1"),
-        (struct.pack(">I", 1) + b"\x01", "no message of form 1"),
+        (struct.pack(">I", 3) + b"\xc1\xc1\xc1", "not a message of protocol version 1"),
+        (struct.pack(">I", 1) + b"\x01", "not a message of protocol version 1"),
     ],
 )
-def test_what_can_not_be_read_ends_the_link_and_nothing_after_it_is_read(data: bytes, why: str) -> None:
-    link, ear, wire = linked()
-    link.data_received(data + framed(*SAID))
-    assert wire.aborted and why in link.close_reason and not ear.messages
-    link.connection_lost(None)
-    assert why in ear.why
+def test_invalid_data_closes_the_connection_and_nothing_after_it_is_read(data: bytes, reason: str) -> None:
+    connection, owner, transport = connected()
+    connection.data_received(data + framed(*MESSAGES))
+    assert transport.aborted and reason in connection.close_reason and not owner.messages
+    connection.connection_lost(None)
+    assert reason in owner.reason
 
 
-def test_who_does_not_read_is_cut_off_and_nothing_more_is_kept_for_it() -> None:
-    link, _, wire = linked()
-    wire.unread = 2 * MAX_MESSAGE_BYTES
-    link.write(b"x")
-    assert wire.aborted and link.close_reason == "it does not read" and not wire.written
+def test_an_end_that_does_not_read_is_disconnected_and_nothing_more_is_buffered_for_it() -> None:
+    connection, _, transport = connected()
+    transport.buffered_bytes = 2 * MAX_MESSAGE_BYTES
+    connection.write(b"x")
+    assert transport.aborted and connection.close_reason == "it does not read" and not transport.written
 
 
-def test_one_that_is_ending_keeps_nothing_that_still_comes_and_is_cut_when_it_does_not_read() -> None:
-    link, ear, wire = linked()
-    link.close_after_writing("not taken")
-    assert wire.closed and not wire.aborted
-    link.data_received(framed(*SAID) + b"half")
-    assert not ear.messages and link.unparsed == b""
-    link.close("later")
-    assert wire.aborted and link.close_reason == "not taken"
+def test_a_closing_connection_drops_what_still_arrives_and_can_be_aborted() -> None:
+    connection, owner, transport = connected()
+    connection.close_after_writing("not taken")
+    assert transport.closed and not transport.aborted
+    connection.data_received(framed(*MESSAGES) + b"half")
+    assert not owner.messages and connection.unparsed == b""
+    connection.close("later")
+    assert transport.aborted and connection.close_reason == "not taken"
 
 
-def test_one_given_up_while_it_was_opened_ends_as_it_comes_up() -> None:
-    ear, wire = Ear(), Wire()
-    link = RelayConnection(cast(asyncio.AbstractEventLoop, Loop()), ear, 1, Traffic())
-    link.close("another is dialled")
-    link.connection_made(cast(asyncio.Transport, wire))
-    assert wire.aborted
+def test_a_connection_closed_while_it_was_opened_is_aborted_once_open() -> None:
+    owner, transport = RecordingOwner(), FakeTransport()
+    connection = RelayConnection(cast(asyncio.AbstractEventLoop, FakeLoop()), owner, 1, Traffic())
+    connection.close("another connection is opened")
+    connection.connection_made(cast(asyncio.Transport, transport))
+    assert transport.aborted
 
 
 # Over real connections.
 
 
-class Rig:
-    """One loop with a relay and followers that come and go."""
+class Network:
+    """Relays and followers in one loop."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.tallies = 0
+        self.report_count = 0
         self.nodes: list[FollowerClient] = []
         self.relays: dict[str, RelayServer] = {}
 
-    async def relay(self, name: str = "m0", fleet: str = "farm", most: int = 2048) -> RelayServer:
-        pure = Relay(name, fleet, 1, random.Random(1), most)
-        server = RelayServer(self.loop, pure, ("127.0.0.1", 0), self._tallied)
+    async def relay(self, name: str = "m0", fleet: str = "farm", max_followers: int = 2048) -> RelayServer:
+        relay = Relay(name, fleet, 1, random.Random(1), max_followers)
+        server = RelayServer(self.loop, relay, ("127.0.0.1", 0), self._on_report)
         await server.start()
         assert server.server is not None
         server.address = server.server.sockets[0].getsockname()[:2]
@@ -186,25 +188,25 @@
         self.relays[name] = server
         return server
 
-    def _tallied(self, report: object) -> None:
-        self.tallies += 1
+    def _on_report(self, report: object) -> None:
+        self.report_count += 1
 
     def follower(
-        self, name: str, take: Callable[[Version, bytes], str] | None = None, folder: str = ""
+        self, name: str, apply_version: Callable[[Version, bytes], str] | None = None, folder: str = ""
     ) -> FollowerClient:
         relays = {name: RelayAddress(server.address, PLACE) for name, server in self.relays.items()}
         settings = FollowerSettings(name, "farm", PLACE, relays, folder)
-        node = FollowerClient(self.loop, settings, take or (lambda version, data: ""))
+        node = FollowerClient(self.loop, settings, apply_version or (lambda version, data: ""))
         self.nodes.append(node)
         node.start()
         return node
 
-    async def until(self, true: Callable[[], object]) -> None:
+    async def until(self, condition: Callable[[], object]) -> None:
         for _ in range(3000):
-            if true():
+            if condition():
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError("it did not happen")
+        raise AssertionError("the condition did not become true")
 
     def close(self) -> None:
         for node in self.nodes:
@@ -213,13 +215,13 @@
             relay.stop()
 
 
-def play(script: Callable[[Rig], Coroutine[Any, Any, None]]) -> None:
+def run_script(script: Callable[[Network], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
-        rig = Rig()
+        network = Network()
         try:
-            await script(rig)
+            await script(network)
         finally:
-            rig.close()
+            network.close()
 
     asyncio.run(run())
 
@@ -227,168 +229,173 @@
 ONE, TWO, THREE = config_contents(5), config_contents(6), config_contents(7)
 
 
-def test_a_version_is_pushed_whole_and_the_next_one_by_difference() -> None:
-    async def script(rig: Rig) -> None:
-        relay = await rig.relay()
-        nodes = [rig.follower(f"f{n}") for n in range(20)]
-        await rig.until(lambda: relay.counts["links"] == 20)
+def test_a_first_version_is_pushed_in_full_and_the_next_one_as_a_delta() -> None:
+    async def script(network: Network) -> None:
+        relay = await network.relay()
+        nodes = [network.follower(f"f{n}") for n in range(20)]
+        await network.until(lambda: relay.counts["links"] == 20)
         relay.publish(version(1, ONE), ONE)
-        await rig.until(lambda: all(node.version.number == 1 for node in nodes))
+        await network.until(lambda: all(node.version.number == 1 for node in nodes))
         before = relay.counts["bytes_out"]
         assert before > 20 * len(ONE)
-        await rig.until(lambda: all(seat.number == 1 for seat in relay.relay.followers.values()))
+        await network.until(lambda: all(status.number == 1 for status in relay.relay.followers.values()))
         relay.publish(version(2, TWO), TWO)
-        await rig.until(lambda: all(node.version.number == 2 for node in nodes))
+        await network.until(lambda: all(node.version.number == 2 for node in nodes))
         assert relay.counts["bytes_out"] - before < 20 * len(TWO) // 2
         assert all(node.follower.contents == TWO for node in nodes)
         assert nodes[0].counts["messages_in"] >= 3 and nodes[0].counts["dials"] == 1
-        await rig.until(lambda: rig.tallies)
+        await network.until(lambda: network.report_count)
 
-    play(script)
+    run_script(script)
 
 
-def test_a_version_that_can_not_be_taken_is_kept_out_and_the_relay_knows_why() -> None:
-    async def script(rig: Rig) -> None:
-        relay = await rig.relay()
-        node = rig.follower("f0", lambda version, data: "mostTries is 6" if version.number == 2 else "")
+def test_a_refused_version_is_not_put_in_force_and_the_relay_learns_the_reason() -> None:
+    async def script(network: Network) -> None:
+        relay = await network.relay()
+        node = network.follower("f0", lambda version, data: "mostTries is 6" if version.number == 2 else "")
         relay.publish(version(1, ONE), ONE)
-        await rig.until(lambda: node.version.number == 1)
+        await network.until(lambda: node.version.number == 1)
         relay.publish(version(2, TWO), TWO)
-        await rig.until(lambda: [s.why for s in relay.relay.followers.values()] == ["mostTries is 6"])
+        await network.until(lambda: [s.why for s in relay.relay.followers.values()] == ["mostTries is 6"])
         assert node.version.number == 1 and "mostTries is 6" in node.status_line()
         relay.publish(version(3, ONE), ONE)
-        await rig.until(lambda: node.version.number == 3)
+        await network.until(lambda: node.version.number == 3)
 
-    play(script)
+    run_script(script)
 
 
-def test_a_follower_serves_on_under_what_its_disk_has_when_no_relay_answers(tmp_path: Path) -> None:
-    async def first(rig: Rig) -> None:
-        relay = await rig.relay()
-        node = rig.follower("f0", folder=str(tmp_path))
+def test_a_follower_applies_the_version_of_its_disk_when_no_relay_responds(tmp_path: Path) -> None:
+    async def first(network: Network) -> None:
+        relay = await network.relay()
+        node = network.follower("f0", folder=str(tmp_path))
         relay.publish(version(7, ONE), ONE)
-        await rig.until(lambda: node.version.number == 7)
+        await network.until(lambda: node.version.number == 7)
 
-    async def second(rig: Rig) -> None:
-        await rig.relay()
-        rig.relays["m0"].stop()
-        taken: list[tuple[int, bytes]] = []
+    async def second(network: Network) -> None:
+        await network.relay()
+        network.relays["m0"].stop()
+        applied: list[tuple[int, bytes]] = []
 
-        def take(version: Version, data: bytes) -> str:
-            taken.append((version.number, data))
+        def apply_version(version: Version, data: bytes) -> str:
+            applied.append((version.number, data))
             return ""
 
-        node = rig.follower("f0", take, str(tmp_path))
-        settled: list[int] = []
-        node.on_applied_or_confirmed = lambda: settled.append(1)
-        await rig.until(lambda: settled)
-        assert taken == [(7, ONE)] and node.version == version(7, ONE)
-        await rig.until(lambda: node.counts["dials"] > 2)  # and it goes on trying
+        node = network.follower("f0", apply_version, str(tmp_path))
+        calls: list[int] = []
+        node.on_applied_or_confirmed = lambda: calls.append(1)
+        await network.until(lambda: calls)
+        assert applied == [(7, ONE)] and node.version == version(7, ONE)
+        await network.until(lambda: node.counts["dials"] > 2)  # and it keeps trying to connect
 
-    play(first)
-    play(second)
+    run_script(first)
+    run_script(second)
 
 
-def test_two_refused_versions_do_not_take_the_one_in_force_off_the_disk(tmp_path: Path) -> None:
-    def take(version: Version, data: bytes) -> str:
+def test_two_refused_versions_do_not_remove_the_one_in_force_from_the_disk(tmp_path: Path) -> None:
+    def apply_version(version: Version, data: bytes) -> str:
         return "mostTries is 6" if version.number > 1 else ""
 
-    async def refused_once(rig: Rig) -> None:
-        relay = await rig.relay()
-        node = rig.follower("f0", take, str(tmp_path))
+    async def refused_once(network: Network) -> None:
+        relay = await network.relay()
+        node = network.follower("f0", apply_version, str(tmp_path))
         relay.publish(version(1, ONE), ONE)
-        await rig.until(lambda: node.version.number == 1)
+        await network.until(lambda: node.version.number == 1)
         relay.publish(version(2, TWO), TWO)
-        await rig.until(lambda: node.follower.refused == 2)
+        await network.until(lambda: node.follower.refused == 2)
 
-    async def newer_before_the_disk_is_applied(rig: Rig) -> None:
-        relay = await rig.relay()
+    async def newer_before_the_disk_is_applied(network: Network) -> None:
+        relay = await network.relay()
         relay.publish(version(3, THREE), THREE)
-        node = rig.follower("f0", take, str(tmp_path))
-        await rig.until(lambda: node.version.number == 1)
+        node = network.follower("f0", apply_version, str(tmp_path))
+        await network.until(lambda: node.version.number == 1)
         assert node.follower.refused
 
-    async def no_relay(rig: Rig) -> None:
-        await rig.relay()
-        rig.relays["m0"].stop()
-        node = rig.follower("f0", take, str(tmp_path))
-        await rig.until(lambda: node.version == version(1, ONE))
+    async def no_relay(network: Network) -> None:
+        await network.relay()
+        network.relays["m0"].stop()
+        node = network.follower("f0", apply_version, str(tmp_path))
+        await network.until(lambda: node.version == version(1, ONE))
 
     for script in (refused_once, newer_before_the_disk_is_applied, no_relay):
-        play(script)
+        run_script(script)
 
 
-def test_a_voter_keeps_all_that_its_disk_held_until_something_is_in_force(tmp_path: Path) -> None:
-    async def script(rig: Rig) -> None:
+def test_a_voter_keeps_the_versions_found_at_the_start_until_one_is_in_force(tmp_path: Path) -> None:
+    async def script(network: Network) -> None:
         settings = SimpleNamespace(name="m0", cluster="farm")
-        node = SimpleNamespace(loop=rig.loop, clock=monotonic_ms, settings=settings, random=random.Random(1))
+        node = SimpleNamespace(
+            loop=network.loop, clock=monotonic_ms, settings=settings, random=random.Random(1)
+        )
         voter = ConfigurationNode(cast(Node, node), str(tmp_path), lambda version, data: "")
         stored: list[int] = []
-        voter._stored = lambda number, why: stored.append(number)  # type: ignore[method-assign]
-        voter._perform(Store(version(1, ONE), ONE, 0))
-        voter._perform(Store(version(2, TWO), TWO, 1))
-        voter._perform(Store(version(3, THREE), THREE, 2, (1,)))
-        await rig.until(lambda: stored == [1, 2, 3])
+        voter._on_stored = lambda number, reason: stored.append(number)  # type: ignore[method-assign]
+        voter._carry_out(Store(version(1, ONE), ONE, 0))
+        voter._carry_out(Store(version(2, TWO), TWO, 1))
+        voter._carry_out(Store(version(3, THREE), THREE, 2, (1,)))
+        await network.until(lambda: stored == [1, 2, 3])
         voter.stop()
         assert len(list(tmp_path.glob("version-*"))) == 3
 
-    play(script)
+    run_script(script)
 
 
-def test_a_follower_goes_to_another_relay_when_its_own_is_lost_full_or_of_another_fleet() -> None:
-    async def script(rig: Rig) -> None:
-        await rig.relay("m0", fleet="ranch")
-        await rig.relay("m1", most=0)
-        good = await rig.relay("m2")
-        lost = await rig.relay("m3")
-        good.publish(version(1, ONE), ONE)
-        lost.publish(version(1, ONE), ONE)
-        nodes = [rig.follower(f"f{n}") for n in range(8)]
-        await rig.until(lambda: all(node.version.number == 1 for node in nodes))
-        lost.stop()
-        good.publish(version(2, TWO), TWO)
-        await rig.until(lambda: all(node.version.number == 2 for node in nodes))
-        assert good.counts["links"] == 8
+def test_a_follower_uses_another_relay_when_its_own_is_lost_full_or_of_another_fleet() -> None:
+    async def script(network: Network) -> None:
+        await network.relay("m0", fleet="ranch")
+        await network.relay("m1", max_followers=0)
+        healthy = await network.relay("m2")
+        stopped = await network.relay("m3")
+        healthy.publish(version(1, ONE), ONE)
+        stopped.publish(version(1, ONE), ONE)
+        nodes = [network.follower(f"f{n}") for n in range(8)]
+        await network.until(lambda: all(node.version.number == 1 for node in nodes))
+        stopped.stop()
+        healthy.publish(version(2, TWO), TWO)
+        await network.until(lambda: all(node.version.number == 2 for node in nodes))
+        assert healthy.counts["links"] == 8
 
-    play(script)
+    run_script(script)
 
 
-def test_one_that_never_says_who_it_is_is_dropped_and_takes_no_seat() -> None:
-    async def script(rig: Rig) -> None:
-        relay = await rig.relay()
+def test_a_client_that_sends_no_subscribe_is_disconnected_and_takes_no_follower_slot() -> None:
+    async def script(network: Network) -> None:
+        relay = await network.relay()
         reader, writer = await asyncio.open_connection(*relay.address)
-        await rig.until(lambda: relay.counts["links"] == 1)
+        await network.until(lambda: relay.counts["links"] == 1)
         assert await reader.read() == b"" and not relay.connections
         writer.close()
 
-    play(script)
+    run_script(script)
 
 
 # The file.
 
-HEAD = 'name = "a"\nlisten = "127.0.0.1:1"\n[servers]\nsource = "list"\nlist = []\n'
-RELAY = '[fleet.relays.m]\naddress = "h:1"\nplace = "r/z"\n'
+LOCAL_KEYS = 'name = "a"\nlisten = "127.0.0.1:1"\n[servers]\nsource = "list"\nlist = []\n'
+RELAY_SECTION = '[fleet.relays.m]\naddress = "h:1"\nplace = "r/z"\n'
 
 
 def load(tmp_path: Path, fleet: str) -> Config:
     path = tmp_path / "a.toml"
-    path.write_text(f"{HEAD}{fleet}{OPERATOR_SETTINGS}")
+    path.write_text(f"{LOCAL_KEYS}{fleet}{OPERATOR_SETTINGS}")
     return from_file(str(path))
 
 
 @pytest.mark.parametrize(
-    ("fleet", "says"),
+    ("fleet", "message"),
     [
         ("[fleet]\nfollow = 1\n", "[fleet] follow must be true or false, not 1"),
         ('[fleet]\nfollow = true\nplace = "r/z"\n', "[fleet.relays] must name one relay to follow at least"),
-        (f"[fleet]\nfollow = true\n{RELAY}", "[fleet] place must be REGION/ZONE for a follower"),
-        (f'[fleet]\nfollow = true\nplace = "zone"\n{RELAY}', "[fleet] place must be REGION/ZONE, not 'zone'"),
+        (f"[fleet]\nfollow = true\n{RELAY_SECTION}", "[fleet] place must be REGION/ZONE for a follower"),
         (
-            f'[fleet]\nfollow = true\nplace = "r/z"\nterm_s = 3\n{RELAY}',
+            f'[fleet]\nfollow = true\nplace = "zone"\n{RELAY_SECTION}',
+            "[fleet] place must be REGION/ZONE, not 'zone'",
+        ),
+        (
+            f'[fleet]\nfollow = true\nplace = "r/z"\nterm_s = 3\n{RELAY_SECTION}',
             "[fleet] term_s is not for a follower; allowed are name folder follow place relays members",
         ),
         (
-            f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}[fleet.members]\na = "h:2"\n',
+            f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY_SECTION}[fleet.members]\na = "h:2"\n',
             "[fleet] follow is not for a member; [fleet.members] names 'a'",
         ),
         (
@@ -400,12 +407,12 @@
             "[fleet.relays.m] place must be REGION/ZONE, not ''",
         ),
         (
-            f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}'
+            f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY_SECTION}'
             '[fleet.relays.n]\naddress = "h:1"\nplace = "r/z"\n',
             "[fleet.relays] must have an address of its own for each",
         ),
         (
-            f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}'
+            f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY_SECTION}'
             '[fleet.relays.a]\naddress = "h:2"\nplace = "r/z"\n',
             "[fleet.members] must name the members of [fleet.relays] that 'a', a relay, is to follow",
         ),
@@ -419,53 +426,57 @@
             "place is for a fleet that has [fleet.relays]",
         ),
         (
-            f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}port = 1\n',
+            f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY_SECTION}port = 1\n',
             "[fleet.relays.m] has the unknown key 'port'; known are address place",
         ),
     ],
 )
-def test_a_wrong_key_is_named_with_its_value_and_what_is_allowed(
-    tmp_path: Path, fleet: str, says: str
+def test_an_invalid_key_is_refused_with_its_value_and_what_is_allowed(
+    tmp_path: Path, fleet: str, message: str
 ) -> None:
     with pytest.raises(ConfigError) as error:
         load(tmp_path, fleet)
-    assert says in str(error.value)
+    assert message in str(error.value)
 
 
-def test_a_follower_a_relay_and_a_voter_are_told_apart(tmp_path: Path) -> None:
-    follower = load(tmp_path, f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}')
+def test_a_follower_a_voter_and_a_plain_member_are_distinguished(tmp_path: Path) -> None:
+    follower = load(tmp_path, f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY_SECTION}')
     assert (
         follower.cluster is None and follower.distribution is not None and follower.distribution.is_follower
     )
-    voter = load(tmp_path, f'[fleet]\n[fleet.members]\na = "h:2"\n{RELAY}')
+    voter = load(tmp_path, f'[fleet]\n[fleet.members]\na = "h:2"\n{RELAY_SECTION}')
     assert voter.cluster is not None and voter.distribution is not None and not voter.distribution.is_follower
     alone = load(tmp_path, '[fleet]\n[fleet.members]\na = "h:2"\n')
     assert alone.cluster is not None and alone.distribution is None
 
 
-# Versions over the file.
+# Versions merged with the file.
 
 
-class Fake:
-    """A dispatcher that only keeps its configuration."""
+class FakeDispatcher:
+    """A dispatcher that only stores its configuration."""
 
-    def __init__(self, config: Config, waits: tuple[str, ...] = (), why: str = "") -> None:
-        self.config, self.waiting, self.why = config, waits, why
+    def __init__(self, config: Config, restart_fields: tuple[str, ...] = (), refusal: str = "") -> None:
+        self.config, self.restart_fields, self.refusal = config, restart_fields, refusal
 
     def fields_requiring_restart(self, config: Config) -> list[str]:
-        return [name for name in self.waiting if config.options.get(name) != self.config.options.get(name)]
+        return [
+            name for name in self.restart_fields if config.options.get(name) != self.config.options.get(name)
+        ]
 
     def apply_config(self, config: Config) -> str:
-        if not self.why:
+        if not self.refusal:
             self.config = config
-        return self.why
+        return self.refusal
 
 
 def applied_config(tmp_path: Path, **kv: Any) -> AppliedConfig:
-    return AppliedConfig(Fake(load(tmp_path, f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}'), **kv))
+    return AppliedConfig(
+        FakeDispatcher(load(tmp_path, f'[fleet]\nfollow = true\nplace = "r/z"\n{RELAY_SECTION}'), **kv)
+    )
 
 
-def test_a_version_stands_in_place_of_the_files_sections_and_stays_over_a_file_read_again(
+def test_a_version_replaces_the_files_sections_also_after_the_file_is_read_again(
     tmp_path: Path,
 ) -> None:
     applied = applied_config(tmp_path)
@@ -475,14 +486,15 @@
         and len(applied.dispatcher.config.worker_source.entries) == 1
     )
     (tmp_path / "a.toml").write_text(
-        f'sockets = 2000\n{HEAD}[fleet]\nfollow = true\nplace = "r/z"\n{RELAY}{OPERATOR_SETTINGS}'
+        f'sockets = 2000\n{LOCAL_KEYS}[fleet]\nfollow = true\nplace = "r/z"\n'
+        f"{RELAY_SECTION}{OPERATOR_SETTINGS}"
     )
     again = applied.reread()
     assert again.max_sockets == 2000 and again.options["limits"]["mostTries"] == 6
     (tmp_path / "a.toml").write_text("half a file")
     with pytest.raises(ConfigError):
         applied.reread()
-    assert applied.apply(version(2, ONE), ONE) == ""  # what was read last still holds below it
+    assert applied.apply(version(2, ONE), ONE) == ""  # merged with the file as it was last read
 
 
 @pytest.mark.parametrize(
@@ -502,33 +514,33 @@
         (b'[servers]\nsource = "dns"\n', "[servers] has the unknown source 'dns'"),
     ],
 )
-def test_what_can_not_be_taken_is_named_and_the_version_in_force_stays(
+def test_a_version_that_can_not_be_applied_is_refused_with_the_reason_and_the_former_stays(
     tmp_path: Path, data: bytes, why: str
 ) -> None:
-    applied = applied_config(tmp_path, waits=("zones",))
+    applied = applied_config(tmp_path, restart_fields=("zones",))
     assert applied.apply(version(1, TWO), TWO) == ""
     former = applied.dispatcher.config
     assert why in applied.apply(version(2, data), data)
     assert applied.dispatcher.config is former and applied.contents == TWO
 
 
-def test_what_waits_for_a_restart_by_the_local_file_is_not_held_against_a_version(
+def test_a_field_that_awaits_a_restart_by_the_local_file_does_not_get_a_version_refused(
     tmp_path: Path,
 ) -> None:
-    applied = applied_config(tmp_path, waits=("zones",))
+    applied = applied_config(tmp_path, restart_fields=("zones",))
     path, wider = tmp_path / "a.toml", 'zones = ["here", "there"]'
     path.write_text(path.read_text().replace('zones = ["here"]', wider))
     assert "zones" in applied.apply(version(1, TWO), config_contents(6, zones='["here", "there"]'))
-    applied.reread()  # as SIGHUP does: it is known from now on that zones wait
+    applied.reread()  # as SIGHUP does: `zones` now awaits a restart
     assert applied.apply(version(2, TWO), config_contents(6, zones='["here", "there"]')) == ""
 
 
-def test_what_the_dispatcher_can_not_put_in_force_is_not_laid_over_the_file_either(tmp_path: Path) -> None:
-    applied = applied_config(tmp_path, why="servers: it failed")
+def test_a_version_that_the_dispatcher_refuses_is_not_merged_with_the_file(tmp_path: Path) -> None:
+    applied = applied_config(tmp_path, refusal="servers: it failed")
     assert applied.apply(version(1, TWO), TWO) == "servers: it failed" and applied.contents is None
 
 
-def test_a_file_that_is_to_be_in_force_is_a_regular_one_of_a_bounded_size(tmp_path: Path) -> None:
+def test_a_proposed_file_must_be_regular_and_of_bounded_size(tmp_path: Path) -> None:
     for path, why in ((tmp_path, "no regular file"), (tmp_path / "none", "No such file")):
         with pytest.raises(ConfigError, match=why):
             read_contents(str(path))
--- a/tests/test_golden_messages.py
+++ b/tests/test_golden_messages.py
@@ -13,7 +13,7 @@
 from grebestack.program.hot_restart_state import worker_from_wire
 from grebestack.routing.worker_table import WorkerEndpoint
 from tests.golden_handover import REQUEST, handover_packets, keepsake, keepsake_taken
-from tests.golden_links import DISK_SEQUENCE, export_request, first_bytes, received
+from tests.golden_links import REPORTED_RECORD, export_request, first_bytes, received
 from tests.golden_samples import (
     AUDIT_BATCHES,
     CODECS,
@@ -63,7 +63,7 @@
 
 def test_golden_frames_are_read_as_they_were_sent() -> None:
     assert received(load_golden("links.json")) == {
-        "member": [MEMBER_MESSAGES["hello"], DISK_SEQUENCE, MEMBER_MESSAGES["prepare"]],
+        "member": [MEMBER_MESSAGES["hello"], REPORTED_RECORD, MEMBER_MESSAGES["prepare"]],
         "feed": [RELAY_MESSAGES["greeting"], RELAY_MESSAGES["poll"]],
     }
 
--- a/tests/test_log_store.py
+++ b/tests/test_log_store.py
@@ -1,4 +1,4 @@
-"""A member's disk that can't be read, or has become read-only: it vouches for nothing, and says why."""
+"""A member's log on a disk that can't be read or has become read-only: nothing is confirmed from it."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from grebestack.cluster_io.log_store import Files, LogStore, create_log
 
 
-class Failing(Files):
-    """A disk that fails as it is reports."""
+class FailingFiles(Files):
+    """A disk on which the calls named in `failing_calls` raise an OSError."""
 
-    def __init__(self, how: str, number: int) -> None:
-        self.how, self.error = how, OSError(number, os.strerror(number))
+    def __init__(self, failing_calls: str, error_number: int) -> None:
+        self.failing_calls, self.error = failing_calls, OSError(error_number, os.strerror(error_number))
 
-    def _fail(self, what: str) -> None:
-        if what in self.how.split():
+    def _fail(self, call: str) -> None:
+        if call in self.failing_calls.split():
             raise self.error
 
     def read(self, path: str) -> bytes:
@@ -41,7 +41,7 @@
 
 
 class Reports:
-    """What a store has told its owner."""
+    """What a store has reported to its owner."""
 
     def __init__(self) -> None:
         self.synced: list[int] = []
@@ -49,67 +49,67 @@
         self.replaced: list[str] = []
 
 
-async def _until(true: Callable[[], object]) -> None:
+async def _until(condition: Callable[[], object]) -> None:
     for _ in range(2000):
-        if true():
+        if condition():
             return
         await asyncio.sleep(0.005)
-    raise AssertionError("it did not happen")
+    raise AssertionError("the condition did not become true")
 
 
 @pytest.mark.parametrize(
-    ("how", "number"),
+    ("failing_calls", "error_number"),
     [("read", errno.EIO), ("open", errno.EROFS), ("read open write rename", errno.EIO)],
 )
-def test_what_can_not_be_read_or_opened_is_doubted_and_nothing_is_answered_from_it(
-    tmp_path: Path, how: str, number: int
+def test_a_log_that_can_not_be_read_or_opened_confirms_no_record_until_it_is_replaced(
+    tmp_path: Path, failing_calls: str, error_number: int
 ) -> None:
     async def main() -> None:
         reports, folder = Reports(), str(tmp_path / "member")
         create_log(folder, [b"a", b"b"])
-        files = Failing(how, number)
+        files = FailingFiles(failing_calls, error_number)
         store = LogStore(
             asyncio.get_running_loop(), folder, reports.synced.append, reports.failed.append, files
         )
-        assert os.strerror(number) in store.open().fault
+        assert os.strerror(error_number) in store.open().fault
         store.append(b"c")
         store.replace(reports.replaced.append)
         await _until(lambda: reports.replaced)
-        assert not reports.synced, "a record counted as written"
-        if how != "read":  # it can't be begun anew either
-            assert os.strerror(number) in reports.replaced[0]
-            files.how = ""
+        assert not reports.synced, "a record was reported as synced"
+        if failing_calls != "read":  # then an empty log can't be started either
+            assert os.strerror(error_number) in reports.replaced[0]
+            files.failing_calls = ""
             store.replace(reports.replaced.append)
             await _until(lambda: len(reports.replaced) == 2)
         assert reports.replaced[-1] == ""
         store.append(b"d")
         await _until(lambda: reports.synced)
         store.close()
-        again = LogStore(asyncio.get_running_loop(), folder, reports.synced.append, reports.failed.append)
-        assert again.open().payloads == (b"d",), "what was doubted came back"
+        reopened = LogStore(asyncio.get_running_loop(), folder, reports.synced.append, reports.failed.append)
+        assert reopened.open().payloads == (b"d",), "a quarantined record came back"
         assert len([name for name in os.listdir(folder) if name.startswith("doubted-")]) == 1
-        again.close()
+        reopened.close()
 
     asyncio.run(main())
 
 
-def test_a_disk_that_becomes_read_only_stops_the_record_and_not_the_program(tmp_path: Path) -> None:
+def test_a_disk_that_becomes_read_only_fails_the_log_but_not_the_process(tmp_path: Path) -> None:
     async def main() -> None:
         reports, folder = Reports(), str(tmp_path / "member")
         create_log(folder, [b"a"])
-        files = Failing("", errno.EROFS)
+        files = FailingFiles("", errno.EROFS)
         store = LogStore(
             asyncio.get_running_loop(), folder, reports.synced.append, reports.failed.append, files
         )
         assert store.open().payloads == (b"a",)
         store.append(b"b")
         await _until(lambda: reports.synced == [2])
-        files.how = "write open rename"
+        files.failing_calls = "write open rename"
         store.append(b"c")
         await _until(lambda: reports.failed)
         store.append(b"d")
-        files.how = ""
-        store.append(b"e")  # it works again, and is not believed for that
+        files.failing_calls = ""
+        store.append(b"e")  # the disk works again, but the failed log stays unusable until it is replaced
         store.replace(reports.replaced.append)
         await _until(lambda: reports.replaced)
         assert (
--- a/tests/test_peer_connection.py
+++ b/tests/test_peer_connection.py
@@ -1,4 +1,4 @@
-"""What comes over a connection, and what stands in the file: wrong input is named, memory stays bounded."""
+"""Connections between members, and the [fleet] section: invalid input is named, memory stays bounded."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 from grebestack.program.config.operator_file import from_file
 from tests.standins import OPERATOR_SETTINGS
 
-HELLO = Handshake(PROTOCOL_VERSION, "f", "b", "1", 1, 1, {})
+HANDSHAKE = Handshake(PROTOCOL_VERSION, "f", "b", "1", 1, 1, {})
 
 
-class Wire:
-    """A transport that keeps what is written."""
+class FakeTransport:
+    """A transport that records what is written."""
 
     def __init__(self) -> None:
-        self.written, self.aborted, self.unread = b"", False, 0
+        self.written, self.aborted, self.buffered_bytes = b"", False, 0
 
     def write(self, data: bytes) -> None:
         self.written += data
 
     def get_write_buffer_size(self) -> int:
-        return self.unread
+        return self.buffered_bytes
 
     def is_closing(self) -> bool:
         return self.aborted
@@ -47,8 +47,8 @@
         self.aborted = True
 
 
-class Loop:
-    """Nothing is called later."""
+class FakeLoop:
+    """An event loop whose timers never fire."""
 
     def call_later(self, *_: Any) -> Any:
         return self
@@ -58,14 +58,14 @@
 
 
 class Owner:
-    """Whoever the connection belongs to."""
+    """The owner of a connection."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
         self.reason = ""
 
     def handshake(self) -> Handshake:
-        return HELLO
+        return HANDSHAKE
 
     def reported_record(self) -> int:
         return 7
@@ -82,56 +82,60 @@
         self.reason = reason
 
 
-def connected() -> tuple[PeerConnection, Owner, Wire]:
-    owner, wire = Owner(), Wire()
-    connection = PeerConnection(cast(asyncio.AbstractEventLoop, Loop()), owner)
-    connection.connection_made(cast(asyncio.Transport, wire))
-    return connection, owner, wire
+def connected() -> tuple[PeerConnection, Owner, FakeTransport]:
+    owner, transport = Owner(), FakeTransport()
+    connection = PeerConnection(cast(asyncio.AbstractEventLoop, FakeLoop()), owner)
+    connection.connection_made(cast(asyncio.Transport, transport))
+    return connection, owner, transport
 
 
 def framed(*items: Message) -> bytes:
     return b"".join(HEADER.pack(len(encode(item)), 7) + encode(item) for item in items)
 
 
-@given(chance=st.randoms(), count=st.integers(0, 5))
-def test_messages_are_the_same_however_they_are_cut(chance: random.Random, count: int) -> None:
-    connection, owner, wire = connected()
-    said: list[Message] = [TaskMessage("t", chance.randbytes(chance.randrange(300))) for _ in range(count)]
-    data = framed(HELLO, *said)
+@given(rng=st.randoms(), count=st.integers(0, 5))
+def test_messages_are_decoded_however_the_bytes_are_split(rng: random.Random, count: int) -> None:
+    connection, owner, transport = connected()
+    sent: list[Message] = [TaskMessage("t", rng.randbytes(rng.randrange(300))) for _ in range(count)]
+    data = framed(HANDSHAKE, *sent)
     while data:
-        size = chance.randint(1, len(data))
+        size = rng.randint(1, len(data))
         connection.data_received(data[:size])
         data = data[size:]
-    assert owner.messages == said and not wire.aborted and not connection.unparsed
+    assert owner.messages == sent and not transport.aborted and not connection.unparsed
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "reason"),
     [
         (HEADER.pack(MAX_MESSAGE_BYTES + 1, 0), "allowed: 1048576"),
-        (framed(Heartbeat()), "did not say who it is first"),
-        (HEADER.pack(3, 0) + b"\xc1\xc1\xc1", f"no message of version {PROTOCOL_VERSION}"),
+        (framed(Heartbeat()), "its first message is not a handshake"),
+        (HEADER.pack(3, 0) + b"\xc1\xc1\xc1", f"not a message of protocol version {PROTOCOL_VERSION}"),
         (framed(Handshake(PROTOCOL_VERSION, "g", "b", "1", 1, 1, {})), "another fleet"),
     ],
 )
-def test_what_can_not_be_read_ends_the_link_and_says_why(data: bytes, why: str) -> None:
-    connection, owner, wire = connected()
+def test_invalid_data_closes_the_connection_with_the_reason(data: bytes, reason: str) -> None:
+    connection, owner, transport = connected()
     connection.data_received(data)
-    assert wire.aborted and why in connection.close_reason
+    assert transport.aborted and reason in connection.close_reason
     connection.connection_lost(None)
-    assert why in owner.reason
+    assert reason in owner.reason
 
 
-def test_a_member_that_does_not_read_is_cut_off() -> None:
-    connection, _, wire = connected()
-    wire.unread = MAX_QUEUED_BYTES
-    written = len(wire.written)
+def test_a_member_that_does_not_read_is_disconnected() -> None:
+    connection, _, transport = connected()
+    transport.buffered_bytes = MAX_QUEUED_BYTES
+    written = len(transport.written)
     connection.send(Heartbeat())
-    assert wire.aborted and len(wire.written) == written and connection.close_reason == "it does not read"
+    assert (
+        transport.aborted
+        and len(transport.written) == written
+        and connection.close_reason == "it does not read"
+    )
 
 
 @pytest.mark.parametrize(
-    ("fleet", "says"),
+    ("fleet", "message"),
     [
         ('[fleet]\n[fleet.members]\nb = "h:1"\n', "must name this dispatcher, 'a'; it has b"),
         ('[fleet]\n[fleet.members]\na = "h:1"\nb = "h:1"\n', "an address of its own"),
@@ -146,12 +150,12 @@
         ),
     ],
 )
-def test_a_wrong_fleet_in_the_file_names_the_field_and_what_is_allowed(
-    tmp_path: Path, fleet: str, says: str
+def test_an_invalid_fleet_section_is_refused_with_the_field_and_what_is_allowed(
+    tmp_path: Path, fleet: str, message: str
 ) -> None:
     path = tmp_path / "a.toml"
     head = 'name = "a"\nlisten = "127.0.0.1:1"\n[servers]\nsource = "list"\nlist = []\n'
     path.write_text(f"{head}{fleet}{OPERATOR_SETTINGS}")
     with pytest.raises(ConfigError) as error:
         from_file(str(path))
-    assert says in str(error.value)
+    assert message in str(error.value)
