--- a/grebestack/hot_restart/__init__.py
+++ b/grebestack/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Hot restart: a new process takes over from the one that serves. State machine, messages and channel."""
+"""Hot restart: a new process takes over from the serving one. State machine, messages and channel."""
--- a/grebestack/hot_restart/ban_file.py
+++ b/grebestack/hot_restart/ban_file.py
@@ -13,20 +13,20 @@
 
 
 def encode_ban_file(bans: set[str]) -> bytes:
-    """The content of the file: a header with a checksum, and a JSON object."""
+    """The file's content: a header with a checksum, and a JSON object."""
     body = json.dumps({"version": FILE_VERSION, "bans": sorted(bans)}, separators=(",", ":")).encode()
     return b"grebestack %08x\n%s\n" % (zlib.crc32(body), body)
 
 
 def decode_ban_file(data: bytes) -> set[str]:
-    """The names in a file's content.
+    """The worker names in a file's content.
 
-    Raises FrameError if the content is torn, of another version or another program's.
+    Raises FrameError if the content is corrupt, of another version or another program's.
     """
     head, _, body = data.partition(b"\n")
     body = body.removesuffix(b"\n")
     if head != b"grebestack %08x" % zlib.crc32(body):
-        raise FrameError("its checksum does not hold")
+        raise FrameError("its checksum is wrong")
     try:
         raw = json.loads(body)
         version, bans = raw["version"], raw["bans"]
@@ -48,7 +48,7 @@
 
 
 def read_ban_file(path: str) -> set[str]:
-    """The names in the file, none if there is no file; FrameError or OSError if it can't be read."""
+    """The worker names in the file, none if there is no file; FrameError or OSError if it can't be read."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
--- a/grebestack/hot_restart/channel.py
+++ b/grebestack/hot_restart/channel.py
@@ -1,4 +1,4 @@
-"""The channel between two processes of a hot restart: whole messages, and descriptors with them."""
+"""The channel between two processes of a hot restart: messages, with file descriptors attached to some."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedPacket:
-    """A packet that waits to be written, with the descriptors that go along."""
+    """A packet that waits to be written, with the descriptors to attach."""
 
     data: bytes
     descriptors: list[int]
@@ -33,8 +33,8 @@
 class Channel:
     """The connection to one peer.
 
-    `on_message` is called with each message and the descriptors that came with it, which are the callee's
-    to close; `on_lost` once, with the reason, unless this side closes without one.
+    `on_message` is called with each message and the descriptors that came with it; the callee must close
+    them. `on_lost` is called once, with the reason, unless this side closes the channel without a reason.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         on_message: Callable[[Channel, Message, list[int]], None],
         on_lost: Callable[[Channel, str], None],
     ) -> None:
-        """Read from a connected SOCK_SEQPACKET socket, which is closed here."""
+        """Read from a connected SOCK_SEQPACKET socket; the channel closes it."""
         self.loop, self.sock = loop, sock
         self.on_message, self.on_lost = on_message, on_lost
         self.unpacker = Unpacker()
@@ -56,7 +56,7 @@
         loop.add_reader(sock.fileno(), self._read)
 
     def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
-        """Send a message; the descriptors go with its last packet and are closed here then."""
+        """Send a message; the descriptors go with its last packet and are closed here once it is sent."""
         was_idle = not self.write_queue
         *former, last = pack(message)
         self.write_queue.extend(QueuedPacket(data, []) for data in former)
@@ -65,7 +65,7 @@
         if was_idle:
             self._write()
         if self.queued_bytes > MAX_MESSAGE_BYTES:
-            self.close("it does not read")
+            self.close("the peer does not read")
 
     def close(self, reason: str = "") -> None:
         """Close the channel; `on_lost` is called if a reason is given."""
@@ -91,7 +91,7 @@
                 self.loop.add_writer(self.sock.fileno(), self._write)
                 return
             except OSError as error:
-                self.close(error.strerror or "it broke")
+                self.close(error.strerror or "connection error")
                 return
             self.write_queue.popleft()
             self.queued_bytes -= len(packet.data)
@@ -108,11 +108,11 @@
         except BlockingIOError:
             return
         except OSError as error:
-            self.close(error.strerror or "it broke")
+            self.close(error.strerror or "connection error")
             return
         self.received_descriptors += descriptors
         if not packet:
-            self.close("it has ended")
+            self.close("the peer has closed the channel")
             return
         try:
             message = self.unpacker.feed(packet)
--- a/grebestack/hot_restart/framing.py
+++ b/grebestack/hot_restart/framing.py
@@ -1,4 +1,4 @@
-"""Messages of the channel as packets. Pure."""
+"""Splits messages of the channel into packets, and reassembles them. Pure."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
         self.size_bytes = 0
 
     def feed(self, packet: bytes) -> Message | None:
-        """Take a packet; the message if this packet completes it.
+        """Add a packet; returns the message if this packet completes it.
 
         Raises FrameError if the packet or the message is malformed or too long.
         """
-        mark, payload = packet[:1], packet[1:]
+        marker, payload = packet[:1], packet[1:]
         self.size_bytes += len(payload)
-        if mark not in (MORE_FOLLOWS, LAST_PACKET) or self.size_bytes > MAX_MESSAGE_BYTES:
+        if marker not in (MORE_FOLLOWS, LAST_PACKET) or self.size_bytes > MAX_MESSAGE_BYTES:
             raise FrameError(
-                f"a packet begins with {mark!r}, or a message is longer than {MAX_MESSAGE_BYTES} bytes"
+                f"a packet begins with {marker!r}, or a message is longer than {MAX_MESSAGE_BYTES} bytes"
             )
         self.payloads.append(payload)
-        if mark == MORE_FOLLOWS:
+        if marker == MORE_FOLLOWS:
             return None
         data, self.payloads, self.size_bytes = b"".join(self.payloads), [], 0
         return _decode(data)
@@ -57,5 +57,5 @@
     except (ValueError, RecursionError) as error:
         raise FrameError(f"a message is not JSON: {error}") from error
     if not isinstance(message, dict) or not isinstance(message.get(TYPE_KEY), str):
-        raise FrameError("a message has no name in 'is'")
+        raise FrameError("a message has no type under 'is'")
     return message
--- a/grebestack/hot_restart/messages.py
+++ b/grebestack/hot_restart/messages.py
@@ -1,7 +1,7 @@
-"""The messages that two processes of a hot restart exchange, as they are on the wire. Pure.
+"""The wire format of the messages between two processes of a hot restart. Pure.
 
-A message is a JSON object whose key `is` holds its type. This module alone knows the types and, for the
-messages that it builds, their keys.
+A message is a JSON object whose key `is` holds its type. All types are defined here, and so are the keys of
+the messages that this module builds.
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 
 
 class MessageType(StrEnum):
-    """The type of a message; the values are the words on the wire."""
-
-    HELLO = "hello"  # successor: it asks to take over
-    BUSY = "busy"  # predecessor: it can't be taken over now
-    INHERITED_STATE = "welcome"  # predecessor: what the successor starts from
-    READY = "ready"  # successor: it can accept clients
-    HANDED_OVER = "retired"  # predecessor: it accepts no more clients
-    ATTEMPT_SENT = "sent"  # predecessor: a worker has been sent an attempt
+    """The type of a message; the values are sent as they are."""
+
+    HELLO = "hello"  # successor: asks to take over
+    BUSY = "busy"  # predecessor: can't be taken over now
+    INHERITED_STATE = "welcome"  # predecessor: the state that the successor starts from
+    READY = "ready"  # successor: ready to accept clients
+    HANDED_OVER = "retired"  # predecessor: accepts no more clients
+    ATTEMPT_SENT = "sent"  # predecessor: an attempt was sent to a worker
     ATTEMPT_ENDED = "ended"  # predecessor: an attempt has ended
-    REQUEST_CLOSED = "closed"  # predecessor: a request has been answered
-    RUN_COMMAND = "call"  # either: run an admin command here as well
+    REQUEST_CLOSED = "closed"  # predecessor: a request was answered
+    RUN_COMMAND = "call"  # either: run this admin command as well
     COMMAND_RESULT = "did"  # the response to RUN_COMMAND
     DELIVER_CALLBACK = "back"  # either: a worker's call-back for an unknown request
     CALLBACK_RESULT = "known"  # the response to DELIVER_CALLBACK
     CONNECTION = "conn"  # predecessor, with a descriptor: a client's connection
-    QUEUED_REQUEST = "job"  # predecessor, with a descriptor: a request that no worker has been sent
+    QUEUED_REQUEST = "job"  # predecessor, with a descriptor: a request not yet sent to a worker
     IN_FLIGHT_REQUEST = "orphan"  # predecessor, with a descriptor: a request that a worker runs
 
 
 def hello() -> Message:
-    """Ask the process that serves to be taken over."""
+    """Ask the serving process to hand over."""
     return {TYPE_KEY: MessageType.HELLO, "version": PROTOCOL_VERSION}
 
 
@@ -47,12 +47,12 @@
 
 
 def ready() -> Message:
-    """Announce that the start is over."""
+    """Announce that the successor has started."""
     return {TYPE_KEY: MessageType.READY}
 
 
 def handed_over(open_call_ids: list[str], attempts: list[Message]) -> Message:
-    """Announce that clients are accepted no longer, with what is still open here."""
+    """Announce that no more clients are accepted, with the requests and attempts still open here."""
     return {TYPE_KEY: MessageType.HANDED_OVER, "open": open_call_ids, "out": attempts}
 
 
@@ -72,7 +72,7 @@
 
 
 def run_command(number: int, verb: str, worker: str) -> Message:
-    """Have an admin command run by a peer; the number comes back in its result."""
+    """Ask a peer to run an admin command; its result carries the same number."""
     return {TYPE_KEY: MessageType.RUN_COMMAND, "n": number, "verb": verb, "server": worker}
 
 
@@ -82,7 +82,7 @@
 
 
 def deliver_callback(number: int, body: str) -> Message:
-    """Have a call-back delivered by a peer; the number comes back in its result."""
+    """Ask a peer to deliver a call-back; its result carries the same number."""
     return {TYPE_KEY: MessageType.DELIVER_CALLBACK, "n": number, "body": body}
 
 
@@ -92,7 +92,7 @@
 
 
 def message_type(message: Message) -> str:
-    """The word of a message that has come; it need not be a known one."""
+    """The type of a received message; it may be unknown."""
     return str(message[TYPE_KEY])
 
 
@@ -102,17 +102,17 @@
 
 
 def connection(request_sent: bool, idle: bool) -> Message:
-    """Announce the client's connection whose descriptor goes along."""
+    """Hand over a client's connection, whose descriptor is attached."""
     return {TYPE_KEY: MessageType.CONNECTION, "asked": request_sent, "idle": idle}
 
 
 def queued_request(deadline_ms: float, request: Message) -> Message:
-    """Hand over a request that no worker has been sent, with its client's connection."""
+    """Hand over a request not yet sent to a worker, with its client's connection."""
     return {"deadline_ms": deadline_ms, TYPE_KEY: MessageType.QUEUED_REQUEST, **request}
 
 
 def in_flight_request(deadline_ms: float, worker: str, call_id: str) -> Message:
-    """Hand over the end of a request that a worker runs, with its client's connection."""
+    """Hand over a request that a worker runs, with its client's connection."""
     return {
         "deadline_ms": deadline_ms,
         TYPE_KEY: MessageType.IN_FLIGHT_REQUEST,
--- a/grebestack/hot_restart/rendezvous.py
+++ b/grebestack/hot_restart/rendezvous.py
@@ -1,4 +1,4 @@
-"""The rendezvous: the socket in a folder by which a process that starts finds the one that serves."""
+"""The rendezvous: a Unix socket in a folder, through which a starting process finds the serving one."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 
 class RendezvousListener:
-    """Listens on the socket, and finds the process that does.
+    """Listens on the socket, or connects to the process that does.
 
-    No file says whether that process lives: the kernel refuses a connection to a dead one's socket.
+    No file records whether that process is alive: the kernel refuses a connection to a dead one's socket.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, folder: str) -> None:
-        """Create the folder if it is missing; it is for this user alone."""
+        """Create the folder if it is missing, accessible to this user only."""
         os.makedirs(folder, mode=0o700, exist_ok=True)
         self.loop, self.folder = loop, folder
         self.listener: socket.socket | None = None
 
     def connect(self) -> socket.socket | None:
-        """A connection to the process that serves, or None if there is none."""
+        """A connection to the serving process, or None if there is none."""
         directory = self._open_folder()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.settimeout(CONNECT_TIMEOUT_S)
@@ -51,9 +51,9 @@
         return None
 
     def listen(self, on_connected: Callable[[socket.socket], None]) -> None:
-        """Be found from now on; `on_connected` is called with each connection of the same user.
+        """Listen; `on_connected` is called with each connection of the same user.
 
-        A rename replaces the former holder's socket in one step.
+        A rename replaces the former holder's socket atomically.
         """
         self.close()
         directory = self._open_folder()
@@ -72,7 +72,7 @@
         self.loop.add_reader(listener.fileno(), self._accept, on_connected)
 
     def close(self) -> None:
-        """Be found no longer. Accepted connections stay open."""
+        """Stop listening. Accepted connections stay open."""
         if self.listener is not None:
             self.loop.remove_reader(self.listener.fileno())
             self.listener.close()
@@ -95,5 +95,5 @@
 
 
 def _socket_path(name: str, directory: int) -> str:
-    # Through the descriptor, since the path of a Unix socket holds at most 107 bytes.
+    # Relative to the folder's descriptor, since the path of a Unix socket holds at most 107 bytes.
     return f"/proc/self/fd/{directory}/{name}"
--- a/grebestack/hot_restart/state_machine.py
+++ b/grebestack/hot_restart/state_machine.py
@@ -1,14 +1,18 @@
-"""The hot restart as one process sees it. Pure: events in, actions out.
+"""The state machine of one process in a hot restart. Pure: events in, actions out.
 
-The *predecessor* serves; its *successor* starts beside it and takes over. A process can be both: the
-successor of one restart is the predecessor of the next, while the first predecessor may still be ending its
-requests. Peers are numbers that the caller assigns.
+The *predecessor* serves; its *successor* starts while it runs and takes over. A process can be both: the
+successor of one restart is the predecessor of the next, while the first predecessor may still be finishing
+its requests. Peers are numbers that the caller assigns.
 
-Order matters in three places. The successor accepts once the predecessor has stopped and has sent which
-requests are open there, so that no id can come to both; meanwhile connections wait in the listening socket,
-which neither closes. The predecessor gives up the rendezvous before that, so that a third process finds the
-one that serves. And a query is answered once all peers have responded or are lost: a missing response is no
-answer.
+Order matters in three places:
+
+- The successor accepts clients only after the predecessor has stopped accepting and has sent the ids of its
+  open requests, so that no call id is accepted by both. Meanwhile connections wait in the listening socket,
+  which stays open throughout.
+- The predecessor gives up the rendezvous before it stops accepting, so that a third process never finds one
+  that no longer serves.
+- A query waits for each peer whose response could still change its result: a missing response counts as
+  neither yes nor no, and a lost peer no longer counts.
 """
 
 from __future__ import annotations
@@ -40,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InheritState:
-    """Take the predecessor's state. Nothing may have been sent to a worker before."""
+    """Adopt the predecessor's state. Must come before anything is sent to a worker."""
 
     state: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Close the channel to a peer. No event of it follows."""
+    """Close the channel to a peer. No events of this peer follow."""
 
     peer: int
     reason: str
@@ -63,21 +67,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldRendezvous:
-    """Hold the rendezvous, by which a process that starts finds this one, or give it up."""
+    """Hold the rendezvous, where a starting process finds this one, or give it up."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ShareCapacity:
-    """The dispatcher's connections are to be shared by so many processes."""
+    """Divide the dispatcher's connection limit among this number of processes."""
 
     processes: int
 
 
 @dataclass(frozen=True, slots=True)
 class RunCommand:
-    """Run an operator's command that came to a peer, and send it a COMMAND_RESULT with this number."""
+    """Run an admin command that a peer received, and send the peer a COMMAND_RESULT with this number."""
 
     peer: int
     number: int
@@ -87,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliverCallback:
-    """Deliver a call-back that came to a peer, and send it a CALLBACK_RESULT with this number."""
+    """Deliver a call-back that a peer received, and send the peer a CALLBACK_RESULT with this number."""
 
     peer: int
     number: int
@@ -96,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteQuery:
-    """A query of this process is answered: whether all, or any, agreed; None if not in time."""
+    """A query of this process is complete: whether all, or any, agreed; None after a timeout."""
 
     number: int
     result: bool | None
@@ -104,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CountAttempt:
-    """Count an attempt that the predecessor has sent or ended; None: it is gone, and so are all of them."""
+    """Count an attempt that the predecessor has sent or ended; None: it is gone, end all of them."""
 
     message: Message | None
 
@@ -129,11 +133,11 @@
     """The peers that have yet to respond, and the result so far."""
 
     waiting_for: set[int]
-    requires_all: bool  # else one that agrees is enough
+    requires_all: bool  # else one agreeing peer is enough
     result: bool = False
 
     def add(self, peer: int, agrees: bool) -> bool:
-        """Add a peer's response; whether the result is final."""
+        """Add a peer's response; returns whether the result is final."""
         self.waiting_for.discard(peer)
         if self.requires_all:
             self.result = self.result and agrees
@@ -158,47 +162,47 @@
         self.stopping = False
         self.queries: dict[int, PendingQuery] = {}
         self.last_query = 0
-        self.predecessor_open_ids: set[str] = set()  # call ids that the predecessor has yet to answer
+        self.predecessor_open_ids: set[str] = set()  # call ids that the predecessor has not answered yet
 
     # Events of this process.
 
     def on_predecessor_found(self, peer: int) -> list[Action]:
-        """At the start, a process holds the rendezvous."""
+        """At startup, another process holds the rendezvous."""
         self.predecessor = peer
         self.peers.add(peer)
         return [SendMessage(peer, messages.hello()), ShareCapacity(2)]
 
     def on_no_predecessor(self) -> list[Action]:
-        """At the start, no process holds the rendezvous, or none that can be taken over."""
+        """At startup, no process holds the rendezvous, or it can't be taken over."""
         self.predecessor = None
         self.holds_rendezvous = True
         return [HoldRendezvous(True), ShareCapacity(1)]
 
     def on_started(self) -> list[Action]:
-        """The start is over. With a predecessor, clients are accepted once it has handed over."""
+        """Startup is complete. With a predecessor, clients are accepted once it has handed over."""
         self.started = True
         if self.predecessor is None:
             return self._accept_clients()
         return [SendMessage(self.predecessor, messages.ready())]
 
     def on_handover_timeout(self) -> list[Action]:
-        """The predecessor has not handed over in time, so that it probably hangs."""
+        """The predecessor has not handed over in time; it probably hangs."""
         return self._accept_clients()
 
     def on_stop(self) -> None:
-        """This process is to end."""
+        """This process is stopping."""
         self.stopping = True
 
     def query_command(self, verb: str, worker: str) -> tuple[int, list[Action]]:
-        """Have all peers run a command that was run here. The number comes back in `CompleteQuery`."""
+        """Ask all peers to run a command that was run here. The number is that of `CompleteQuery`."""
         return self._query(True, lambda number: messages.run_command(number, verb, worker))
 
     def query_callback(self, body: str) -> tuple[int, list[Action]]:
-        """Offer all peers a call-back that is unknown here. The number comes back in `CompleteQuery`."""
+        """Offer all peers a call-back that is unknown here. The number is that of `CompleteQuery`."""
         return self._query(False, lambda number: messages.deliver_callback(number, body))
 
     def on_query_timeout(self, number: int) -> list[Action]:
-        """A query has not been answered in time."""
+        """A query has not completed in time."""
         if self.queries.pop(number, None) is None:
             return []
         return [CompleteQuery(number, None)]
@@ -206,7 +210,7 @@
     # Events of peers.
 
     def on_peer_lost(self, peer: int) -> list[Action]:
-        """A peer has ended, or its channel broke: no response of it is waited for, and its role is vacant."""
+        """A peer has exited, or its channel failed: its responses are not awaited, and its role is vacant."""
         if peer not in self.peers:
             return []
         self.peers.discard(peer)
@@ -220,15 +224,15 @@
         return [*actions, ShareCapacity(1 + len(self.peers))]
 
     def on_message(self, peer: int, message: Message) -> list[Action]:
-        """A message has come. A peer that breaks the protocol is disconnected."""
-        word = messages.message_type(message)
-        handler = self._HANDLERS.get(word)
-        if handler is None or (peer not in self.peers and word != MessageType.HELLO):
-            return [Disconnect(peer, f"it says {word[:40]!r}"), *self.on_peer_lost(peer)]
+        """Handle a message. A peer that violates the protocol is disconnected."""
+        type_name = messages.message_type(message)
+        handler = self._HANDLERS.get(type_name)
+        if handler is None or (peer not in self.peers and type_name != MessageType.HELLO):
+            return [Disconnect(peer, f"unexpected message type {type_name[:40]!r}"), *self.on_peer_lost(peer)]
         try:
             return handler(self, peer, message)
         except (KeyError, TypeError, ValueError) as error:
-            reason = f"its {word!r} lacks something: {error!r}"
+            reason = f"malformed message {type_name!r}: {error!r}"
             return [Disconnect(peer, reason), *self.on_peer_lost(peer)]
 
     # One handler for each type of message.
@@ -236,9 +240,9 @@
     def _on_hello(self, peer: int, message: Message) -> list[Action]:
         version = message["version"]
         if version != PROTOCOL_VERSION:
-            return [Disconnect(peer, f"it is of version {version!r}, not {PROTOCOL_VERSION}")]
+            return [Disconnect(peer, f"its protocol version is {version!r}, not {PROTOCOL_VERSION}")]
         if not self._can_be_taken_over():
-            reason = "another upgrade is under way, or a stop"
+            reason = "another hot restart or a stop is in progress"
             return [SendMessage(peer, messages.busy()), Disconnect(peer, reason)]
         self.successor = peer
         self.peers.add(peer)
@@ -253,14 +257,14 @@
     def _on_busy(self, peer: int, message: Message) -> list[Action]:
         self.predecessor = None
         self.peers.discard(peer)
-        return [Disconnect(peer, "it is busy")]
+        return [Disconnect(peer, "the predecessor is busy")]
 
     def _on_ready(self, peer: int, message: Message) -> list[Action]:
         if peer != self.successor or not self.accepting:
             return []
         self.accepting = self.holds_rendezvous = False
         self.handed_over = True
-        # The rendezvous first: a third process must not find one that no longer serves.
+        # Give up the rendezvous first: a third process must not find one that no longer serves.
         return [HoldRendezvous(False), AcceptClients(False, peer)]
 
     def _on_handed_over(self, peer: int, message: Message) -> list[Action]:
--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -1,4 +1,4 @@
-"""Runs a hot restart: executes the actions of its state machine on this dispatcher."""
+"""Runs hot restarts: executes the actions of their state machine on this dispatcher."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 log = logging.getLogger(__name__)
 FOLDER_NAME = "grebestack"  # in $TMPDIR
 BAN_FILE_NAME = "bans"
-INHERIT_TIMEOUT_S = 2.0  # for a predecessor that does not respond
-BUSY_TIMEOUT_S = 4.0  # for one that is in another restart; then this process serves beside it
+INHERIT_TIMEOUT_S = 2.0  # longest wait for the predecessor's state
+BUSY_TIMEOUT_S = 4.0  # longest wait while the predecessor is in another restart; then both processes serve
 BUSY_RETRY_S = 0.1
 INHERIT_POLL_S = 0.005
-HANDOVER_TIMEOUT_S = 1.0  # for a predecessor that does not stop accepting
-COMMAND_TIMEOUT_S = 0.6  # for a peer; the operator's response is due within a second
+HANDOVER_TIMEOUT_S = 1.0  # longest wait for the predecessor to stop accepting
+COMMAND_TIMEOUT_S = 0.6  # for a peer; the operator must get a response within a second
 CALLBACK_TIMEOUT_S = 1.0  # for a peer; the worker retries
 
 
 class HotRestartRunner:
-    """This process's side of a hot restart: of the one that it began with, and of the next."""
+    """This process's part in hot restarts: first as the successor, later as the predecessor."""
 
     def __init__(self, dispatcher: RestartableDispatcher, folder: str) -> None:
-        """Register with the dispatcher's front and engine; `folder` is shared by the processes."""
+        """Register with the dispatcher's platform API and engine; `folder` is shared by the processes."""
         self.dispatcher, self.loop = dispatcher, dispatcher.loop
         path = os.path.join(folder, FOLDER_NAME)
         self.ban_file = os.path.join(path, BAN_FILE_NAME)
@@ -56,12 +56,12 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.local_operations = LocalOperations(dispatcher)
         self.predecessor_attempts = checkpoint.InheritedAttempts(dispatcher.engine.policy)
-        self._executors = self._action_table()
+        self._action_handlers = self._action_handler_table()
         dispatcher.platform_api.query_other_process = self.offer_callback
         dispatcher.platform_api.is_open_elsewhere = self._is_open_elsewhere
         dispatcher.engine.on_request_closed = self._on_request_closed
 
-    def _action_table(self) -> dict[type[state_machine.Action], Callable[[Any], None]]:
+    def _action_handler_table(self) -> dict[type[state_machine.Action], Callable[[Any], None]]:
         return {
             state_machine.SendMessage: self._send_message,
             state_machine.SendInheritedState: self._send_inherited_state,
@@ -76,12 +76,12 @@
             state_machine.CountAttempt: self._count_attempt,
         }
 
-    # The life of the process.
+    # Start and stop of the process.
 
     async def begin(self) -> None:
         """Inherit the state of a predecessor, if there is one.
 
-        The cordoned workers of the file are cordoned before anything can be sent.
+        The workers in the file of cordoned workers are cordoned first, before anything can be sent to them.
         """
         self._read_ban_file()
         busy_until = self.loop.time() + BUSY_TIMEOUT_S
@@ -97,14 +97,14 @@
                 return
             self._execute(self.state_machine.on_predecessor_found(self.channels.add(sock)))
             if not await self._wait_for_state():
-                return  # a slow predecessor still gets READY; the file has the cordoned workers
+                return  # a slow predecessor still gets READY; cordoned workers come from the file
             if self.state_machine.holds_rendezvous:
-                return  # the predecessor is lost, and this process has replaced it
+                return  # the predecessor is gone, and this process serves in its place
             if not self.state_machine.has_inherited:
                 await asyncio.sleep(BUSY_RETRY_S)
 
     async def _wait_for_state(self) -> bool:
-        """Wait until the predecessor has sent its state, refused or is lost; False if it does nothing."""
+        """Wait until the predecessor has sent its state, refused or is lost; False after a timeout."""
         machine = self.state_machine
         try:
             async with asyncio.timeout(INHERIT_TIMEOUT_S):
@@ -116,7 +116,7 @@
         return True
 
     def started(self) -> None:
-        """The start is over: clients may be accepted."""
+        """Startup is complete: clients may be accepted."""
         self._execute(self.state_machine.on_started())
         self.loop.call_later(HANDOVER_TIMEOUT_S, self._on_handover_timeout)
 
@@ -124,12 +124,12 @@
         self._execute(self.state_machine.on_handover_timeout())
 
     def stop(self) -> None:
-        """This process is to end: it can't be taken over any more."""
+        """This process is stopping: it can't be taken over any more."""
         self.state_machine.on_stop()
         self.rendezvous.close()
 
     def hand_over_in_flight(self) -> None:
-        """This process is about to be killed: the successor answers the requests that workers run."""
+        """Before this process is killed, leave the requests that workers run to the successor to answer."""
         if (successor := self.state_machine.successor) is not None:
             self.handover.hand_over_in_flight(successor)
 
@@ -169,7 +169,7 @@
             self._execute_one(action)
 
     def _execute_one(self, action: state_machine.Action) -> None:
-        self._executors[type(action)](action)
+        self._action_handlers[type(action)](action)
 
     def _send_message(self, action: state_machine.SendMessage) -> None:
         self.channels.send(action.peer, action.message)
@@ -238,7 +238,7 @@
                 str(message["class"]),
             )
 
-    # Queries to the other process.
+    # Queries to the other processes.
 
     def _query(
         self,
@@ -260,9 +260,9 @@
         self._execute(self.state_machine.on_query_timeout(number))
 
     def offer_callback(self, body: bytes, reply: Callable[[bool | None], None]) -> None:
-        """Offer the other process a call-back that is unknown here.
+        """Offer the other processes a call-back that is unknown here.
 
-        `reply` is called with whether either process took it, or None if that is not known in time.
+        `reply` is called with whether any process accepted it, or None if that is not known in time.
         """
 
         def complete(accepted: bool | None) -> None:
@@ -276,13 +276,15 @@
     # Admin commands.
 
     def run(self, command: Command, respond: Respond) -> None:
-        """Run an operator's command here, then in the other process; it succeeds if it does in both.
+        """Run an operator's command here, then in the other processes; it succeeds if all do.
 
-        After a failure of the other process the effect here stays. Commands may be repeated.
+        If another process fails, the effect here stays; the operator may repeat the command.
         """
         response = self._execute_locally(command)
         if command.verb is Verb.RESUME and self.dispatcher.lifecycle.retired:
-            response = CommandResponse(True, "said to the process that serves")  # this one may be stopping
+            response = CommandResponse(
+                True, "passed on to the process that serves"
+            )  # this one may be stopping
         if command.verb is Verb.HEALTH or not response.succeeded or not self.state_machine.peers:
             respond(response)
             return
@@ -291,8 +293,8 @@
             if succeeded:
                 respond(response)
                 return
-            fault = "did not answer" if succeeded is None else "is not ready for it"
-            respond(CommandResponse(False, f"the other process of the upgrade {fault}; call again"))
+            failure = "did not respond" if succeeded is None else "could not run it"
+            respond(CommandResponse(False, f"the other process of the hot restart {failure}; call again"))
 
         query = self.state_machine.query_command(command.verb.value, command.target)
         self._query(query, COMMAND_TIMEOUT_S, complete)
--- a/grebestack/program/hot_restart_adoption.py
+++ b/grebestack/program/hot_restart_adoption.py
@@ -1,4 +1,4 @@
-"""The successor's side of a hot restart: it adopts clients' connections and requests of the predecessor."""
+"""The successor's side of a hot restart: adopts clients' connections and requests from the predecessor."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class Adoption:
-    """Adopts what comes with a descriptor of a client's connection."""
+    """Adopts the connections and requests whose messages carry the descriptor of a client's connection."""
 
     def __init__(self, dispatcher: RestartableDispatcher) -> None:
-        """Adopt nothing yet."""
+        """Start with nothing adopted."""
         self.dispatcher = dispatcher
-        self.in_flight_ids: set[str] = set()  # call ids of the predecessor that this process answers
+        self.in_flight_ids: set[str] = set()  # call ids of adopted requests that a worker runs
         self.tasks: set[asyncio.Task[None]] = set()
         self._handlers: dict[str, Callable[[int, Message], None]] = {
             MessageType.CONNECTION: self._adopt_connection,
@@ -35,52 +35,54 @@
         }
 
     def handles(self, message: Message) -> bool:
-        """Whether a message is one that hands something over."""
+        """Whether a message hands over a connection or a request."""
         return message_type(message) in self._handlers
 
     def adopt(self, descriptor: int, message: Message) -> None:
         """Adopt what a message hands over; the descriptor is closed if the message is malformed."""
-        word = message_type(message)
+        type_name = message_type(message)
         try:
-            self._handlers[word](descriptor, message)
+            self._handlers[type_name](descriptor, message)
         except (KeyError, ValueError, TypeError, AttributeError) as error:
-            log.warning("handed_refused", extra={"kv": {"what": word, "why": repr(error)}})
+            log.warning("handed_refused", extra={"kv": {"what": type_name, "why": repr(error)}})
             os.close(descriptor)
 
     def _adopt_connection(self, descriptor: int, message: Message) -> None:
-        self._take_up(descriptor, bool(message["asked"]), bool(message["idle"]), lambda connection: None)
+        self._adopt_descriptor(
+            descriptor, bool(message["asked"]), bool(message["idle"]), lambda connection: None
+        )
 
     def _adopt_queued(self, descriptor: int, message: Message) -> None:
-        """Adopt a request that no worker has been sent, as if its client had sent it here."""
+        """Adopt a request not yet sent to a worker, as if its client had sent it here."""
         request = request_from_wire(message)
-        left_ms = float(message["deadline_ms"]) + DEADLINE_MARGIN_MS - self.dispatcher.clock.now_ms()
-        request.headers[b"x-budget"] = b"%.3f" % (max(MIN_BUDGET_MS, left_ms) / 1000.0)
-        self._take_up(descriptor, True, False, lambda connection: connection.resume(request))
+        remaining_ms = float(message["deadline_ms"]) + DEADLINE_MARGIN_MS - self.dispatcher.clock.now_ms()
+        request.headers[b"x-budget"] = b"%.3f" % (max(MIN_BUDGET_MS, remaining_ms) / 1000.0)
+        self._adopt_descriptor(descriptor, True, False, lambda connection: connection.resume(request))
 
     def _adopt_in_flight(self, descriptor: int, message: Message) -> None:
-        """Adopt a request that a worker runs: its call-back or its deadline answers the client."""
+        """Adopt a request that a worker runs: the client is answered at its call-back or its deadline."""
         call_id, worker, deadline_ms = (
             str(message["id"]),
             str(message["server"]),
             float(message["deadline_ms"]),
         )
-        runners, answer = self.dispatcher.http_workers, PendingAnswer()
+        http_workers, response = self.dispatcher.http_workers, PendingResponse()
 
         def on_ended(outcome: Outcome, result: bytes) -> None:
             timer.cancel()
             self.in_flight_ids.discard(call_id)
-            answer.set(*_response_to(outcome, result))
+            response.set(*_response_to(outcome, result))
 
         def on_deadline() -> None:
-            runners.set_callback_handler(call_id, worker, None)  # its call-back is no longer awaited
+            http_workers.set_callback_handler(call_id, worker, None)  # its call-back is no longer awaited
             on_ended(Outcome.TIMEOUT, b"")
 
         timer = self.dispatcher.clock.call_at(deadline_ms, on_deadline)
         self.in_flight_ids.add(call_id)
-        runners.set_callback_handler(call_id, worker, on_ended)
-        self._take_up(descriptor, True, False, answer.connect)
+        http_workers.set_callback_handler(call_id, worker, on_ended)
+        self._adopt_descriptor(descriptor, True, False, response.connect)
 
-    def _take_up(
+    def _adopt_descriptor(
         self, descriptor: int, request_sent: bool, idle: bool, on_connected: Callable[[Connection], None]
     ) -> None:
         sock = socket.socket(fileno=descriptor)
@@ -101,21 +103,21 @@
 
 
 @dataclass(slots=True)
-class PendingAnswer:
-    """An answer and the connection that it goes to, which come in any order."""
+class PendingResponse:
+    """A response and the connection to send it on, which may become available in either order."""
 
     connection: Connection | None = None
     response: tuple[int, bytes] | None = None
 
     def set(self, status: int, body: bytes) -> None:
-        """The request has ended; only its first end counts."""
+        """Set the response of an ended request; only the first one counts."""
         if self.response is None:
             self.response = status, body
         if self.connection is not None:
             self.connection.respond(*self.response)
 
     def connect(self, connection: Connection) -> None:
-        """The client's connection has been taken up."""
+        """Set the client's connection, and resume it."""
         connection.resume(None)
         self.connection = connection
         if self.response is not None:
--- a/grebestack/program/hot_restart_interface.py
+++ b/grebestack/program/hot_restart_interface.py
@@ -1,4 +1,4 @@
-"""What a hot restart uses of the dispatcher that it belongs to."""
+"""The interface of the dispatcher that a hot restart uses."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     acceptor: Acceptor
 
     def limit_connections(self, processes: int) -> None:
-        """Use a part of the connections that so many processes share."""
+        """Limit connections to this process's part, if so many processes share them."""
 
     def stop_listening(self) -> None:
         """Close this process's copy of the listener."""
--- a/grebestack/program/hot_restart_peers.py
+++ b/grebestack/program/hot_restart_peers.py
@@ -1,4 +1,4 @@
-"""The channels to the other processes of a hot restart, by the numbers that the state machine knows."""
+"""The channels to the other processes of a hot restart, by the state machine's peer numbers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PeerChannels:
-    """Numbers the peers. `on_message` and `on_lost` are called with a peer's number."""
+    """Assigns numbers to peers. `on_message` and `on_lost` are called with a peer's number."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         return peer in self.by_peer
 
     def add(self, sock: socket.socket) -> int:
-        """Open a channel on a connected socket; the number of the new peer."""
+        """Open a channel on a connected socket; returns the number of the new peer."""
         self.last_peer += 1
         peer = self.last_peer
 
@@ -44,7 +44,7 @@
         return peer
 
     def send(self, peer: int, message: Message, descriptors: Sequence[int] = ()) -> None:
-        """Send a message, which is dropped if the peer is gone; with descriptors that is a KeyError."""
+        """Send a message. If the peer is gone it is dropped, or with descriptors raises KeyError."""
         if descriptors:
             self.by_peer[peer].send(message, descriptors)
         elif peer in self.by_peer:
--- a/grebestack/program/hot_restart_state.py
+++ b/grebestack/program/hot_restart_state.py
@@ -1,4 +1,4 @@
-"""The state that a successor inherits: cordoned workers, the list of workers, and what the policy learned."""
+"""The state that a successor inherits: cordoned workers, the worker list, and the policy's checkpoint."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def inherit_state(dispatcher: RestartableDispatcher, state: Message) -> None:
-    """Take the state of the predecessor. Of a malformed one, the parts before the fault are taken."""
+    """Adopt the predecessor's state. Of a malformed message, the parts before the error are adopted."""
     cordoned = set[str]()
     try:
         dispatcher.list_reader.unix_to_clock_ms = float(state["clock"])
@@ -39,17 +39,17 @@
         _replace_cordoned(dispatcher.table, cordoned)
         if state["quiesced"]:
             dispatcher.lifecycle.quiesce(dispatcher.clock.now_ms())
-        if not dispatcher.table.has_live_list:  # a list of this process's own is newer
+        if not dispatcher.table.has_live_list:  # a list that this process received itself is newer
             _inherit_workers(dispatcher, state)
     except (KeyError, ValueError, TypeError, AttributeError) as error:
         log.warning("welcome_refused", extra={"kv": {"why": repr(error)}})
-    # Also after welcome_refused: the counts then say how far the reading came.
+    # Also after welcome_refused: the counts then show how much was adopted.
     counts = {"servers": len(dispatcher.table.workers), "bans": len(cordoned)}
     log.info("upgrade_welcomed", extra={"kv": counts})
 
 
 def cordon_all(table: WorkerTable, names: set[str]) -> None:
-    """Cordon workers, which need not be listed yet."""
+    """Cordon workers, including ones not listed yet."""
     table.remember_names(names)
     for name in names:
         table.set_cordoned(name, True)
@@ -63,8 +63,8 @@
 
 def _inherit_workers(dispatcher: RestartableDispatcher, state: Message) -> None:
     policy, learned = dispatcher.engine.policy, state["learned"]
-    # Before the list is updated, since the slow start of a listed worker depends on the slots of its kind
-    # and on run times; and after it, since what is known of each worker needs the worker to be listed.
+    # Restored before the list is updated, since the slow start of a listed worker depends on the slots of
+    # its kind and on run times; and again after it, since per-worker values need the worker to be listed.
     checkpoint.restore_checkpoint(policy, learned)
     dispatcher.table.update(ListKind.CACHED, [worker_from_wire(raw) for raw in state["servers"]])
     checkpoint.restore_checkpoint(policy, learned)
@@ -72,7 +72,7 @@
 
 
 def worker_to_wire(worker: WorkerEndpoint) -> list[Any]:
-    """A worker as the message lists it."""
+    """The message's list of values for a worker."""
     entry = worker.entry
     return [
         entry.worker,
@@ -87,7 +87,7 @@
 
 
 def worker_from_wire(raw: Any) -> WorkerEndpoint:
-    """A worker that `worker_to_wire` has written; ValueError or TypeError if it is malformed."""
+    """The inverse of `worker_to_wire`; ValueError or TypeError if the values are malformed."""
     name, zone, kind, cell, state, weight, started_ms, host, port = raw
     entry = WorkerEntry(
         str(name),
--- a/tests/golden_handover.py
+++ b/tests/golden_handover.py
@@ -1,4 +1,4 @@
-"""Every message that two processes of an upgrade send each other, as the packets of their channel."""
+"""Every message that two processes of a hot restart send each other, as the packets of their channel."""
 
 from __future__ import annotations
 
@@ -27,27 +27,27 @@
 
 
 class RecordingChannel:
-    """Keeps the messages that are sent."""
+    """Records the messages that are sent."""
 
     def __init__(self) -> None:
         self.messages: list[dict[str, Any]] = []
 
-    def send(self, message: dict[str, Any], fds: Sequence[int] = ()) -> None:
-        """Keep a message."""
+    def send(self, message: dict[str, Any], descriptors: Sequence[int] = ()) -> None:
+        """Record a message."""
         self.messages.append(message)
 
 
-def taught_policy() -> Policy:
-    """A policy that has learned a value of its own in each place."""
+def policy_with_state() -> Policy:
+    """A policy with a distinct value in each field that a checkpoint has."""
     policy = Policy(BASE, 1)
     policy.handle(1.0, WorkersListed(ListKind.FULL, (WorkerEntry("runner-1"),)))
-    view = policy.workers["runner-1"]
-    view.concurrency_limit, view.slowness, view.consecutive_overloads = 1.5, 2.5, 3
-    view.backoff_until_ms, view.raise_limit_after_ms = 4.5, 5.5
-    view.warm_at_ms, view.last_success_ms = 6.5, 7.5
-    view.first_connection_error_ms, view.consecutive_connection_errors = 8.5, 9
-    view.max_free_slots, view.max_free_memory, view.load_updated_ms = 10.5, 11.5, 12.5
-    view.others_slots, view.others_memory, view.own_slots, view.rounding = 13.5, 14.5, 15.5, 16.5
+    worker = policy.workers["runner-1"]
+    worker.concurrency_limit, worker.slowness, worker.consecutive_overloads = 1.5, 2.5, 3
+    worker.backoff_until_ms, worker.raise_limit_after_ms = 4.5, 5.5
+    worker.warm_at_ms, worker.last_success_ms = 6.5, 7.5
+    worker.first_connection_error_ms, worker.consecutive_connection_errors = 8.5, 9
+    worker.max_free_slots, worker.max_free_memory, worker.load_updated_ms = 10.5, 11.5, 12.5
+    worker.others_slots, worker.others_memory, worker.own_slots, worker.rounding = 13.5, 14.5, 15.5, 16.5
     policy.estimates.run_ms[:] = [101.0, 102.0, 103.0]
     policy.estimates.slots[:] = [1.25, 2.25, 3.25]
     policy.estimates.kind_slots, policy.estimates.kind_weight = {0: 8.0, 4: 9.0}, {0: 18.0, 5: 19.0}
@@ -56,12 +56,12 @@
 
 
 def keepsake() -> dict[str, Any]:
-    """What is kept of what the policy has learned."""
-    return checkpoint.save_checkpoint(taught_policy())
+    """The checkpoint of `policy_with_state`."""
+    return checkpoint.save_checkpoint(policy_with_state())
 
 
 def keepsake_taken(raw: dict[str, Any]) -> dict[str, Any]:
-    """What a new policy keeps after it has taken this."""
+    """The checkpoint of a new policy that has restored this one."""
     policy = Policy(BASE, 2)
     policy.handle(1.0, WorkersListed(ListKind.FULL, (WorkerEntry("runner-1"),)))
     checkpoint.restore_checkpoint(policy, raw)
@@ -69,7 +69,7 @@
 
 
 def state_machine_messages() -> list[dict[str, Any]]:
-    """What the pact itself says."""
+    """The messages of the state machine."""
     successor, predecessor = state_machine.HotRestart(), state_machine.HotRestart()
     actions = successor.on_predecessor_found(PEER) + successor.on_started()
     actions += successor.query_command("cordon", "runner-1")[1]
@@ -79,30 +79,30 @@
 
 
 def busy_dispatcher() -> MagicMock:
-    """Stands in for a dispatcher that has one open job with a dispatch that is out."""
+    """A mock of a dispatcher with one open request, which has one attempt in flight."""
     dispatcher = MagicMock()
     table = WorkerTable()
     table.update(ListKind.FULL, [WORKER])
     table.remember_names(["runner-9"])
-    answer = PlatformResponder(MagicMock(), MagicMock(), REQUEST)
-    asked = RequestArrived(41, 2, 5000.5, 1.5, 2.5)
-    session = Request("job-1", asked, Payload(b"head", b"body"), answer)
-    session.attempts.append(Attempt(session, 3, "runner-1", 4000.25))
+    responder = PlatformResponder(MagicMock(), MagicMock(), REQUEST)
+    arrival = RequestArrived(41, 2, 5000.5, 1.5, 2.5)
+    request = Request("job-1", arrival, Payload(b"head", b"body"), responder)
+    request.attempts.append(Attempt(request, 3, "runner-1", 4000.25))
     dispatcher.table, dispatcher.lifecycle.quiesced, dispatcher.lifecycle.retired = table, True, True
     dispatcher.list_reader.unix_to_clock_ms = -123.5
     dispatcher.http_workers.on_callback.return_value = CallbackResult.ACCEPTED
     dispatcher.http_workers.hand_over.return_value = "runner-1"
     engine = dispatcher.engine
-    engine.policy, engine.settings = taught_policy(), BASE
-    engine.requests, engine.open_by_call_id = {41: session}, {"job-1": session}
-    engine.open_requests.return_value = [session]
+    engine.policy, engine.settings = policy_with_state(), BASE
+    engine.requests, engine.open_by_call_id = {41: request}, {"job-1": request}
+    engine.open_requests.return_value = [request]
     engine.withdraw_unsent.return_value = True
-    engine.hand_over.return_value = session.attempts[0]
+    engine.hand_over.return_value = request.attempts[0]
     return dispatcher
 
 
 def runner_messages(folder: str) -> list[dict[str, Any]]:
-    """What the shell around the pact says, with the bans of operators among it."""
+    """The messages of the runner, with the cordoned workers among them."""
     dispatcher, channel, connection = (
         busy_dispatcher(),
         RecordingChannel(),
@@ -117,9 +117,9 @@
     runner._execute_one(state_machine.SendInheritedState(PEER))
     runner._execute_one(state_machine.AcceptClients(False, PEER))
     engine = dispatcher.engine
-    (session,) = engine.requests.values()
-    engine.on_attempt_sent(session.attempts[0])
-    engine.on_attempt_ended(session.attempts[0])
+    (request,) = engine.requests.values()
+    engine.on_attempt_sent(request.attempts[0])
+    engine.on_attempt_ended(request.attempts[0])
     engine.on_request_closed("job-1")
     dispatcher.acceptor.hand_over.call_args.args[0](connection, True)
     runner.hand_over_in_flight()
@@ -127,12 +127,12 @@
 
 
 def handover_packets() -> dict[str, list[str]]:
-    """The packets of each message, by its name on the channel; a long one takes several."""
+    """The packets of each message, by its type; a long message takes several."""
     with TemporaryDirectory() as folder:
         messages = state_machine_messages() + runner_messages(folder)
     packets = {message["is"]: [packet.decode() for packet in framing.pack(message)] for message in messages}
-    long = framing.pack(
+    long_message = framing.pack(
         {"is": "call", "n": 1, "verb": "cordon", "server": "r" * framing.MAX_PACKET_PAYLOAD_BYTES}
     )
-    packets["call in two packets"] = [packet.decode() for packet in long]
+    packets["call in two packets"] = [packet.decode() for packet in long_message]
     return packets
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -153,7 +153,7 @@
         walk(ast.parse(path.read_text()), "")
     assert found == COROUTINES
     assert sorted(tasks) == [
-        "Adoption._take_up",
+        "Adoption._adopt_descriptor",
         "ConnectionAttempt.__init__",
         "ConnectionPools.open_connection",
         "DiscoveryWatcher._open",
