--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -12,7 +12,7 @@
 from grebestack.admin.commands import Command, CommandResponse, Verb
 from grebestack.core import checkpoint
 from grebestack.hot_restart import messages, state_machine
-from grebestack.hot_restart.ban_file import read_ban_file, write_ban_file
+from grebestack.hot_restart.cordon_file import read_ban_file, write_ban_file
 from grebestack.hot_restart.framing import FrameError
 from grebestack.hot_restart.messages import Message, MessageType
 from grebestack.hot_restart.rendezvous import RendezvousListener
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -18,7 +18,7 @@
 from grebestack.cluster_io.log_store import Files, LogStore, create_log
 from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.consensus.log_format import encode_record
-from grebestack.hot_restart.ban_file import encode_ban_file
+from grebestack.hot_restart.cordon_file import encode_ban_file
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
 from grebestack.jobs.store import DependencyRow, JobStore
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -12,7 +12,7 @@
 from grebestack.cluster_io.config_store import ConfigStore
 from grebestack.cluster_io.log_store import LogStore
 from grebestack.consensus.log_format import read_log
-from grebestack.hot_restart.ban_file import decode_ban_file
+from grebestack.hot_restart.cordon_file import decode_ban_file
 from grebestack.jobs.store import JobStore
 from grebestack.protocol.snapshot import load_lists
 from grebestack.routing.worker_table import WorkerEndpoint
