--- a/grebestack/hot_restart/framing.py
+++ b/grebestack/hot_restart/framing.py
@@ -12,7 +12,7 @@
 
 
 class FrameError(Exception):
-    """A packet, a message or the ban file is malformed; the text says how."""
+    """A packet, a message or the file of cordoned workers is malformed; the text says how."""
 
 
 def pack(message: Message) -> list[bytes]:
--- a/grebestack/program/hot_restart.py
+++ b/grebestack/program/hot_restart.py
@@ -12,7 +12,7 @@
 from grebestack.admin.commands import Command, CommandResponse, Verb
 from grebestack.core import checkpoint
 from grebestack.hot_restart import messages, state_machine
-from grebestack.hot_restart.cordon_file import read_ban_file, write_ban_file
+from grebestack.hot_restart.cordon_file import read_cordon_file, write_cordon_file
 from grebestack.hot_restart.framing import FrameError
 from grebestack.hot_restart.messages import Message, MessageType
 from grebestack.hot_restart.rendezvous import RendezvousListener
@@ -29,7 +29,7 @@
 
 log = logging.getLogger(__name__)
 FOLDER_NAME = "grebestack"  # in $TMPDIR
-BAN_FILE_NAME = "bans"
+CORDON_FILE_NAME = "bans"
 INHERIT_TIMEOUT_S = 2.0  # longest wait for the predecessor's state
 BUSY_TIMEOUT_S = 4.0  # longest wait while the predecessor is in another restart; then both processes serve
 BUSY_RETRY_S = 0.1
@@ -46,7 +46,7 @@
         """Register with the dispatcher's platform API and engine; `folder` is shared by the processes."""
         self.dispatcher, self.loop = dispatcher, dispatcher.loop
         path = os.path.join(folder, FOLDER_NAME)
-        self.ban_file = os.path.join(path, BAN_FILE_NAME)
+        self.cordon_file = os.path.join(path, CORDON_FILE_NAME)
         self.rendezvous = RendezvousListener(self.loop, path)
         self.state_machine = state_machine.HotRestart()
         self.channels = PeerChannels(self.loop, self._on_message, self._on_lost)
@@ -83,7 +83,7 @@
 
         The workers in the file of cordoned workers are cordoned first, before anything can be sent to them.
         """
-        self._read_ban_file()
+        self._read_cordon_file()
         busy_until = self.loop.time() + BUSY_TIMEOUT_S
         while not self.state_machine.has_inherited:
             sock = self.rendezvous.connect()
@@ -302,19 +302,19 @@
     def _execute_locally(self, command: Command) -> CommandResponse:
         response = self.local_operations.execute(command)
         if command.verb.takes_target:
-            self._write_ban_file()
+            self._write_cordon_file()
         return response
 
     # The file of cordoned workers.
 
-    def _read_ban_file(self) -> None:
+    def _read_cordon_file(self) -> None:
         try:
-            cordon_all(self.dispatcher.table, read_ban_file(self.ban_file))
+            cordon_all(self.dispatcher.table, read_cordon_file(self.cordon_file))
         except (FrameError, OSError) as error:
-            log.warning("bans_refused", extra={"kv": {"file": self.ban_file, "why": error}})
+            log.warning("bans_refused", extra={"kv": {"file": self.cordon_file, "why": error}})
 
-    def _write_ban_file(self) -> None:
+    def _write_cordon_file(self) -> None:
         try:
-            write_ban_file(self.ban_file, self.dispatcher.table.cordoned)
+            write_cordon_file(self.cordon_file, self.dispatcher.table.cordoned)
         except OSError as error:
             log.error("bans_unwritten", extra={"kv": {"why": error}})
--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -18,7 +18,7 @@
 from grebestack.cluster_io.log_store import Files, LogStore, create_log
 from grebestack.config_distribution.versions import Version, digest_of
 from grebestack.consensus.log_format import encode_record
-from grebestack.hot_restart.cordon_file import encode_ban_file
+from grebestack.hot_restart.cordon_file import encode_cordon_file
 from grebestack.job_queue.interface import Condition
 from grebestack.jobs.records import Batch, Job, JobState
 from grebestack.jobs.store import DependencyRow, JobStore
@@ -143,7 +143,7 @@
             "configuration": asyncio.run(_version_files(folders["configuration"])),
             "audit": _audit_files(folders["audit"]),
             "snapshot": contents_of(folders["snapshot"]),
-            "bans": {"some": encode_ban_file(BANS).hex(), "none": encode_ban_file(set()).hex()},
+            "bans": {"some": encode_cordon_file(BANS).hex(), "none": encode_cordon_file(set()).hex()},
             "frame": {
                 "first": encode_record(1, b"payload").hex(),
                 "last": encode_record((1 << 64) - 1, b"").hex(),
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -12,7 +12,7 @@
 from grebestack.cluster_io.config_store import ConfigStore
 from grebestack.cluster_io.log_store import LogStore
 from grebestack.consensus.log_format import read_log
-from grebestack.hot_restart.cordon_file import decode_ban_file
+from grebestack.hot_restart.cordon_file import decode_cordon_file
 from grebestack.jobs.store import JobStore
 from grebestack.protocol.snapshot import load_lists
 from grebestack.routing.worker_table import WorkerEndpoint
@@ -90,8 +90,8 @@
 
 def test_the_golden_file_of_bans_is_read() -> None:
     golden = load_golden(FILES)["bans"]
-    assert decode_ban_file(bytes.fromhex(golden["some"])) == BANS
-    assert decode_ban_file(bytes.fromhex(golden["none"])) == set()
+    assert decode_cordon_file(bytes.fromhex(golden["some"])) == BANS
+    assert decode_cordon_file(bytes.fromhex(golden["none"])) == set()
 
 
 def test_a_golden_snapshot_of_servers_is_read(tmp_path: Path) -> None:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -181,12 +181,12 @@
 
 @given(st.sets(st.text(max_size=20), max_size=5), st.data())
 def test_a_truncated_or_foreign_file_is_refused(cordoned: set[str], data: st.DataObject) -> None:
-    encoded = cordon_file.encode_ban_file(cordoned)
-    assert cordon_file.decode_ban_file(encoded) == cordoned
+    encoded = cordon_file.encode_cordon_file(cordoned)
+    assert cordon_file.decode_cordon_file(encoded) == cordoned
     length = data.draw(st.integers(0, len(encoded) - 2))
     for broken in (encoded[:length], b"{}", encoded.replace(b'"version":1', b'"version":2')):
         with pytest.raises(framing.FrameError):
-            cordon_file.decode_ban_file(broken)
+            cordon_file.decode_cordon_file(broken)
 
 
 def test_long_messages_are_split_into_packets_and_foreign_packets_are_refused() -> None:
