--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -289,7 +289,7 @@
 def start_with_running_request(
     testbed: DispatcherTestbed, call_id: str
 ) -> tuple[WorkerStandIn, Callable[[], Response]]:
-    """Start a process with a request that runs until `WorkerStandIn.call_back`; the worker, and the answer."""
+    """Start a process with a request that runs until `WorkerStandIn.call_back`; the worker and the answer."""
     worker = testbed.add_worker("s-1", seconds=60.0)
     admin = testbed.start_on_shared_socket()
     wait_until(lambda: reports_ready(admin))
