--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -124,9 +124,9 @@
             both = (self._pump(reader, far_writer, (a, b)), self._pump(far_reader, writer, (b, a)))
             with contextlib.suppress(OSError):
                 await asyncio.gather(*both)
-            for one in (writer, far_writer):
-                one.transport.abort()
-                self.writers[a, b].discard(one)
+            for end in (writer, far_writer):
+                end.transport.abort()
+                self.writers[a, b].discard(end)
 
         server = self.run(asyncio.start_server(accept, "127.0.0.1", 0))
         return int(server.sockets[0].getsockname()[1])
@@ -384,7 +384,9 @@
         for export in self.exports:
             owner = holders.get((export.task, export.token))
             if owner is not None and owner[0] != export.holder:
-                yield f"token {export.token} of {export.task} is {owner[0]}'s, {export.holder} acted with it"
+                yield (
+                    f"token {export.token} of {export.task} is {owner[0]}'s, {export.holder} exported with it"
+                )
             if export.accepted and export.token < highest.get(export.task, 0):
                 yield f"a stale act was accepted: {export}"
             highest[export.task] = max(export.token, highest.get(export.task, 0))
@@ -519,9 +521,9 @@
             report(
                 f"{fault.start_s:7.2f} {fault.kind} {fault.member} {fault.other} for {fault.duration_s:.2f}"
             )
-            over = self._begin(fault)
-            if over is not None:
-                pending.append((time.monotonic() + fault.duration_s, over))
+            end_fault = self._begin(fault)
+            if end_fault is not None:
+                pending.append((time.monotonic() + fault.duration_s, end_fault))
         self._end_faults_until(float("inf"), pending)
         return self.result
 
@@ -560,20 +562,20 @@
             member, fault, affected
         )
 
-        def over() -> None:
+        def end_fault() -> None:
             end()
             self.affected -= affected
 
-        return over
+        return end_fault
 
     def _directions(self, member: str) -> list[LinkDirection]:
         return [direction for pair, direction in self.cluster.proxy.directions.items() if member in pair]
 
     def _kill(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
-        held = tuple(task for task, holder in self.cluster.holders().items() if holder == member)
+        tasks = tuple(task for task, holder in self.cluster.holders().items() if holder == member)
         self.cluster.signal(member, signal.SIGKILL)
         if "holder" in fault.kind:
-            self.result.kills.append((time.monotonic(), held))
+            self.result.kills.append((time.monotonic(), tasks))
         return lambda: self.cluster.start(member)
 
     def _terminate(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
@@ -611,11 +613,11 @@
             [direction for pair, direction in self.cluster.proxy.directions.items() if set(pair) & affected]
         )
 
-        def over() -> None:
+        def end_fault() -> None:
             heal()
             self.result.heals.append(time.monotonic())
 
-        return over
+        return end_fault
 
     def _delay(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         return self._set(self._directions(member), "delay_s", 0.15, 0.0)
@@ -627,11 +629,11 @@
         for direction in directions:
             setattr(direction, name, value)
 
-        def over() -> None:
+        def end_fault() -> None:
             for direction in directions:
                 setattr(direction, name, former)
 
-        return over
+        return end_fault
 
     def _reset(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         self.cluster.proxy.reset(member, fault.other)
@@ -662,20 +664,20 @@
         old = disk.with_name("old")
         shutil.copytree(disk, old, dirs_exist_ok=True)
 
-        def over() -> None:
+        def end_fault() -> None:
             self.cluster.signal(member, signal.SIGKILL)
             shutil.rmtree(disk)
             old.rename(disk)
             self.cluster.start(member)
 
-        return over
+        return end_fault
 
     def _disk_lies(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         logs = self.cluster.register_logs(member)
         honest = logs[-1].stat().st_size if logs else 0
         self.cluster.set_disk_faults(member, lie=True)
 
-        def over() -> None:
+        def end_fault() -> None:
             self.cluster.signal(member, signal.SIGKILL)
             logs = self.cluster.register_logs(member)
             if logs and logs[-1].stat().st_size > honest:
@@ -683,7 +685,7 @@
             self.cluster.set_disk_faults(member)
             self.cluster.start(member)
 
-        return over
+        return end_fault
 
     def _bit_flipped(self, member: str, fault: Fault, affected: Any) -> Callable[[], None]:
         self.cluster.signal(member, signal.SIGKILL)
--- a/tests/follower_cluster.py
+++ b/tests/follower_cluster.py
@@ -106,11 +106,11 @@
         for version in self.applied:
             proposed = self.proposed.get(version.digest)
             if proposed is None:
-                yield f"never asked for: {version}"
+                yield f"never proposed: {version}"
             elif (version.settings, version.servers) != (proposed.settings, proposed.servers):
-                yield f"half in force: {version}, asked for {proposed}"
+                yield f"mixed contents: {version}, proposed {proposed}"
             elif version.at < proposed.at:
-                yield f"in force before it was asked for: {version}"
+                yield f"applied before it was proposed: {version}"
 
     def _undecided(self) -> Iterable[str]:
         """A number has one digest; no new number appears while no majority can decide."""
@@ -118,7 +118,7 @@
         for version in sorted(self.applied):
             earliest = first.setdefault(version.number, version)
             if earliest.digest != version.digest:
-                yield f"two of one number: {earliest} and {version}"
+                yield f"two versions with one number: {earliest} and {version}"
             if earliest is version and any(
                 start <= version.at <= end for start, end in self.without_majority
             ):
@@ -241,7 +241,7 @@
     def propose(self, name: str, data: bytes) -> str:
         """Propose contents at the admin server of a process; return its response."""
         self.proposal_count += 1
-        path = self.folder / f"asked-{self.proposal_count}.toml"
+        path = self.folder / f"proposed-{self.proposal_count}.toml"
         path.write_bytes(data)
         self.record_proposal(data)
         try:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -326,9 +326,9 @@
         self.discovery.revision += 1
         return self.workers[-1]
 
-    def set_state(self, runner: WorkerStandIn, state: str) -> None:
+    def set_state(self, worker: WorkerStandIn, state: str) -> None:
         """Have discovery report a new state of a worker."""
-        runner.state = state
+        worker.state = state
         self.discovery.revision += 1
 
     def start(self) -> Address:
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -179,7 +179,7 @@
         ([], [LeasePeriod("t", "a", 2, 2, 2.9, 5.0)], [], "overlap"),
         ([], [LeasePeriod("t", "b", 1, 1, 7.0, 8.0)], [], "token 1 of t was held by"),
         ([ReceivedExport(3.4, "t", "a", 1, True)], [], [], "a stale act was accepted"),
-        ([ReceivedExport(3.4, "t", "b", 1, False)], [], [], "token 1 of t is a's, b acted with it"),
+        ([ReceivedExport(3.4, "t", "b", 1, False)], [], [], "token 1 of t is a's, b exported with it"),
         ([], [], [RegisterChange("task/t", 3.0, 3.2, "a/1/1/2", "c/1/2/1")], "two changes of"),
         ([], [], [RegisterChange("task/t", 3.5, 3.6, "a/1/1/2", "a/1/1/2")], "met an older value"),
     ],
--- a/tests/test_follower_checker.py
+++ b/tests/test_follower_checker.py
@@ -57,11 +57,11 @@
     [
         (add(AppliedVersion(3000.0, "f0", 1, 1, "d1", "s1", "l1")), "back: "),
         (change(4, number=1, digest="d1", settings="s1"), "back: "),
-        (change(1, settings="s2"), "half in force: "),
-        (change(3, servers="l2"), "half in force: "),
-        (add(AppliedVersion(7000.0, "m0", 1, 3, "d3", "s2", "l1")), "never asked for: "),
-        (change(0, at=900.0), "in force before it was asked"),
-        (change(1, digest="d2", settings="s2", at=2010.0), "two of one number: "),
+        (change(1, settings="s2"), "mixed contents: "),
+        (change(3, servers="l2"), "mixed contents: "),
+        (add(AppliedVersion(7000.0, "m0", 1, 3, "d3", "s2", "l1")), "never proposed: "),
+        (change(0, at=900.0), "applied before it was proposed"),
+        (change(1, digest="d2", settings="s2", at=2010.0), "two versions with one number: "),
         (add(AppliedVersion(5500.0, "m0", 1, 3, "d2", "s2", "l1")), "without a majority: "),
         (
             combined(change(3, at=2051.0 + MAX_PROPAGATION_MS), change(4, at=2052.0 + MAX_PROPAGATION_MS)),
--- a/tests/test_follower_cluster.py
+++ b/tests/test_follower_cluster.py
@@ -422,7 +422,7 @@
                 }.get(kind, cluster.relays)
             )
             proposer = rng.choice([voter for voter in cluster.voters if voter != name])
-            print(f"{turn}: {kind} {name}, asked for at {proposer}")
+            print(f"{turn}: {kind} {name}, proposed at {proposer}")
             restore = cluster.save_disk(name) if kind == "old disk" else lambda: None
             reached = others(cluster, name)
             with contextlib.ExitStack() as cleanup:
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -54,26 +54,26 @@
     write_golden(tmp_path, "member", state)
     loop = asyncio.new_event_loop()
     store = LogStore(loop, str(tmp_path), lambda last: None, lambda why: None)
-    held = store.open()
+    opened = store.open()
     store.close()
     loop.close()
     payloads = tuple(encode_record_sample(record) for record in RECORDS.values())
     expected = {"founded": payloads[:2], "one more record": payloads[:3], "begun anew": payloads[3:]}
-    assert held.fault == ""
-    assert held.payloads == expected[state]
+    assert opened.fault == ""
+    assert opened.payloads == expected[state]
 
 
 def test_a_golden_configuration_is_read(tmp_path: Path) -> None:
     write_golden(tmp_path, "configuration")
     loop = asyncio.new_event_loop()
     contents = ConfigStore(loop, str(tmp_path), "fleet-a")
-    held = contents.open()
+    opened = contents.open()
     contents.close()
     loop.close()
-    assert held.corrupt_files == ()
-    assert held.versions == ((OLD_VERSION, OLD_CONTENTS), (VERSION, CONTENTS))
-    assert list(held.undecided.values()) == [b"kept"]
-    assert held.incarnation == INCARNATION + 2
+    assert opened.corrupt_files == ()
+    assert opened.versions == ((OLD_VERSION, OLD_CONTENTS), (VERSION, CONTENTS))
+    assert list(opened.undecided.values()) == [b"kept"]
+    assert opened.incarnation == INCARNATION + 2
 
 
 def test_golden_segments_of_the_audit_are_read() -> None:
