--- a/benchmarks/alone.py
+++ b/benchmarks/alone.py
@@ -19,7 +19,7 @@
 
 import uvloop
 from flood import Peer, Runner
-from harness import conclude, percentile
+from harness import percentile, print_figures
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
@@ -167,7 +167,7 @@
     options = parser.parse_args()
     figures = uvloop.run(measure(options.quick, options.seed))
     figures["idle_core_share"] = idle(8.0 if options.quick else 60.0)
-    return conclude(figures, AIMS)
+    return print_figures(figures, AIMS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -1,4 +1,4 @@
-"""Counts the logs of many dispatchers together, second by second: what is harmless in one may not be in all.
+"""Sums the logs of many dispatchers, second by second: what is harmless in one may not be in all.
 
     .venv/bin/python benchmarks/fleet_counts.py FOLDER [--slots 8]
     .venv/bin/python benchmarks/fleet_counts.py [--quick] [--seed N]
@@ -17,7 +17,7 @@
 from datetime import datetime
 from pathlib import Path
 
-from harness import Fleet, Machines, SimClock, conclude
+from harness import Fleet, SimClock, SimWorkers, print_figures
 
 from grebestack.core import api
 
@@ -38,14 +38,14 @@
 )
 
 
-class Counts:
+class TrafficTotals:
     """Sums over the fleet, by second."""
 
     def __init__(self) -> None:
         self.seconds: dict[int, Counter[str]] = defaultdict(Counter)
-        self.out: dict[int, Counter[str]] = defaultdict(Counter)  # jobs at each server
+        self.open_jobs: dict[int, Counter[str]] = defaultdict(Counter)  # jobs at each server
 
-    def line(self, text: str) -> None:
+    def add_line(self, text: str) -> None:
         """Take one line of a log; others than tallies are passed over."""
         if "event=tally" not in text:
             return
@@ -56,16 +56,16 @@
         if "out" in pairs:
             for part in pairs["out"].split(","):
                 server, _, number = part.rpartition(":")
-                self.out[second][server] += int(number)
+                self.open_jobs[second][server] += int(number)
 
-    def table(self, slots: int) -> dict[str, float]:
+    def print_table(self, slots: int) -> dict[str, float]:
         """Print a row a second; returns the figures of the whole."""
         if not self.seconds:
             raise SystemExit("no line of event=tally in these logs")
         first = min(self.seconds)
         print("second " + " ".join(f"{name[:10]:>10}" for name in SHOWN) + "    busiest runners   over slots")
         for second in sorted(self.seconds):
-            row, out = self.seconds[second], self.out[second]
+            row, out = self.seconds[second], self.open_jobs[second]
             top = ",".join(str(number) for _, number in out.most_common(4))
             over = sum(max(0, number - slots) for number in out.values())
             cells = " ".join(f"{row[name]:>10}" for name in SHOWN)
@@ -74,7 +74,7 @@
         return {
             "sessions": total["sessions"],
             "dispatches_each": total["dispatches"] / max(1, total["sessions"]),
-            "most_at_a_runner": max((max(out.values()) for out in self.out.values() if out), default=0),
+            "most_at_a_runner": max((max(out.values()) for out in self.open_jobs.values() if out), default=0),
             "most_list_calls_s": max(row["list_calls"] for row in self.seconds.values()),
             "most_not_up_s": max(row["not_up"] for row in self.seconds.values()),
         }
@@ -83,7 +83,7 @@
 def played(seed: int, seconds: float) -> dict[str, float]:
     """The figures of a simulated fleet of which six runners in ten are replaced."""
     clock = SimClock()
-    machines = Machines(clock, seed, 30, 8, lambda d, r: r.uniform(300.0, 900.0), 3)
+    machines = SimWorkers(clock, seed, 30, 8, lambda d, r: r.uniform(300.0, 900.0), 3)
     order = api.JobClass(
         "order", 600, 8000, api.Effect.NOT_IDEMPOTENT, priority_weight=5, objective_stretch=2.5
     )
@@ -99,21 +99,21 @@
         tick_ms=5.0,
     )
     fleet = Fleet(clock, settings, 24, machines, seed, 3)
-    fleet.load(260.0, clock.now + seconds * 1000.0)
+    fleet.start_load(260.0, clock.now + seconds * 1000.0)
     peak, until = 0.0, clock.now + seconds * 1000.0
     while clock.now < until + 9000.0:
-        clock.go_on(clock.now + 200.0)
-        peak = max(peak, *(machines.held(name) for name in machines.free))
+        clock.advance_to(clock.now + 200.0)
+        peak = max(peak, *(machines.used_slots(name) for name in machines.free_slots))
         for n in range(18):
-            if f"s-{n}" in machines.zone and clock.now > 3000.0 + 300.0 * n:
+            if f"s-{n}" in machines.zones and clock.now > 3000.0 + 300.0 * n:
                 machines.replace(f"s-{n}")
-    ends = fleet.counting.ends
+    ends = fleet.listener.outcome_counts
     return {
-        "sessions": fleet.number,
-        "unanswered": fleet.number - ends.total(),
-        "in_time": (ends["served"] - fleet.counting.late) / fleet.number,
+        "sessions": fleet.request_count,
+        "unanswered": fleet.request_count - ends.total(),
+        "in_time": (ends["served"] - fleet.listener.late_count) / fleet.request_count,
         "most_at_a_runner": peak,
-        "dispatches_each": len(machines.arrivals) / fleet.number,
+        "dispatches_each": len(machines.arrivals) / fleet.request_count,
     }
 
 
@@ -134,13 +134,13 @@
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     if options.folder is None:
-        return conclude(played(options.seed, 14.0 if options.quick else 60.0), AIMS)
-    counts = Counts()
+        return print_figures(played(options.seed, 14.0 if options.quick else 60.0), AIMS)
+    counts = TrafficTotals()
     for path in sorted(options.folder.glob("*.log")):
         with path.open(errors="replace") as lines:
             for text in lines:
-                counts.line(text)
-    return conclude(counts.table(options.slots), {})
+                counts.add_line(text)
+    return print_figures(counts.print_table(options.slots), {})
 
 
 if __name__ == "__main__":
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from harness import conclude, percentile
+from harness import percentile, print_figures
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from tests.ports import reserved_port  # noqa: E402
@@ -314,4 +314,4 @@
     parser.add_argument("--seconds", type=float, default=600.0)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    sys.exit(conclude(measure(options.seed, options.seconds), AIMS))
+    sys.exit(print_figures(measure(options.seed, options.seconds), AIMS))
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -51,7 +51,7 @@
         heapq.heappush(self.calls, (max(at_ms, self.now), self.count, timer))
         return timer
 
-    def go_on(self, until_ms: float) -> None:
+    def advance_to(self, until_ms: float) -> None:
         """Make all calls that are due until then."""
         while self.calls and self.calls[0][0] <= until_ms:
             at, _, timer = heapq.heappop(self.calls)
@@ -61,11 +61,11 @@
         self.now = max(self.now, until_ms)
 
 
-class Machines:
+class SimWorkers:
     """Servers with slots and a queue of what does not fit; each end carries a report of free slots.
 
     A report is refreshed every 700 ms, as an agent on the machine would. The way to a server takes 1 ms.
-    Several dispatchers may share them, each by a `SimServers` of its own.
+    Several dispatchers may share them, each by a `SimWorkersAdapter` of its own.
     """
 
     REFRESH_MS = 700.0
@@ -83,79 +83,79 @@
     ) -> None:
         self.clock, self.slots, self.run_ms = clock, slots, run_ms
         self.random = random.Random(seed)
-        self.free: dict[str, float] = {}
-        self.shown: dict[str, float] = {}
-        self.queues: dict[str, list[tuple[SimServers, Attempt]]] = {}
-        self.zone: dict[str, int] = {}
-        self.started: dict[str, float] = {}  # when a server came up; those of long ago are not named
-        self.silent: set[str] = set()  # cut off: nothing comes up, nothing comes back
+        self.free_slots: dict[str, float] = {}
+        self.reported_slots: dict[str, float] = {}
+        self.queues: dict[str, list[tuple[SimWorkersAdapter, Attempt]]] = {}
+        self.zones: dict[str, int] = {}
+        self.started_ms: dict[str, float] = {}  # when a server came up; those of long ago are not named
+        self.unreachable: set[str] = set()  # cut off: nothing comes up, nothing comes back
         self.failing: set[str] = set()  # each job fails at once
-        self.runs: dict[str, int] = {}
+        self.run_counts: dict[str, int] = {}
         self.arrivals: list[tuple[float, str, float]] = []  # when, at which server, how many slots
-        self.tried: list[tuple[float, str]] = []  # sends to silent servers
+        self.failed_connects: list[tuple[float, str]] = []  # sends to silent servers
         self.busy_ms = 0.0
         for n in range(count):
             self.add(f"s-{n}", n % zones)
 
     def add(self, name: str, zone: int = 0, started_ms: float | None = None) -> None:
         """One more server, warm unless it has just started."""
-        self.free[name] = self.shown[name] = float(self.slots)
-        self.queues[name], self.zone[name] = [], zone
+        self.free_slots[name] = self.reported_slots[name] = float(self.slots)
+        self.queues[name], self.zones[name] = [], zone
         if started_ms is not None:
-            self.started[name] = started_ms
+            self.started_ms[name] = started_ms
         first_ms = self.clock.now + self.random.uniform(0, self.REFRESH_MS)
         self.clock.call_at(first_ms, partial(self._show, name))
 
     def remove(self, name: str) -> None:
         """Take a server from the list; what it has runs to its end."""
-        del self.zone[name]
+        del self.zones[name]
 
     def replace(self, name: str) -> None:
         """A new machine, in the same zone, comes for an old one."""
-        self.add(f"{name}-new", self.zone[name], self.clock.now)
+        self.add(f"{name}-new", self.zones[name], self.clock.now)
         self.remove(name)
 
-    def held(self, name: str) -> float:
+    def used_slots(self, name: str) -> float:
         """Slots of what a server runs and keeps waiting."""
         waiting = sum(dispatch.request.arrival.slots for _, dispatch in self.queues[name])
-        return self.slots - self.free[name] + waiting
+        return self.slots - self.free_slots[name] + waiting
 
-    def warmth(self, name: str, settings: api.Settings, at_ms: float) -> float:
+    def speed_share(self, name: str, settings: api.Settings, at_ms: float) -> float:
         """The part of its speed that a server has at a time."""
-        if name not in self.started:
+        if name not in self.started_ms:
             return 1.0
-        age = (at_ms - self.started[name]) / max(1.0, settings.slow_start_ms)
+        age = (at_ms - self.started_ms[name]) / max(1.0, settings.slow_start_ms)
         return min(1.0, settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * age)
 
-    def entries(self) -> tuple[WorkerEndpoint, ...]:
+    def endpoints(self) -> tuple[WorkerEndpoint, ...]:
         """The list of them, with weights that fall the more a server holds."""
         return tuple(
             WorkerEndpoint(
                 WorkerEntry(
                     name,
                     zone,
-                    weight=self.slots / (1.0 + self.held(name) / self.slots),
-                    started_ms=self.started.get(name),
+                    weight=self.slots / (1.0 + self.used_slots(name) / self.slots),
+                    started_ms=self.started_ms.get(name),
                 ),
                 ("127.0.0.1", 1),
             )
-            for name, zone in self.zone.items()
+            for name, zone in self.zones.items()
         )
 
     def _show(self, name: str) -> None:
-        self.shown[name] = self.free[name]
+        self.reported_slots[name] = self.free_slots[name]
         self.clock.call_at(self.clock.now + self.REFRESH_MS, lambda: self._show(name))
 
-    def send(self, port: SimServers, dispatch: Attempt) -> None:
+    def send(self, port: SimWorkersAdapter, dispatch: Attempt) -> None:
         """A dispatch is on its way."""
-        if dispatch.worker in self.silent:
-            self.tried.append((self.clock.now, dispatch.worker))
+        if dispatch.worker in self.unreachable:
+            self.failed_connects.append((self.clock.now, dispatch.worker))
             call = partial(port.engine.finish_attempt, dispatch, Outcome.CONNECT_FAILED)
             self.clock.call_at(self.clock.now + self.CONNECT_MS, call)
         else:
             self.clock.call_at(self.clock.now + self.WIRE_MS, lambda: self._arrive(port, dispatch))
 
-    def _arrive(self, port: SimServers, dispatch: Attempt) -> None:
+    def _arrive(self, port: SimWorkersAdapter, dispatch: Attempt) -> None:
         if not port.engine.confirm_send(dispatch):
             port.engine.finish_attempt(dispatch, Outcome.CONNECT_FAILED)
             return
@@ -163,47 +163,47 @@
         asked = dispatch.request.arrival
         self.arrivals.append((self.clock.now, dispatch.worker, asked.slots))
         if dispatch.worker in self.failing:
-            self._answer(port, dispatch, Outcome.ERROR)
+            self._send_response(port, dispatch, Outcome.ERROR)
             return
         self.queues[dispatch.worker].append((port, dispatch))
-        self._begin(dispatch.worker)
+        self._start_queued(dispatch.worker)
 
-    def _begin(self, name: str) -> None:
+    def _start_queued(self, name: str) -> None:
         queue = self.queues[name]
-        while queue and self.free[name] >= queue[0][1].request.arrival.slots:
+        while queue and self.free_slots[name] >= queue[0][1].request.arrival.slots:
             port, dispatch = queue.pop(0)
-            self.free[name] -= dispatch.request.arrival.slots
+            self.free_slots[name] -= dispatch.request.arrival.slots
             call_id = dispatch.request.call_id
-            self.runs[call_id] = self.runs.get(call_id, 0) + 1
+            self.run_counts[call_id] = self.run_counts.get(call_id, 0) + 1
             took = self.run_ms(dispatch, self.random)
             self.busy_ms += took * dispatch.request.arrival.slots
-            took /= self.warmth(name, port.engine.settings, self.clock.now)
+            took /= self.speed_share(name, port.engine.settings, self.clock.now)
             self.clock.call_at(self.clock.now + took, partial(self._end, port, dispatch))
 
-    def _end(self, port: SimServers, dispatch: Attempt) -> None:
+    def _end(self, port: SimWorkersAdapter, dispatch: Attempt) -> None:
         name = dispatch.worker
-        self.free[name] += dispatch.request.arrival.slots
-        if name not in self.silent:
-            self._answer(port, dispatch, Outcome.OK)
-        self._begin(name)
+        self.free_slots[name] += dispatch.request.arrival.slots
+        if name not in self.unreachable:
+            self._send_response(port, dispatch, Outcome.OK)
+        self._start_queued(name)
 
-    def _answer(self, port: SimServers, dispatch: Attempt, outcome: Outcome) -> None:
-        report = {"free_slots": self.shown[dispatch.worker]}
+    def _send_response(self, port: SimWorkersAdapter, dispatch: Attempt, outcome: Outcome) -> None:
+        report = {"free_slots": self.reported_slots[dispatch.worker]}
         self.clock.call_at(
             self.clock.now + self.WIRE_MS,
             lambda: port.engine.finish_attempt(dispatch, outcome, report, b"done"),
         )
 
-    def drop(self, port: SimServers, dispatch: Attempt) -> None:
+    def drop(self, port: SimWorkersAdapter, dispatch: Attempt) -> None:
         """What waits is dropped; what runs goes on."""
         if (port, dispatch) in self.queues[dispatch.worker]:
             self.queues[dispatch.worker].remove((port, dispatch))
 
 
-class SimServers:
+class SimWorkersAdapter:
     """One engine's way to the machines."""
 
-    def __init__(self, engine: Engine, machines: Machines) -> None:
+    def __init__(self, engine: Engine, machines: SimWorkers) -> None:
         self.engine, self.machines = engine, machines
 
     def send_attempt(self, dispatch: Attempt) -> None:
@@ -233,12 +233,12 @@
         return True
 
 
-class Counting:
+class CountingListener:
     """A frontend that counts its sessions' ends over a fleet."""
 
     def __init__(self, clock: SimClock) -> None:
-        self.clock, self.ends, self.late = clock, Counter[str](), 0
-        self.arrived: dict[str, float] = {}
+        self.clock, self.outcome_counts, self.late_count = clock, Counter[str](), 0
+        self.arrived_ms: dict[str, float] = {}
 
     def before_send(self, dispatch: Attempt) -> bool:
         """Whatever the module sends may go."""
@@ -249,16 +249,16 @@
 
     def on_served(self, session: Request, result: bytes) -> None:
         """One final answer."""
-        self.ends["served"] += 1
-        self.late += self.clock.now - self.arrived[session.call_id] > 2000.0
+        self.outcome_counts["served"] += 1
+        self.late_count += self.clock.now - self.arrived_ms[session.call_id] > 2000.0
 
     def on_rejected(self, session: Request, retry_after_ms: float | None) -> None:
         """One final answer."""
-        self.ends["denied"] += 1
+        self.outcome_counts["denied"] += 1
 
     def on_failed(self, session: Request) -> None:
         """One final answer."""
-        self.ends["failed"] += 1
+        self.outcome_counts["failed"] += 1
 
     on_cancelled = on_failed
 
@@ -273,41 +273,41 @@
     LIST_LAG_MS = 400.0
 
     def __init__(
-        self, clock: SimClock, settings: api.Settings, count: int, machines: Machines, seed: int, zones: int
+        self, clock: SimClock, settings: api.Settings, count: int, machines: SimWorkers, seed: int, zones: int
     ) -> None:
         self.clock, self.machines, self.random = clock, machines, random.Random(seed)
-        self.counting, self.number = Counting(clock), 0
+        self.listener, self.request_count = CountingListener(clock), 0
         self.engines: list[Engine] = []
         for n in range(count):
             settings = replace(settings, dispatcher=n, dispatcher_count=count, zone=n % zones)
-            self.engines.append(engine_on(clock, settings, seed * 1000 + n))
-            self.engines[-1].workers = SimServers(self.engines[-1], machines)
-            self.engines[-1].table.update(ListKind.FULL, machines.entries())
+            self.engines.append(create_engine(clock, settings, seed * 1000 + n))
+            self.engines[-1].workers = SimWorkersAdapter(self.engines[-1], machines)
+            self.engines[-1].table.update(ListKind.FULL, machines.endpoints())
             self._later(n)
 
     def _later(self, n: int) -> None:
         self.clock.call_at(self.clock.now + self.random.uniform(*self.LIST_MS), lambda: self._list(n))
 
     def _list(self, n: int) -> None:
-        entries = self.machines.entries()
+        entries = self.machines.endpoints()
         table = self.engines[n].table
         told = partial(table.update, ListKind.FULL, entries)
         self.clock.call_at(self.clock.now + self.LIST_LAG_MS, told)
         self._later(n)
 
-    def ask(self, engine: Engine, job_class: int = 0) -> None:
+    def open_request(self, engine: Engine, job_class: int = 0) -> None:
         """A session comes to one dispatcher."""
-        self.number += 1
-        call_id = f"c-{self.number}"
-        self.counting.arrived[call_id] = self.clock.now
+        self.request_count += 1
+        call_id = f"c-{self.request_count}"
+        self.listener.arrived_ms[call_id] = self.clock.now
         deadline_ms = self.clock.now + engine.settings.classes[job_class].deadline_ms
-        engine.open_request(self.counting, call_id, Payload(b"", b""), job_class, deadline_ms)
+        engine.open_request(self.listener, call_id, Payload(b"", b""), job_class, deadline_ms)
 
-    def load(self, per_s: float, until_ms: float, classes: int = 1) -> None:
+    def start_load(self, per_s: float, until_ms: float, classes: int = 1) -> None:
         """Sessions come at random, spread over the dispatchers, up to then."""
 
         def come() -> None:
-            self.ask(self.random.choice(self.engines), self.random.randrange(classes))
+            self.open_request(self.random.choice(self.engines), self.random.randrange(classes))
             nearer = self.clock.now + self.random.expovariate(per_s / 1000.0)
             if nearer < until_ms:
                 self.clock.call_at(nearer, come)
@@ -315,7 +315,7 @@
         self.clock.call_at(self.clock.now, come)
 
 
-def engine_on(clock: Any, settings: api.Settings, seed: int) -> Engine:
+def create_engine(clock: Any, settings: api.Settings, seed: int) -> Engine:
     """An engine with an empty server table."""
     return Engine(settings, seed, clock, WorkerTable())
 
@@ -332,7 +332,7 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
-def conclude(figures: Mapping[str, float], aims: Mapping[str, tuple[str, float]]) -> int:
+def print_figures(figures: Mapping[str, float], aims: Mapping[str, tuple[str, float]]) -> int:
     """Print the figures with the aim beside each as one line of JSON; 1 if an aim is missed."""
     line: dict[str, Any] = {}
     missed = []
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -15,7 +15,7 @@
 import time
 from pathlib import Path
 
-from harness import conclude, percentile
+from harness import percentile, print_figures
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
@@ -97,7 +97,7 @@
         "after_heal_max_s": max(healed, default=0.0),
         "members_back": float(back),
     }
-    return conclude(figures, AIMS)
+    return print_figures(figures, AIMS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -25,7 +25,7 @@
 
 import uvloop
 from flood import FILE, Peer, read_message, ready
-from harness import conclude, percentile
+from harness import percentile, print_figures
 
 from grebestack.consul.agents import AgentSelector, AgentSettings
 from grebestack.consul.instances import InstanceReader, ReaderOptions
@@ -248,7 +248,7 @@
         """It is answered by the measurement."""
 
 
-class Fleet:
+class ConsulFleet:
     """A service of many instances, read from an agent's answers into a server table."""
 
     def __init__(self, count: int) -> None:
@@ -273,7 +273,7 @@
         self.raw = [json.dumps(line(f"s-{n}", 1 + n)).encode() for n in range(count)]
         self.index, self.longest_ms = 1, 0.0
 
-    def answer(self, changed: list[int], status: str) -> float:
+    def apply_answer(self, changed: list[int], status: str) -> float:
         """An answer in which some have changed; the CPU that it costs, in ms."""
         for n in changed:
             self.raw[n] = json.dumps(line(f"s-{n}", 1 + n, status)).encode()
@@ -309,14 +309,15 @@
     """What answers of 1,000 and 10,000 instances cost, with one changed and with 1% changed."""
     source, one, change = random.Random(seed), {}, {}
     for count in (1000, 10_000):
-        made = Fleet(count)
-        made.answer([], "passing")
+        made = ConsulFleet(count)
+        made.apply_answer([], "passing")
         assert len(made.engine.table.workers) == count
         made.longest_ms = 0.0
         gc.collect()
         gc.freeze()
         costs = [
-            made.answer([source.randrange(count)], ("critical", "passing")[n % 2]) for n in range(rounds)
+            made.apply_answer([source.randrange(count)], ("critical", "passing")[n % 2])
+            for n in range(rounds)
         ]
         one[count] = percentile(costs, 0.5)
         change[count] = min(made.change(200) for _ in range(3))
@@ -325,7 +326,7 @@
     churn = []
     for n in range(rounds):
         changed = source.sample(range(10_000), 100)
-        churn.append(made.answer(changed, ("critical", "passing")[n % 2]))
+        churn.append(made.apply_answer(changed, ("critical", "passing")[n % 2]))
     cost = sum(churn) / rounds
     rests = AgentSettings((("127.0.0.1", 1),))
     pause = max(rests.min_interval_ms, min(rests.max_pause_ms, rests.pause_per_read_time * cost))
@@ -362,7 +363,7 @@
     figures = fleet(options.seed, 10 if options.quick else 60)
     figures["herd_share_in_a_tenth"] = herd(options.seed)
     figures |= uvloop.run(flips(100 if options.quick else 200, options.seed))
-    return conclude(figures, AIMS)
+    return print_figures(figures, AIMS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -26,7 +26,7 @@
 
 import uvloop
 from flood import Peer, Runner
-from harness import conclude, percentile
+from harness import percentile, print_figures
 
 from tests.ports import reserved_port
 
@@ -322,7 +322,7 @@
     parser.add_argument("--quick", action="store_true", help="45 s at the most")
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    return conclude(uvloop.run(measure(options.quick, options.seed)), AIMS)
+    return print_figures(uvloop.run(measure(options.quick, options.seed)), AIMS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from harness import conclude
+from harness import print_figures
 
 HERE = Path(__file__).resolve().parent
 sys.path.insert(0, str(HERE.parent))
@@ -102,7 +102,7 @@
     late: Any = figures["late_sizes"]
     sizes: Any = figures["sizes"]
     line = {"fit_error": error, "late_sizes": float(len(late)), "sizes": float(len(sizes))}
-    return conclude(line, {"fit_error": ("<=", FIT_ERROR), "late_sizes": ("<=", 0.0)})
+    return print_figures(line, {"fit_error": ("<=", FIT_ERROR), "late_sizes": ("<=", 0.0)})
 
 
 def of_taking() -> int:
@@ -113,7 +113,7 @@
     at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime())
     write("taking.json", {"at": at, "machine": machine(), **figures})
     line = {"fit_error": figures["cpu_ms"]["error"], "ms_at_560": figures["points"][-1][1]}
-    return conclude(line, {"fit_error": ("<=", FIT_ERROR)})
+    return print_figures(line, {"fit_error": ("<=", FIT_ERROR)})
 
 
 def in_time(size: int, seed: int, times: Times, faults: bool, quick: bool, keep: str) -> dict[str, Any]:
@@ -219,7 +219,7 @@
         size = options.dispatchers or QUICK
         print(f"one size alone: {size}; no lines, nothing foretold", flush=True)
         found = [in_time(size, options.seed, times, True, options.quick, options.keep)]
-        return conclude(verdict(found, {}), AIMS)
+        return print_figures(verdict(found, {}), AIMS)
     times, found = Times(6.0, 20.0, 31.0), []
     for size in SIZES:
         found.append(in_time(size, options.seed, times, size == FAULTS_AT, False, options.keep))
@@ -254,7 +254,7 @@
             "runs": [*found, last],
         },
     )
-    return conclude(figures, AIMS)
+    return print_figures(figures, AIMS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from harness import Counting, Fleet, Machines, SimClock, conclude
+from harness import CountingListener, Fleet, SimClock, SimWorkers, print_figures
 
 from grebestack.core import api
 from grebestack.core.api import ListKind
@@ -49,7 +49,7 @@
 }
 
 
-def listing(count: int, rev: int = 1) -> bytes:
+def worker_list_json(count: int, rev: int = 1) -> bytes:
     """A whole list, indented."""
     targets = [
         {
@@ -69,7 +69,7 @@
 
 async def started(count: int, folder: Path) -> dict[str, float]:
     """A real dispatcher that hears of so many servers."""
-    text = listing(count)
+    text = worker_list_json(count)
 
     async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -83,7 +83,7 @@
     server = await asyncio.start_server(agent, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     config = folder / "config.json"
-    known = json.loads(listing(count))
+    known = json.loads(worker_list_json(count))
     limits = {"sockets": 256}
     config.write_text(
         json.dumps({"settings": OPTIONS | {"siblings": count}, "seed": "1", "limits": limits, "known": known})
@@ -120,7 +120,7 @@
 
 def read_ms(count: int) -> float:
     """The processor time of one indented list, from its lines to the server table, the best of five."""
-    lines, best = listing(count).split(b"\n")[:-1], float("inf")
+    lines, best = worker_list_json(count).split(b"\n")[:-1], float("inf")
     for _ in range(5):
         objects, reader, table = JsonObjectReader(), WorkerListReader(OPTIONS), WorkerTable()
         began = time.process_time()
@@ -135,7 +135,7 @@
 def decided(count: int, jobs: int, seed: int) -> dict[str, float]:
     """One dispatcher's module before so many servers: processor time of a job from its coming to its end."""
     clock = SimClock()
-    machines = Machines(clock, seed, count, SLOTS, lambda d, r: r.expovariate(1.0 / RUN_MS))
+    machines = SimWorkers(clock, seed, count, SLOTS, lambda d, r: r.expovariate(1.0 / RUN_MS))
     order = api.JobClass(
         "order", 600, 8000, api.Effect.NOT_IDEMPOTENT, priority_weight=5, objective_stretch=2.5
     )
@@ -151,7 +151,7 @@
     )
     fleet = Fleet(clock, settings, 1, machines, seed, 1)
     per_s = count * SLOTS / RUN_MS * 1000.0 * LOAD
-    fleet.load(per_s, clock.now + jobs / per_s * 1000.0)
+    fleet.start_load(per_s, clock.now + jobs / per_s * 1000.0)
     policy, spent = fleet.engines[0].policy, 0.0
     handle = policy.handle
 
@@ -165,11 +165,11 @@
         return actions
 
     policy.handle = timed  # type: ignore[method-assign]
-    clock.go_on(clock.now + jobs / per_s * 1000.0 + 9000.0)
-    counting: Counting = fleet.counting
+    clock.advance_to(clock.now + jobs / per_s * 1000.0 + 9000.0)
+    counting: CountingListener = fleet.listener
     return {
-        f"job_us_{count}": spent / max(1, fleet.number) * 1e6,
-        f"unanswered_{count}": float(fleet.number - counting.ends.total()),
+        f"job_us_{count}": spent / max(1, fleet.request_count) * 1e6,
+        f"unanswered_{count}": float(fleet.request_count - counting.outcome_counts.total()),
     }
 
 
@@ -199,7 +199,7 @@
             figures |= asyncio.run(started(count, Path(folder)))
         figures[f"list_ms_{count}"] = read_ms(count)
         figures |= decided(count, 6000 if options.quick else 40_000, options.seed)
-    return conclude(figures, AIMS)
+    return print_figures(figures, AIMS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -36,9 +36,9 @@
 import uvloop
 from flood import Peer
 from flood import Runner as FloodRunner
-from harness import Fleet, Machines, SimClock, conclude, engine_on, percentile
-from membership import Fleet as ConsulFleet
-from sizes import OPTIONS, listing
+from harness import Fleet, SimClock, SimWorkers, create_engine, percentile, print_figures
+from membership import ConsulFleet
+from sizes import OPTIONS, worker_list_json
 
 from grebestack.audit.recorder import Recorder, RecorderLimits
 from grebestack.audit.records import ActionRecord
@@ -192,7 +192,7 @@
 def decided(servers: int, jobs: int, seed: int, classes: int = 1, retired: int = 0) -> float:
     """Processor time of one job's decisions in us; some classes were retired by changes."""
     clock = SimClock()
-    machines = Machines(clock, seed, servers, 8, lambda d, r: r.expovariate(1.0 / 500.0))
+    machines = SimWorkers(clock, seed, servers, 8, lambda d, r: r.expovariate(1.0 / 500.0))
     live = tuple(replace(ORDER, name=f"c{n}") for n in range(classes))
     old = tuple(replace(ORDER, name="c0", latency_objective_ms=601.0 + n) for n in range(retired))
     settings = api.Settings(
@@ -210,7 +210,7 @@
     fleet = Fleet(clock, settings, 1, machines, seed, 1)
     per_s = servers * 16.0 * 0.6
     jobs = max(jobs, int(per_s * (2.0 if jobs > 2000 else 0.7)))  # until queues stand as they will
-    fleet.load(per_s, clock.now + jobs / per_s * 1000.0, classes)
+    fleet.start_load(per_s, clock.now + jobs / per_s * 1000.0, classes)
     policy, spent = fleet.engines[0].policy, 0.0
     handle = policy.handle
 
@@ -225,9 +225,9 @@
 
     policy.handle = timed  # type: ignore[method-assign]
     with undisturbed():
-        clock.go_on(clock.now + jobs / per_s * 1000.0 + 9000.0)
-    assert fleet.counting.ends.total() == fleet.number, "jobs were not answered"
-    return spent / max(1, fleet.number) * 1e6
+        clock.advance_to(clock.now + jobs / per_s * 1000.0 + 9000.0)
+    assert fleet.listener.outcome_counts.total() == fleet.request_count, "jobs were not answered"
+    return spent / max(1, fleet.request_count) * 1e6
 
 
 def module(quick: bool, seed: int) -> dict[str, Any]:
@@ -515,7 +515,7 @@
         slow_start_initial_share=0.14,
         slow_start_ms=24_000.0,
     )
-    engine = engine_on(SimClock(), settings, seed)
+    engine = create_engine(SimClock(), settings, seed)
     reader, drawn = WorkerListReader(OPTIONS), random.Random(seed)
 
     def take(text: bytes) -> float:
@@ -526,11 +526,11 @@
                 engine.table.update(ListKind.FULL if every else ListKind.CHANGES, servers)
         return (time.thread_time() - began) * 1000.0
 
-    whole_text = json.dumps(json.loads(listing(count))).encode() + b"\n"
+    whole_text = json.dumps(json.loads(worker_list_json(count))).encode() + b"\n"
     with undisturbed():
         take(whole_text)
         again = min(take(whole_text) for _ in range(5))
-        indented = min(take(listing(count)) for _ in range(3))
+        indented = min(take(worker_list_json(count)) for _ in range(3))
         chosen = drawn.sample(range(count), min(45, count))
         states = ("Terminating", "Ready")
         row = sum(take(change_of([n], state)) for n in chosen for state in states)
@@ -540,8 +540,8 @@
     assert len(engine.table.workers) == count
     agent = ConsulFleet(count)
     with undisturbed():
-        agent.answer([], "passing")
-        answered = [agent.answer([n % count], ("critical", "passing")[n % 2]) for n in range(6)]
+        agent.apply_answer([], "passing")
+        answered = [agent.apply_answer([n % count], ("critical", "passing")[n % 2]) for n in range(6)]
     line = encode_entry
     shared = sum(len(msgspec.msgpack.encode(line(0.0, server))) for server in engine.table.workers.values())
     return {
@@ -609,7 +609,7 @@
         settings = replace(
             settings, classes=settings.classes + old, retired=frozenset(range(size, size + retired))
         )
-    engine = engine_on(SimClock(), settings, 1)
+    engine = create_engine(SimClock(), settings, 1)
     front = PlatformApi(engine, settings, lambda body: CallbackResult.UNKNOWN)
     parse, settle = [], []
     with undisturbed():
@@ -637,11 +637,11 @@
     code = (
         "import sys; sys.path[:0] = sys.argv[1:3]\n"
         "from dataclasses import replace\n"
-        "from harness import SimClock, engine_on, resident_kb\n"
+        "from harness import SimClock, create_engine, resident_kb\n"
         "from slopes import ORDER\n"
         "from grebestack.core import api\n"
         "from grebestack.protocol.settings import merge_settings\n"
-        "engine = engine_on(SimClock(), api.Settings(classes=(ORDER, replace(ORDER, name='other'))), 1)\n"
+        "engine = create_engine(SimClock(), api.Settings(classes=(ORDER, replace(ORDER, name='other'))), 1)\n"
         "before = resident_kb()\n"
         "for n in range(int(sys.argv[3])):\n"
         "    order = replace(ORDER, latency_objective_ms=601.0 + n)\n"
@@ -1085,7 +1085,7 @@
         shown["changes_failed"] = figures["voters"]["figures"]["changes_failed"]["value"]
     worst = [part["late"]["p99_ms"] for part in figures.values()]
     shown["late_p99_ms"] = percentile(worst, 1.0)
-    return conclude(shown, AIMS)
+    return print_figures(shown, AIMS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -18,7 +18,15 @@
 from pathlib import Path
 
 import uvloop
-from harness import Machines, SimClock, SimServers, conclude, engine_on, percentile, resident_kb
+from harness import (
+    SimClock,
+    SimWorkers,
+    SimWorkersAdapter,
+    create_engine,
+    percentile,
+    print_figures,
+    resident_kb,
+)
 
 from grebestack.core import api
 from grebestack.core.api import ListKind, Outcome
@@ -147,7 +155,7 @@
 ) -> dict[str, float]:
     """One flood: orders, and readings if `orders` is under 1, at once; jobs wait beside them."""
     clock = SimClock()
-    engine = engine_on(clock, SETTINGS, seed)
+    engine = create_engine(clock, SETTINGS, seed)
     # Running times come from a stream of their own: both runs are played with the same ones.
     frontend = Flooding(clock)
 
@@ -156,15 +164,15 @@
         frontend.ran[dispatch.request.number] = took
         return took
 
-    machines = Machines(clock, seed, SERVERS, SLOTS, run_ms)
-    servers = engine.workers = SimServers(engine, machines)
+    machines = SimWorkers(clock, seed, SERVERS, SLOTS, run_ms)
+    servers = engine.workers = SimWorkersAdapter(engine, machines)
     templates = TemplateConverter(SETTINGS)
     limits = JobLimits(latency_objectives_s=(10.0, 10.0))
     service = JobService(
         engine, servers, SETTINGS, JobStore(store), templates, limits, lambda: 1.8e9 + clock.now / 1000.0
     )
     watched = Watched(service, clock)
-    engine.table.update(ListKind.FULL, machines.entries())
+    engine.table.update(ListKind.FULL, machines.endpoints())
     source, counts = random.Random(seed), [0, 0]
     end_ms = clock.now + seconds * 1000.0
 
@@ -210,8 +218,8 @@
     if waiting:
         wait()
     began = time.process_time()
-    clock.go_on(end_ms + 120_000.0)
-    assert max(machines.runs.values()) == 1, "an order ran twice"
+    clock.advance_to(end_ms + 120_000.0)
+    assert max(machines.run_counts.values()) == 1, "an order ran twice"
     if waiting:
         assert len(watched.ends) == counts[1] and not len(service.job_queue), "a job was forgotten"
     service.store.close()
@@ -299,7 +307,7 @@
     )
 
     def service_on() -> JobService:
-        engine = engine_on(clock, SETTINGS, 1)
+        engine = create_engine(clock, SETTINGS, 1)
         engine.workers = Instant(engine, clock)
         return JobService(engine, Instant(engine, clock), SETTINGS, JobStore(path), templates, limits)
 
@@ -356,8 +364,8 @@
 def cascade_ms(path: str, count: int) -> float:
     """The longest turn while the first of a chain fails and all others end with it, in a store on disk."""
     clock = SimClock()
-    engine = engine_on(clock, SETTINGS, 1)
-    servers = engine.workers = SimServers(engine, Machines(clock, 1, 0, 1, lambda d, r: 1.0))
+    engine = create_engine(clock, SETTINGS, 1)
+    servers = engine.workers = SimWorkersAdapter(engine, SimWorkers(clock, 1, 0, 1, lambda d, r: 1.0))
     templates = TemplateConverter(SETTINGS)
     service = JobService(
         engine,
@@ -378,7 +386,7 @@
             first, previous = first or job.id, job.id
     watched.longest_ms = 0.0
     service.terminate(service.find(first))
-    clock.go_on(clock.now + 1000.0)
+    clock.advance_to(clock.now + 1000.0)
     assert len(watched.ends) == count
     service.store.close()
     return watched.longest_ms
@@ -428,7 +436,7 @@
 
         figures |= sockets.measure(options.seed, seconds)
         aims |= sockets.AIMS
-    return conclude(figures, aims)
+    return print_figures(figures, aims)
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 import pytest
-from fleet_counts import Counts
+from fleet_counts import TrafficTotals
 
 from grebestack.admin.commands import Verb
 from tests.golden_control import LINES, all_control
@@ -48,10 +48,10 @@
 
 
 def test_golden_tally_lines_are_counted_by_the_benchmark() -> None:
-    counts = Counts()
+    counts = TrafficTotals()
     for line in load_golden(CONTROL)["logged"]:
-        counts.line(line)
+        counts.add_line(line)
     (second,) = counts.seconds
     expected = Counter({"sessions": 9, "ok": 3, "dials": 4})
     assert +counts.seconds[second] == expected
-    assert counts.out[second] == Counter({"runner-1": 4})
+    assert counts.open_jobs[second] == Counter({"runner-1": 4})
--- a/tests/test_many_dispatchers.py
+++ b/tests/test_many_dispatchers.py
@@ -10,8 +10,8 @@
 from typing import Any, cast
 
 import pytest
-from fleet_counts import Counts
-from harness import Fleet, Machines, SimClock
+from fleet_counts import TrafficTotals
+from harness import Fleet, SimClock, SimWorkers
 
 from grebestack.core import api
 from grebestack.endpoint_watch.state_machine import (
@@ -76,29 +76,29 @@
 
     def __init__(self, machines: int, per_s: float, seconds: float, seed: int) -> None:
         self.clock = SimClock()
-        self.machines = Machines(
+        self.machines = SimWorkers(
             self.clock, seed, machines, SLOTS, lambda d, r: r.uniform(0.5, 1.5) * RUN_MS, ZONES
         )
         self.fleet = Fleet(self.clock, SETTINGS, DISPATCHERS, self.machines, seed, ZONES)
         self.end_ms = self.clock.now + seconds * 1000.0
-        self.fleet.load(per_s, self.end_ms, len(CLASSES))
+        self.fleet.start_load(per_s, self.end_ms, len(CLASSES))
         self.peak_slots: Counter[str] = Counter()  # the most slots that each machine held
 
     def run(self, seconds: float) -> None:
         """Advance the clock, and record the peak load of each machine."""
         until = self.clock.now + seconds * 1000.0
         while self.clock.now < until:
-            self.clock.go_on(min(until, self.clock.now + 100.0))
-            for name in self.machines.free:
-                self.peak_slots[name] = max(self.peak_slots[name], int(self.machines.held(name)))
+            self.clock.advance_to(min(until, self.clock.now + 100.0))
+            for name in self.machines.free_slots:
+                self.peak_slots[name] = max(self.peak_slots[name], int(self.machines.used_slots(name)))
 
     def max_overload(self) -> float:
         """Return the most work that a cold machine got in a window, relative to the overload rule's limit."""
         maximum, window = 0.0, SETTINGS.overload_window_ms
-        for name in self.machines.started:
+        for name in self.machines.started_ms:
             arrivals = [(at, slots) for at, server, slots in self.machines.arrivals if server == name]
             for at, _ in arrivals:
-                warmth = self.machines.warmth(name, SETTINGS, at)
+                warmth = self.machines.speed_share(name, SETTINGS, at)
                 work = sum(slots * RUN_MS for later, slots in arrivals if at <= later < at + window)
                 maximum = max(maximum, work / (SETTINGS.overload_factor * warmth * SLOTS * window))
         return maximum
@@ -112,9 +112,9 @@
 def run_to_end(simulation: Simulation) -> float:
     """Assert that every request ends once; return the share of them that was served within 2 s."""
     simulation.run(10.0)
-    ends = simulation.fleet.counting.ends
-    assert ends.total() == simulation.fleet.number
-    return (ends["served"] - simulation.fleet.counting.late) / simulation.fleet.number
+    ends = simulation.fleet.listener.outcome_counts
+    assert ends.total() == simulation.fleet.request_count
+    return (ends["served"] - simulation.fleet.listener.late_count) / simulation.fleet.request_count
 
 
 def test_after_six_in_ten_machines_are_replaced_none_is_overloaded_and_none_is_idle() -> None:
@@ -155,14 +155,14 @@
     simulation = Simulation(24, 100.0, 20.0, seed=7)
     simulation.run(4.0)
     lost = [f"s-{n}" for n in range(0, 24, ZONES)]
-    simulation.machines.silent.update(lost)
+    simulation.machines.unreachable.update(lost)
     simulation.run(6.0)
     # Each dispatcher retries a silent machine at growing intervals.
-    attempts_by_second = Counter(int((at - 5000.0) // 1000) for at, _ in simulation.machines.tried)
+    attempts_by_second = Counter(int((at - 5000.0) // 1000) for at, _ in simulation.machines.failed_connects)
     assert sum(attempts_by_second[n] for n in (3, 4, 5)) <= DISPATCHERS * len(lost)
-    simulation.machines.silent.clear()
+    simulation.machines.unreachable.clear()
     for name in lost:
-        simulation.machines.started[name] = simulation.clock.now
+        simulation.machines.started_ms[name] = simulation.clock.now
     simulation.run(10.0)
     sent = Counter(name for at, name, _ in simulation.machines.arrivals if at > 13_000.0)
     assert all(sent[name] > 0 for name in lost)
@@ -210,7 +210,7 @@
 
     for watch in watches:
         handle(watch, Started())
-    clock.go_on(20_000.0)
+    clock.advance_to(20_000.0)
     by_second = Counter(int(at // 1000) for at in requests)
     assert by_second[0] >= count  # a list that discovery would send at once counts as delivered
     assert max(by_second[n] for n in range(1, 20)) <= max(6, 0.6 * count)
@@ -242,7 +242,9 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     reader, table = WorkerListReader({"models": ["c8"]}), WorkerTable()
-    engine = Fleet(SimClock(), SETTINGS, 1, Machines(SimClock(), 1, 0, 8, lambda d, r: 1.0), 1, 1).engines[0]
+    engine = Fleet(SimClock(), SETTINGS, 1, SimWorkers(SimClock(), 1, 0, 8, lambda d, r: 1.0), 1, 1).engines[
+        0
+    ]
     table.on_change = engine.table.on_change
     engine.policy.estimates.on_slots_seen(0, 8.0)
     invalid = ("nan", "inf", "-inf", -4.0, None, 1e300)
@@ -266,15 +268,15 @@
 
 
 def test_the_traffic_counts_of_two_dispatchers_are_added_up(capsys: pytest.CaptureFixture[str]) -> None:
-    counts = Counts()
+    counts = TrafficTotals()
     for _ in range(2):
         tally = TrafficCounts()
         for sessions, out in ((3, 2), (7, 9), (7, 0)):
             record = logging.makeLogRecord({"msg": "tally", "created": 1.8e9 + sessions})
             record.kv = tally.pairs({"sessions": sessions, "ok": sessions}, {}, {"s-1": out} if out else {})
-            counts.line("0.281 " + KeyValueFormatter().format(record))
-    counts.line("ts=2026-12-01T00:00:00.000Z event=stats sessions=99")
-    figures = counts.table(8)
+            counts.add_line("0.281 " + KeyValueFormatter().format(record))
+    counts.add_line("ts=2026-12-01T00:00:00.000Z event=stats sessions=99")
+    figures = counts.print_table(8)
     assert (figures["sessions"], figures["most_at_a_runner"]) == (14, 18)
     rows = [line.split() for line in capsys.readouterr().out.splitlines()[1:]]
     assert [(row[0], row[1], row[-1]) for row in rows] == [("0", "6", "0"), ("4", "8", "10")]
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -9,7 +9,7 @@
 from collections import Counter, OrderedDict
 from functools import partial
 
-from harness import Counting, Fleet, Machines, SimClock, SimServers
+from harness import CountingListener, Fleet, SimClock, SimWorkers, SimWorkersAdapter
 
 from grebestack.core import api
 from grebestack.core.api import Outcome, WorkerEntry
@@ -60,7 +60,7 @@
 FETCH_MS, KEY_COUNT, MAX_CACHED_KEYS = 200.0, 60, 6
 
 
-class MachinesOfThreeSizes(Machines):
+class MachinesOfThreeSizes(SimWorkers):
     """Machines of three sizes that serve by priority, report starts and fetch data that is not cached."""
 
     def __init__(self, clock: SimClock, seed: int, count: int, zones: int) -> None:
@@ -74,24 +74,24 @@
 
     def add(self, name: str, zone: int = 0, started_ms: float | None = None) -> None:
         super().add(name, zone, started_ms)
-        self.free[name], self.cached_keys[name] = float(self.size(name)[0]), OrderedDict()
+        self.free_slots[name], self.cached_keys[name] = float(self.size(name)[0]), OrderedDict()
 
-    def entries(self) -> tuple[WorkerEndpoint, ...]:
+    def endpoints(self) -> tuple[WorkerEndpoint, ...]:
         """Return the endpoint list, with weights that show sizes but no load."""
         return tuple(
             WorkerEndpoint(
-                WorkerEntry(name, zone, weight=slots * speed, started_ms=self.started.get(name)), ("", 1)
+                WorkerEntry(name, zone, weight=slots * speed, started_ms=self.started_ms.get(name)), ("", 1)
             )
-            for name, zone in self.zone.items()
+            for name, zone in self.zones.items()
             for slots, speed in [self.size(name)]
         )
 
-    def _begin(self, name: str) -> None:
+    def _start_queued(self, name: str) -> None:
         queue, cached_keys, (_, speed) = self.queues[name], self.cached_keys[name], self.size(name)
-        while queue and self.free[name] >= 1.0:
+        while queue and self.free_slots[name] >= 1.0:
             port, attempt = max(queue, key=lambda item: item[1].request.arrival.job_class)
             queue.remove((port, attempt))
-            self.free[name] -= 1.0
+            self.free_slots[name] -= 1.0
             arrival = attempt.request.arrival
             is_hit = arrival.cache_key in cached_keys
             self.cache_hits[is_hit] += 1
@@ -100,16 +100,16 @@
             if len(cached_keys) > MAX_CACHED_KEYS:
                 cached_keys.popitem(last=False)
             run_ms = ((arrival.cost_ms or 0.0) + (0.0 if is_hit else FETCH_MS)) / speed
-            run_ms /= self.warmth(name, SETTINGS, self.clock.now)
+            run_ms /= self.speed_share(name, SETTINGS, self.clock.now)
             self.clock.call_at(self.clock.now + self.WIRE_MS, partial(port.engine.on_progress, attempt, None))
             self.clock.call_at(self.clock.now + run_ms, partial(self._end, port, attempt))
 
-    def _answer(self, port: SimServers, attempt: Attempt, outcome: Outcome) -> None:
+    def _send_response(self, port: SimWorkersAdapter, attempt: Attempt, outcome: Outcome) -> None:
         finish = partial(port.engine.finish_attempt, attempt, outcome, {}, b"done")
         self.clock.call_at(self.clock.now + self.WIRE_MS, finish)
 
 
-class WorkCounter(Counting):
+class WorkCounter(CountingListener):
     """Counts the work of all requests and of those answered in time, by class."""
 
     def __init__(self, clock: SimClock) -> None:
@@ -121,7 +121,7 @@
         arrival = request.arrival
         job_class, cost_ms = CLASSES[arrival.job_class], arrival.cost_ms or 0.0
         if (
-            self.clock.now - self.arrived[request.call_id]
+            self.clock.now - self.arrived_ms[request.call_id]
             <= job_class.latency_objective_ms + job_class.objective_stretch * cost_ms
         ):
             self.in_time_ms[arrival.job_class] += cost_ms
@@ -132,15 +132,15 @@
     clock, rng = SimClock(), random.Random(seed)
     machines = MachinesOfThreeSizes(clock, seed, 9, 3)
     fleet = Fleet(clock, SETTINGS, 3, machines, seed, 3)
-    fleet.counting = counter = WorkCounter(clock)
+    fleet.listener = counter = WorkCounter(clock)
     weights = [1.0 / (n + 1) for n in range(KEY_COUNT)]
 
     def submit() -> None:
-        fleet.number += 1
+        fleet.request_count += 1
         class_index, engine = rng.randrange(2), rng.choice(fleet.engines)
         cost_ms = min(20.0, rng.paretovariate(1.7)) * MEAN_COST_MS[class_index] / 2.4
-        call_id = f"c-{fleet.number}"
-        counter.arrived[call_id] = clock.now
+        call_id = f"c-{fleet.request_count}"
+        counter.arrived_ms[call_id] = clock.now
         counter.requested_ms[class_index] += cost_ms
         key, tenant = rng.choices(range(KEY_COUNT), weights)[0], rng.randrange(2)
         deadline_ms = clock.now + CLASSES[class_index].deadline_ms
@@ -158,19 +158,19 @@
             clock.call_at(clock.now + rng.expovariate(per_s / 1000.0), submit)
 
     clock.call_at(clock.now, submit)
-    clock.go_on(30_000.0)
+    clock.advance_to(30_000.0)
     return machines, counter, fleet
 
 
 def test_under_overload_many_jobs_find_their_data_cached_and_both_classes_are_served() -> None:
     machines, counter, fleet = run_load(120.0, seed=3)
-    assert counter.ends.total() == fleet.number
+    assert counter.outcome_counts.total() == fleet.request_count
     hit_share = machines.cache_hits[True] / machines.cache_hits.total()
     served = [
         in_time / requested
         for in_time, requested in zip(counter.in_time_ms, counter.requested_ms, strict=True)
     ]
-    print(f"hit_share={hit_share:.3f} served={served} ends={counter.ends}")
+    print(f"hit_share={hit_share:.3f} served={served} ends={counter.outcome_counts}")
     assert hit_share >= 0.45  # usually 0.55; with freed slots first come, first served: 0.34
     assert served[0] >= 0.25 and served[1] >= 0.8  # usually 0.36 and 0.87; with that order: 0.14 and 0.92
 
@@ -181,5 +181,5 @@
         in_time / requested
         for in_time, requested in zip(counter.in_time_ms, counter.requested_ms, strict=True)
     ]
-    print(f"served={served} ends={counter.ends}")
-    assert counter.ends.total() == fleet.number and min(served) >= 0.8
+    print(f"served={served} ends={counter.outcome_counts}")
+    assert counter.outcome_counts.total() == fleet.request_count and min(served) >= 0.8
