--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -1,4 +1,4 @@
-"""What the measurements share: simulated time, simulated servers, and the one line of figures at the end."""
+"""Shared by the benchmarks: simulated time, workers and fleets, and the line of figures at the end."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SimTimer:
-    """A call that has been put off."""
+    """A scheduled call that can be cancelled."""
 
     __slots__ = ("call",)
 
@@ -29,48 +29,48 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Let it not happen."""
+        """Prevent the call."""
         self.call = None
 
 
 class SimClock:
-    """Simulated time in milliseconds; it goes on from one call to the next."""
+    """Simulated time in milliseconds; it jumps from one scheduled call to the next."""
 
     def __init__(self, now_ms: float = 1000.0) -> None:
-        self.now, self.count = now_ms, 0
+        self.now, self.scheduled_count = now_ms, 0
         self.calls: list[tuple[float, int, SimTimer]] = []
 
     def now_ms(self) -> float:
-        """The time."""
+        """Return the simulated time."""
         return self.now
 
     def call_at(self, at_ms: float, call: Callable[[], None]) -> SimTimer:
-        """Have a call made at a time."""
-        self.count += 1
+        """Schedule a call."""
+        self.scheduled_count += 1
         timer = SimTimer(call)
-        heapq.heappush(self.calls, (max(at_ms, self.now), self.count, timer))
+        heapq.heappush(self.calls, (max(at_ms, self.now), self.scheduled_count, timer))
         return timer
 
     def advance_to(self, until_ms: float) -> None:
-        """Make all calls that are due until then."""
+        """Make all calls that are due by this time."""
         while self.calls and self.calls[0][0] <= until_ms:
-            at, _, timer = heapq.heappop(self.calls)
-            self.now = max(self.now, at)
+            due_ms, _, timer = heapq.heappop(self.calls)
+            self.now = max(self.now, due_ms)
             if timer.call is not None:
                 timer.call()
         self.now = max(self.now, until_ms)
 
 
 class SimWorkers:
-    """Servers with slots and a queue of what does not fit; each end carries a report of free slots.
+    """Simulated workers with slots and a queue of jobs that find none free; responses carry load reports.
 
-    A report is refreshed every 700 ms, as an agent on the machine would. The way to a server takes 1 ms.
-    Several dispatchers may share them, each by a `SimWorkersAdapter` of its own.
+    Each worker refreshes its report of free slots every 700 ms, as an agent on the machine would. The network
+    delay is 1 ms each way. Several dispatchers may share the workers, each by its own `SimWorkersAdapter`.
     """
 
-    REFRESH_MS = 700.0
-    WIRE_MS = 1.0
-    CONNECT_MS = 200.0  # after this a connection to a silent machine has not come up
+    REPORT_INTERVAL_MS = 700.0
+    NETWORK_DELAY_MS = 1.0
+    CONNECT_TIMEOUT_MS = 200.0  # a connection to an unreachable worker fails after this
 
     def __init__(
         self,
@@ -87,48 +87,50 @@
         self.reported_slots: dict[str, float] = {}
         self.queues: dict[str, list[tuple[SimWorkersAdapter, Attempt]]] = {}
         self.zones: dict[str, int] = {}
-        self.started_ms: dict[str, float] = {}  # when a server came up; those of long ago are not named
-        self.unreachable: set[str] = set()  # cut off: nothing comes up, nothing comes back
-        self.failing: set[str] = set()  # each job fails at once
+        self.started_ms: dict[str, float] = {}  # a worker without an entry started long ago
+        self.unreachable: set[str] = set()  # no connection succeeds, no response arrives
+        self.failing: set[str] = set()  # workers whose jobs all fail at once
         self.run_counts: dict[str, int] = {}
-        self.arrivals: list[tuple[float, str, float]] = []  # when, at which server, how many slots
-        self.failed_connects: list[tuple[float, str]] = []  # sends to silent servers
+        self.arrivals: list[tuple[float, str, float]] = []  # time, worker, slots of the job
+        self.failed_connects: list[tuple[float, str]] = []  # time, unreachable worker
         self.busy_ms = 0.0
         for n in range(count):
             self.add(f"s-{n}", n % zones)
 
     def add(self, name: str, zone: int = 0, started_ms: float | None = None) -> None:
-        """One more server, warm unless it has just started."""
+        """Add a worker; one without a start time has finished its slow start."""
         self.free_slots[name] = self.reported_slots[name] = float(self.slots)
         self.queues[name], self.zones[name] = [], zone
         if started_ms is not None:
             self.started_ms[name] = started_ms
-        first_ms = self.clock.now + self.random.uniform(0, self.REFRESH_MS)
-        self.clock.call_at(first_ms, partial(self._show, name))
+        first_report_ms = self.clock.now + self.random.uniform(0, self.REPORT_INTERVAL_MS)
+        self.clock.call_at(first_report_ms, partial(self._refresh_report, name))
 
     def remove(self, name: str) -> None:
-        """Take a server from the list; what it has runs to its end."""
+        """Take a worker off the endpoint list; the jobs that it has run to their end."""
         del self.zones[name]
 
     def replace(self, name: str) -> None:
-        """A new machine, in the same zone, comes for an old one."""
+        """Replace a worker by a new one in the same zone."""
         self.add(f"{name}-new", self.zones[name], self.clock.now)
         self.remove(name)
 
     def used_slots(self, name: str) -> float:
-        """Slots of what a server runs and keeps waiting."""
-        waiting = sum(dispatch.request.arrival.slots for _, dispatch in self.queues[name])
-        return self.slots - self.free_slots[name] + waiting
+        """Return the slots of the jobs that a worker runs and has queued."""
+        queued = sum(attempt.request.arrival.slots for _, attempt in self.queues[name])
+        return self.slots - self.free_slots[name] + queued
 
     def speed_share(self, name: str, settings: api.Settings, at_ms: float) -> float:
-        """The part of its speed that a server has at a time."""
+        """Return the share of its full speed that a worker has reached in its slow start."""
         if name not in self.started_ms:
             return 1.0
-        age = (at_ms - self.started_ms[name]) / max(1.0, settings.slow_start_ms)
-        return min(1.0, settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * age)
+        progress = (at_ms - self.started_ms[name]) / max(1.0, settings.slow_start_ms)
+        return min(
+            1.0, settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * progress
+        )
 
     def endpoints(self) -> tuple[WorkerEndpoint, ...]:
-        """The list of them, with weights that fall the more a server holds."""
+        """Return the endpoint list, with weights that fall as the used slots of a worker rise."""
         return tuple(
             WorkerEndpoint(
                 WorkerEntry(
@@ -142,161 +144,163 @@
             for name, zone in self.zones.items()
         )
 
-    def _show(self, name: str) -> None:
+    def _refresh_report(self, name: str) -> None:
         self.reported_slots[name] = self.free_slots[name]
-        self.clock.call_at(self.clock.now + self.REFRESH_MS, lambda: self._show(name))
-
-    def send(self, port: SimWorkersAdapter, dispatch: Attempt) -> None:
-        """A dispatch is on its way."""
-        if dispatch.worker in self.unreachable:
-            self.failed_connects.append((self.clock.now, dispatch.worker))
-            call = partial(port.engine.finish_attempt, dispatch, Outcome.CONNECT_FAILED)
-            self.clock.call_at(self.clock.now + self.CONNECT_MS, call)
+        self.clock.call_at(self.clock.now + self.REPORT_INTERVAL_MS, lambda: self._refresh_report(name))
+
+    def send(self, adapter: SimWorkersAdapter, attempt: Attempt) -> None:
+        """Deliver an attempt after the network delay, or fail it if its worker is unreachable."""
+        if attempt.worker in self.unreachable:
+            self.failed_connects.append((self.clock.now, attempt.worker))
+            fail = partial(adapter.engine.finish_attempt, attempt, Outcome.CONNECT_FAILED)
+            self.clock.call_at(self.clock.now + self.CONNECT_TIMEOUT_MS, fail)
         else:
-            self.clock.call_at(self.clock.now + self.WIRE_MS, lambda: self._arrive(port, dispatch))
+            self.clock.call_at(self.clock.now + self.NETWORK_DELAY_MS, lambda: self._arrive(adapter, attempt))
 
-    def _arrive(self, port: SimWorkersAdapter, dispatch: Attempt) -> None:
-        if not port.engine.confirm_send(dispatch):
-            port.engine.finish_attempt(dispatch, Outcome.CONNECT_FAILED)
+    def _arrive(self, adapter: SimWorkersAdapter, attempt: Attempt) -> None:
+        if not adapter.engine.confirm_send(attempt):
+            adapter.engine.finish_attempt(attempt, Outcome.CONNECT_FAILED)
             return
-        dispatch.stage = AttemptStage.ACCEPTED
-        asked = dispatch.request.arrival
-        self.arrivals.append((self.clock.now, dispatch.worker, asked.slots))
-        if dispatch.worker in self.failing:
-            self._send_response(port, dispatch, Outcome.ERROR)
+        attempt.stage = AttemptStage.ACCEPTED
+        arrival = attempt.request.arrival
+        self.arrivals.append((self.clock.now, attempt.worker, arrival.slots))
+        if attempt.worker in self.failing:
+            self._send_response(adapter, attempt, Outcome.ERROR)
             return
-        self.queues[dispatch.worker].append((port, dispatch))
-        self._start_queued(dispatch.worker)
+        self.queues[attempt.worker].append((adapter, attempt))
+        self._start_queued(attempt.worker)
 
     def _start_queued(self, name: str) -> None:
         queue = self.queues[name]
         while queue and self.free_slots[name] >= queue[0][1].request.arrival.slots:
-            port, dispatch = queue.pop(0)
-            self.free_slots[name] -= dispatch.request.arrival.slots
-            call_id = dispatch.request.call_id
+            adapter, attempt = queue.pop(0)
+            self.free_slots[name] -= attempt.request.arrival.slots
+            call_id = attempt.request.call_id
             self.run_counts[call_id] = self.run_counts.get(call_id, 0) + 1
-            took = self.run_ms(dispatch, self.random)
-            self.busy_ms += took * dispatch.request.arrival.slots
-            took /= self.speed_share(name, port.engine.settings, self.clock.now)
-            self.clock.call_at(self.clock.now + took, partial(self._end, port, dispatch))
-
-    def _end(self, port: SimWorkersAdapter, dispatch: Attempt) -> None:
-        name = dispatch.worker
-        self.free_slots[name] += dispatch.request.arrival.slots
+            run_ms = self.run_ms(attempt, self.random)
+            self.busy_ms += run_ms * attempt.request.arrival.slots
+            run_ms /= self.speed_share(name, adapter.engine.settings, self.clock.now)
+            self.clock.call_at(self.clock.now + run_ms, partial(self._end_run, adapter, attempt))
+
+    def _end_run(self, adapter: SimWorkersAdapter, attempt: Attempt) -> None:
+        name = attempt.worker
+        self.free_slots[name] += attempt.request.arrival.slots
         if name not in self.unreachable:
-            self._send_response(port, dispatch, Outcome.OK)
+            self._send_response(adapter, attempt, Outcome.OK)
         self._start_queued(name)
 
-    def _send_response(self, port: SimWorkersAdapter, dispatch: Attempt, outcome: Outcome) -> None:
-        report = {"free_slots": self.reported_slots[dispatch.worker]}
+    def _send_response(self, adapter: SimWorkersAdapter, attempt: Attempt, outcome: Outcome) -> None:
+        report = {"free_slots": self.reported_slots[attempt.worker]}
         self.clock.call_at(
-            self.clock.now + self.WIRE_MS,
-            lambda: port.engine.finish_attempt(dispatch, outcome, report, b"done"),
+            self.clock.now + self.NETWORK_DELAY_MS,
+            lambda: adapter.engine.finish_attempt(attempt, outcome, report, b"done"),
         )
 
-    def drop(self, port: SimWorkersAdapter, dispatch: Attempt) -> None:
-        """What waits is dropped; what runs goes on."""
-        if (port, dispatch) in self.queues[dispatch.worker]:
-            self.queues[dispatch.worker].remove((port, dispatch))
+    def remove_queued(self, adapter: SimWorkersAdapter, attempt: Attempt) -> None:
+        """Remove an attempt that is still queued; one that runs goes on."""
+        if (adapter, attempt) in self.queues[attempt.worker]:
+            self.queues[attempt.worker].remove((adapter, attempt))
 
 
 class SimWorkersAdapter:
-    """One engine's way to the machines."""
+    """Connects one engine to the simulated workers."""
 
-    def __init__(self, engine: Engine, machines: SimWorkers) -> None:
-        self.engine, self.machines = engine, machines
+    def __init__(self, engine: Engine, workers: SimWorkers) -> None:
+        self.engine, self.workers = engine, workers
 
-    def send_attempt(self, dispatch: Attempt) -> None:
-        """Send it on its way."""
-        self.machines.send(self, dispatch)
+    def send_attempt(self, attempt: Attempt) -> None:
+        """Send an attempt."""
+        self.workers.send(self, attempt)
 
-    def abandon_attempt(self, dispatch: Attempt) -> None:
-        """What waits is dropped; what runs goes on."""
-        self.machines.drop(self, dispatch)
+    def abandon_attempt(self, attempt: Attempt) -> None:
+        """Remove an attempt that is still queued; one that runs goes on."""
+        self.workers.remove_queued(self, attempt)
 
-    def cancel_attempt(self, dispatch: Attempt) -> None:
-        """Running work goes on after a cancel."""
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """Do nothing: a running job goes on after a cancel."""
 
-    def probe(self, server: str) -> None:
-        """No probes."""
+    def probe(self, worker: str) -> None:
+        """Do nothing: these workers answer no probes."""
 
     def set_callback_handler(
-        self, call_id: str, server: str, ended: Callable[[Outcome, bytes], None] | None
+        self, call_id: str, worker: str, on_ended: Callable[[Outcome, bytes], None] | None
     ) -> None:
-        """Nothing of before a restart runs here."""
+        """Do nothing: no job from before a restart runs here."""
 
-    def cancel_job(self, server: str, call_id: str, taken: Callable[[], None]) -> None:
-        """Nothing of before a restart runs here."""
+    def cancel_job(self, worker: str, call_id: str, on_accepted: Callable[[], None]) -> None:
+        """Do nothing: no job from before a restart runs here."""
 
-    def abandon_job(self, server: str, call_id: str, heard: Callable[[], None]) -> bool:
-        """Nothing of before a restart runs here."""
+    def abandon_job(self, worker: str, call_id: str, on_confirmed: Callable[[], None]) -> bool:
+        """Do nothing: no job from before a restart runs here."""
         return True
 
 
 class CountingListener:
-    """A frontend that counts its sessions' ends over a fleet."""
+    """Counts how the requests of a fleet end."""
 
     def __init__(self, clock: SimClock) -> None:
         self.clock, self.outcome_counts, self.late_count = clock, Counter[str](), 0
         self.arrived_ms: dict[str, float] = {}
 
-    def before_send(self, dispatch: Attempt) -> bool:
-        """Whatever the module sends may go."""
+    def before_send(self, attempt: Attempt) -> bool:
+        """Allow every attempt."""
         return True
 
-    def on_attempt_ended(self, dispatch: Attempt) -> None:
-        """Nothing is kept of it."""
+    def on_attempt_ended(self, attempt: Attempt) -> None:
+        """Do nothing: only the ends of requests count."""
 
-    def on_served(self, session: Request, result: bytes) -> None:
-        """One final answer."""
+    def on_served(self, request: Request, result: bytes) -> None:
+        """Count a request that was served, and whether it took more than two seconds."""
         self.outcome_counts["served"] += 1
-        self.late_count += self.clock.now - self.arrived_ms[session.call_id] > 2000.0
+        self.late_count += self.clock.now - self.arrived_ms[request.call_id] > 2000.0
 
-    def on_rejected(self, session: Request, retry_after_ms: float | None) -> None:
-        """One final answer."""
+    def on_rejected(self, request: Request, retry_after_ms: float | None) -> None:
+        """Count a request that was rejected."""
         self.outcome_counts["denied"] += 1
 
-    def on_failed(self, session: Request) -> None:
-        """One final answer."""
+    def on_failed(self, request: Request) -> None:
+        """Count a request that failed or was cancelled."""
         self.outcome_counts["failed"] += 1
 
     on_cancelled = on_failed
 
 
 class Fleet:
-    """Many dispatchers, each with its own engine and module, on one clock and over the same machines.
+    """Many dispatchers, each with its own engine and decision module, on one clock and over the same workers.
 
-    Discovery tells each the list every 600 to 1,200 ms, as it was 400 ms before.
+    Each receives the endpoint list every 600 to 1,200 ms, as it was 400 ms before.
     """
 
-    LIST_MS = (600.0, 1200.0)
-    LIST_LAG_MS = 400.0
+    LIST_INTERVAL_MS = (600.0, 1200.0)
+    LIST_DELAY_MS = 400.0
 
     def __init__(
-        self, clock: SimClock, settings: api.Settings, count: int, machines: SimWorkers, seed: int, zones: int
+        self, clock: SimClock, settings: api.Settings, count: int, workers: SimWorkers, seed: int, zones: int
     ) -> None:
-        self.clock, self.machines, self.random = clock, machines, random.Random(seed)
+        self.clock, self.workers, self.random = clock, workers, random.Random(seed)
         self.listener, self.request_count = CountingListener(clock), 0
         self.engines: list[Engine] = []
         for n in range(count):
             settings = replace(settings, dispatcher=n, dispatcher_count=count, zone=n % zones)
             self.engines.append(create_engine(clock, settings, seed * 1000 + n))
-            self.engines[-1].workers = SimWorkersAdapter(self.engines[-1], machines)
-            self.engines[-1].table.update(ListKind.FULL, machines.endpoints())
-            self._later(n)
+            self.engines[-1].workers = SimWorkersAdapter(self.engines[-1], workers)
+            self.engines[-1].table.update(ListKind.FULL, workers.endpoints())
+            self._schedule_list(n)
 
-    def _later(self, n: int) -> None:
-        self.clock.call_at(self.clock.now + self.random.uniform(*self.LIST_MS), lambda: self._list(n))
+    def _schedule_list(self, n: int) -> None:
+        self.clock.call_at(
+            self.clock.now + self.random.uniform(*self.LIST_INTERVAL_MS), lambda: self._send_list(n)
+        )
 
-    def _list(self, n: int) -> None:
-        entries = self.machines.endpoints()
+    def _send_list(self, n: int) -> None:
+        endpoints = self.workers.endpoints()
         table = self.engines[n].table
-        told = partial(table.update, ListKind.FULL, entries)
-        self.clock.call_at(self.clock.now + self.LIST_LAG_MS, told)
-        self._later(n)
+        update = partial(table.update, ListKind.FULL, endpoints)
+        self.clock.call_at(self.clock.now + self.LIST_DELAY_MS, update)
+        self._schedule_list(n)
 
     def open_request(self, engine: Engine, job_class: int = 0) -> None:
-        """A session comes to one dispatcher."""
+        """Open a request at one dispatcher."""
         self.request_count += 1
         call_id = f"c-{self.request_count}"
         self.listener.arrived_ms[call_id] = self.clock.now
@@ -304,44 +308,44 @@
         engine.open_request(self.listener, call_id, Payload(b"", b""), job_class, deadline_ms)
 
     def start_load(self, per_s: float, until_ms: float, classes: int = 1) -> None:
-        """Sessions come at random, spread over the dispatchers, up to then."""
+        """Open requests at random times, spread over the dispatchers, until a time."""
 
-        def come() -> None:
+        def arrive() -> None:
             self.open_request(self.random.choice(self.engines), self.random.randrange(classes))
-            nearer = self.clock.now + self.random.expovariate(per_s / 1000.0)
-            if nearer < until_ms:
-                self.clock.call_at(nearer, come)
+            next_ms = self.clock.now + self.random.expovariate(per_s / 1000.0)
+            if next_ms < until_ms:
+                self.clock.call_at(next_ms, arrive)
 
-        self.clock.call_at(self.clock.now, come)
+        self.clock.call_at(self.clock.now, arrive)
 
 
 def create_engine(clock: Any, settings: api.Settings, seed: int) -> Engine:
-    """An engine with an empty server table."""
+    """Create an engine with an empty worker table."""
     return Engine(settings, seed, clock, WorkerTable())
 
 
 def resident_kb() -> float:
-    """This process's memory."""
+    """Return the resident memory of this process."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1024.0
 
 
 def percentile(values: list[float], share: float) -> float:
-    """The value that so large a share stays at or under; 0 of nothing."""
+    """Return the value that this share of the values does not exceed; 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
 
 
 def print_figures(figures: Mapping[str, float], aims: Mapping[str, tuple[str, float]]) -> int:
-    """Print the figures with the aim beside each as one line of JSON; 1 if an aim is missed."""
+    """Print the figures with their aims as one line of JSON; return 1 if an aim is missed, else 0."""
     line: dict[str, Any] = {}
     missed = []
     for name, value in figures.items():
         line[name] = round(value, 4)
         if name in aims:
-            sign, aim = aims[name]
-            line[f"{name}_aim"] = f"{sign} {aim:g}"
-            if not (value <= aim if sign == "<=" else value >= aim):
+            comparison, limit = aims[name]
+            line[f"{name}_aim"] = f"{comparison} {limit:g}"
+            if not (value <= limit if comparison == "<=" else value >= limit):
                 missed.append(name)
     line["missed"] = missed
     sys.stdout.flush()
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -101,12 +101,14 @@
                 cached_keys.popitem(last=False)
             run_ms = ((arrival.cost_ms or 0.0) + (0.0 if is_hit else FETCH_MS)) / speed
             run_ms /= self.speed_share(name, SETTINGS, self.clock.now)
-            self.clock.call_at(self.clock.now + self.WIRE_MS, partial(port.engine.on_progress, attempt, None))
-            self.clock.call_at(self.clock.now + run_ms, partial(self._end, port, attempt))
+            self.clock.call_at(
+                self.clock.now + self.NETWORK_DELAY_MS, partial(port.engine.on_progress, attempt, None)
+            )
+            self.clock.call_at(self.clock.now + run_ms, partial(self._end_run, port, attempt))
 
     def _send_response(self, port: SimWorkersAdapter, attempt: Attempt, outcome: Outcome) -> None:
         finish = partial(port.engine.finish_attempt, attempt, outcome, {}, b"done")
-        self.clock.call_at(self.clock.now + self.WIRE_MS, finish)
+        self.clock.call_at(self.clock.now + self.NETWORK_DELAY_MS, finish)
 
 
 class WorkCounter(CountingListener):
