--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -227,10 +227,10 @@
     ) -> None:
         """Do nothing: no job from before a restart runs here."""
 
-    def cancel_job(self, worker: str, call_id: str, on_accepted: Callable[[], None]) -> None:
+    def cancel_job(self, worker: str, call_id: str, on_confirmed: Callable[[], None]) -> None:
         """Do nothing: no job from before a restart runs here."""
 
-    def abandon_job(self, worker: str, call_id: str, on_confirmed: Callable[[], None]) -> bool:
+    def abandon_job(self, worker: str, call_id: str, on_response: Callable[[], None]) -> bool:
         """Do nothing: no job from before a restart runs here."""
         return True
 
