--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -1,10 +1,11 @@
-"""What 10, 100 and 1,024 servers cost: the start of a real dispatcher, its memory, a list, and one decision.
+"""What 10, 100 and 1,024 workers cost: a dispatcher's start and memory, a worker list, and one decision.
 
     .venv/bin/python benchmarks/sizes.py [--quick] [--seed N]
 
-The dispatcher is started as the platform starts it, with an agent on loopback that writes the list indented,
-in pieces of 1,400 bytes; it knows of as many dispatchers as servers. Decisions are those of the module alone
-at a load of 0.6 of its servers' slots, in simulated time; what is measured is the processor time.
+The dispatcher process starts as the platform starts it. An agent on loopback sends it the worker list,
+indented and in chunks of 1,400 bytes; the configuration states as many dispatchers as workers. Decisions are
+made by the decision module in simulated time, at a load of 0.6 of the workers' slots; the figure is the
+processor time.
 """
 
 from __future__ import annotations
@@ -31,9 +32,9 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from tests.ports import reserved_port  # noqa: E402
 
-SIZES = (10, 100, 1024)
-SLOTS, RUN_MS, LOAD = 8, 500.0, 0.6
-PIECE = 1400
+WORKER_COUNTS = (10, 100, 1024)
+SLOTS, MEAN_RUN_MS, LOAD_SHARE = 8, 500.0, 0.6
+CHUNK_BYTES = 1400
 OPTIONS: dict[str, Any] = {
     "services": [
         {"name": "order", "aimMs": 600.0, "hardLimitMs": 10_000.0, "effect": "single_shot", "value": 5.0},
@@ -50,7 +51,7 @@
 
 
 def worker_list_json(count: int, rev: int = 1) -> bytes:
-    """A whole list, indented."""
+    """Return a complete worker list as indented JSON."""
     targets = [
         {
             "uid": f"s-{n:08x}",
@@ -67,75 +68,77 @@
     return json.dumps({"rev": rev, "all": True, "targets": targets}, indent=2).encode() + b"\n"
 
 
-async def started(count: int, folder: Path) -> dict[str, float]:
-    """A real dispatcher that hears of so many servers."""
+async def measure_start(count: int, folder: Path) -> dict[str, float]:
+    """Start a dispatcher process that receives this many workers; return its figures."""
     text = worker_list_json(count)
 
     async def agent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for at in range(0, len(text), PIECE):
-            piece = text[at : at + PIECE]
-            writer.write(b"%x\r\n%s\r\n" % (len(piece), piece))
+        for start in range(0, len(text), CHUNK_BYTES):
+            chunk = text[start : start + CHUNK_BYTES]
+            writer.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
             await writer.drain()
         await reader.read()
 
-    server = await asyncio.start_server(agent, "127.0.0.1", 0)
-    port = server.sockets[0].getsockname()[1]
-    config = folder / "config.json"
-    known = json.loads(worker_list_json(count))
+    agent_server = await asyncio.start_server(agent, "127.0.0.1", 0)
+    port = agent_server.sockets[0].getsockname()[1]
+    config_file = folder / "config.json"
+    cached_list = json.loads(worker_list_json(count))
     limits = {"sockets": 256}
-    config.write_text(
-        json.dumps({"settings": OPTIONS | {"siblings": count}, "seed": "1", "limits": limits, "known": known})
+    config_file.write_text(
+        json.dumps(
+            {"settings": OPTIONS | {"siblings": count}, "seed": "1", "limits": limits, "known": cached_list}
+        )
     )
-    environ = dict(os.environ) | {
+    env = dict(os.environ) | {
         "RELAY_NAME": "n0",
-        "RELAY_CONFIG": str(config),
+        "RELAY_CONFIG": str(config_file),
         "RELAY_LISTEN": f"127.0.0.1:{reserved_port()}",
         "RELAY_DISCOVERY": f"127.0.0.1:{port}",
     }
-    began = time.monotonic()
+    start_s = time.monotonic()
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "grebestack", env=environ, stderr=subprocess.PIPE, limit=1 << 20
+        sys.executable, "-m", "grebestack", env=env, stderr=subprocess.PIPE, limit=1 << 20
     )
     assert process.stderr is not None
     try:
         while b"event=ready" not in (line := await process.stderr.readline()):
             if not line:
-                raise RuntimeError("the dispatcher ended at its start")
-        ready_ms = (time.monotonic() - began) * 1000.0
+                raise RuntimeError("the dispatcher exited before it was ready")
+        ready_ms = (time.monotonic() - start_s) * 1000.0
         assert f"servers={count} live=True".encode() in line, line
         status = Path(f"/proc/{process.pid}/status").read_text()
-        size = {name: int(kb) / 1024.0 for name, kb in re.findall(r"(\w+):\s+(\d+) kB", status)}
+        memory_mb = {name: int(kb) / 1024.0 for name, kb in re.findall(r"(\w+):\s+(\d+) kB", status)}
         return {
             f"ready_ms_{count}": ready_ms,
-            f"own_mb_{count}": size["VmHWM"] - size["RssFile"],
+            f"own_mb_{count}": memory_mb["VmHWM"] - memory_mb["RssFile"],
             f"descriptors_{count}": float(len(os.listdir(f"/proc/{process.pid}/fd"))),
         }
     finally:
         process.kill()
         await process.wait()
-        server.close()
+        agent_server.close()
 
 
-def read_ms(count: int) -> float:
-    """The processor time of one indented list, from its lines to the server table, the best of five."""
-    lines, best = worker_list_json(count).split(b"\n")[:-1], float("inf")
+def list_processing_ms(count: int) -> float:
+    """Return the processor time from the lines of an indented list to the worker table, the best of five."""
+    lines, best_ms = worker_list_json(count).split(b"\n")[:-1], float("inf")
     for _ in range(5):
         objects, reader, table = JsonObjectReader(), WorkerListReader(OPTIONS), WorkerTable()
-        began = time.process_time()
+        start_s = time.process_time()
         for line in lines:
             if (raw := objects.feed_line(line)) is not None:
                 table.update(ListKind.FULL, reader.read_list(raw)[2])
-        best = min(best, (time.process_time() - began) * 1000.0)
+        best_ms = min(best_ms, (time.process_time() - start_s) * 1000.0)
         assert len(table.workers) == count
-    return best
+    return best_ms
 
 
-def decided(count: int, jobs: int, seed: int) -> dict[str, float]:
-    """One dispatcher's module before so many servers: processor time of a job from its coming to its end."""
+def measure_decisions(count: int, jobs: int, seed: int) -> dict[str, float]:
+    """Measure the decision module's processor time per job, from its arrival to its end."""
     clock = SimClock()
-    machines = SimWorkers(clock, seed, count, SLOTS, lambda d, r: r.expovariate(1.0 / RUN_MS))
+    workers = SimWorkers(clock, seed, count, SLOTS, lambda attempt, rng: rng.expovariate(1.0 / MEAN_RUN_MS))
     order = api.JobClass(
         "order", 600, 8000, api.Effect.NOT_IDEMPOTENT, priority_weight=5, objective_stretch=2.5
     )
@@ -149,27 +152,27 @@
         report_fields=frozenset({"free_slots"}),
         tick_ms=5.0,
     )
-    fleet = Fleet(clock, settings, 1, machines, seed, 1)
-    per_s = count * SLOTS / RUN_MS * 1000.0 * LOAD
-    fleet.start_load(per_s, clock.now + jobs / per_s * 1000.0)
-    policy, spent = fleet.engines[0].policy, 0.0
+    fleet = Fleet(clock, settings, 1, workers, seed, 1)
+    jobs_per_s = count * SLOTS / MEAN_RUN_MS * 1000.0 * LOAD_SHARE
+    fleet.start_load(jobs_per_s, clock.now + jobs / jobs_per_s * 1000.0)
+    policy, spent_s = fleet.engines[0].policy, 0.0
     handle = policy.handle
 
-    def timed(now_ms: float, event: api.Event) -> list[api.Action]:
-        nonlocal spent
+    def handle_timed(now_ms: float, event: api.Event) -> list[api.Action]:
+        nonlocal spent_s
         if isinstance(event, api.WorkersListed):
             return handle(now_ms, event)
-        began = time.perf_counter()
+        start_s = time.perf_counter()
         actions = handle(now_ms, event)
-        spent += time.perf_counter() - began
+        spent_s += time.perf_counter() - start_s
         return actions
 
-    policy.handle = timed  # type: ignore[method-assign]
-    clock.advance_to(clock.now + jobs / per_s * 1000.0 + 9000.0)
-    counting: CountingListener = fleet.listener
+    policy.handle = handle_timed  # type: ignore[method-assign]
+    clock.advance_to(clock.now + jobs / jobs_per_s * 1000.0 + 9000.0)
+    listener: CountingListener = fleet.listener
     return {
-        f"job_us_{count}": spent / max(1, fleet.request_count) * 1e6,
-        f"unanswered_{count}": float(fleet.request_count - counting.outcome_counts.total()),
+        f"job_us_{count}": spent_s / max(1, fleet.request_count) * 1e6,
+        f"unanswered_{count}": float(fleet.request_count - listener.outcome_counts.total()),
     }
 
 
@@ -188,17 +191,17 @@
 
 
 def main() -> int:
-    """Measure and print."""
+    """Measure and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     figures: dict[str, float] = {}
-    for count in SIZES:
+    for count in WORKER_COUNTS:
         with tempfile.TemporaryDirectory() as folder:
-            figures |= asyncio.run(started(count, Path(folder)))
-        figures[f"list_ms_{count}"] = read_ms(count)
-        figures |= decided(count, 6000 if options.quick else 40_000, options.seed)
+            figures |= asyncio.run(measure_start(count, Path(folder)))
+        figures[f"list_ms_{count}"] = list_processing_ms(count)
+        figures |= measure_decisions(count, 6000 if options.quick else 40_000, options.seed)
     return print_figures(figures, AIMS)
 
 
