--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,10 +1,11 @@
-"""How soon a runner that turns critical gets nothing more, and what a large fleet's changes cost.
+"""How soon a worker that turns critical gets no more jobs, and what changes of a large service cost.
 
     .venv/bin/python benchmarks/membership.py [--quick] [--seed N]
 
-The flips are played over sockets: the program, two stand-in runners, a stand-in agent with blocking queries.
-From the moment an answer is written, the last new work at the runner that turned critical counts. The fleet's
-changes are read from answers as an agent writes them, by the real source, membership, table and module.
+Status changes run over sockets: the program, two simulated workers, a simulated agent with blocking queries.
+The figure is the time from when the agent has written a response to the last new job at the worker that
+turned critical. The changes of a large service are responses as an agent writes them; the real source,
+membership, worker table and decision module process them.
 """
 
 from __future__ import annotations
@@ -49,8 +50,8 @@
 ORDER = api.JobClass("order", latency_objective_ms=600, deadline_ms=10_000, effect=api.Effect.NOT_IDEMPOTENT)
 
 
-def line(name: str, port: int, status: str = "passing", zone: str = "here") -> dict[str, Any]:
-    """An instance as the health API lists it."""
+def instance_entry(name: str, port: int, status: str = "passing", zone: str = "here") -> dict[str, Any]:
+    """Return an instance as the health API lists it."""
     return {
         "Node": {
             "ID": f"node-{name}",
@@ -77,53 +78,57 @@
     }
 
 
-class Agent:
-    """A stand-in agent: blocking queries by index, and the moment at which each answer was written."""
+class FakeAgent:
+    """A simulated agent: answers blocking queries by index and records when each response was written."""
 
     def __init__(self) -> None:
-        self.index, self.lines = 1, list[dict[str, Any]]()
+        self.index, self.entries = 1, list[dict[str, Any]]()
         self.changed = asyncio.Condition()
-        self.written: dict[int, float] = {}
+        self.written_s: dict[int, float] = {}
 
     async def start(self) -> int:
-        """Listen; the port."""
+        """Listen on a free port and return it."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         port: int = server.sockets[0].getsockname()[1]
         return port
 
-    async def tell(self, lines: list[dict[str, Any]]) -> float:
-        """A change; the time at which it was written to who waits."""
+    async def update(self, entries: list[dict[str, Any]]) -> float:
+        """Change the service; return the time at which the response to the waiting query was written."""
         async with self.changed:
-            self.index, self.lines = self.index + 1, lines
+            self.index, self.entries = self.index + 1, entries
             self.changed.notify_all()
-        while self.index not in self.written:
+        while self.index not in self.written_s:
             await asyncio.sleep(0.0005)
-        return self.written[self.index]
+        return self.written_s[self.index]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                first, _, _ = await read_message(reader)
-                asked = int(first.split("index=")[1].split("&")[0].split()[0]) if "index=" in first else 0
+                request_line, _, _ = await read_message(reader)
+                seen_index = (
+                    int(request_line.split("index=")[1].split("&")[0].split()[0])
+                    if "index=" in request_line
+                    else 0
+                )
                 async with self.changed:
-                    await self.changed.wait_for(lambda asked=asked: self.index != asked)  # type: ignore[misc]
-                index, body = self.index, json.dumps(self.lines).encode()
+                    await self.changed.wait_for(lambda seen_index=seen_index: self.index != seen_index)  # type: ignore[misc]
+                index, body = self.index, json.dumps(self.entries).encode()
                 head = f"HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {len(body)}\r\n\r\n"
                 writer.write(head.encode() + body)
-                self.written[index] = time.monotonic()
+                self.written_s[index] = time.monotonic()
         except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
             writer.close()
 
 
-class Runner:
-    """Answers 202 and calls back at once; notes when each job's first byte came."""
+class FakeWorker:
+    """Answers 202 and calls back at once; records when the first byte of each job arrived."""
 
-    def __init__(self, uid: str, front: int) -> None:
-        self.uid, self.front, self.came = uid, front, list[float]()
-        self.calls: asyncio.Queue[str] = asyncio.Queue()
+    def __init__(self, uid: str, dispatcher_port: int) -> None:
+        self.uid, self.dispatcher_port, self.arrived_s = uid, dispatcher_port, list[float]()
+        self.accepted_jobs: asyncio.Queue[str] = asyncio.Queue()
 
     async def start(self) -> int:
-        """Listen; the port."""
+        """Listen on a free port and return it."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.task = asyncio.create_task(self._call_back())
         port: int = server.sockets[0].getsockname()[1]
@@ -132,13 +137,13 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                first = await reader.readexactly(1)
-                came = time.monotonic()
-                head = (first + await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
+                first_byte = await reader.readexactly(1)
+                arrived_s = time.monotonic()
+                head = (first_byte + await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
                 await reader.readexactly(int(head.split("content-length:")[1].split("\r\n")[0]))
                 if head.startswith("post"):
-                    self.came.append(came)
-                    self.calls.put_nowait(head.split("x-call-id: ")[1].split("\r\n")[0])
+                    self.arrived_s.append(arrived_s)
+                    self.accepted_jobs.put_nowait(head.split("x-call-id: ")[1].split("\r\n")[0])
                     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
                 else:
                     writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
@@ -146,120 +151,122 @@
             writer.close()
 
     async def _call_back(self) -> None:
-        peer = Peer(self.front)
+        peer = Peer(self.dispatcher_port)
         while True:
-            job = await self.calls.get()
-            told = {"id": job, "from": self.uid, "state": "done", "result": "", "load": {"x0": 64}}
-            await peer.ask("POST", "/callback", json.dumps(told).encode())
+            job = await self.accepted_jobs.get()
+            message = {"id": job, "from": self.uid, "state": "done", "result": "", "load": {"x0": 64}}
+            await peer.ask("POST", "/callback", json.dumps(message).encode())
 
 
-async def flips(count: int, seed: int) -> dict[str, float]:
-    """One runner turns critical, again and again, under load; how long new work still reaches it."""
-    front, drmaa, agent = reserved_port(), reserved_port(), Agent()
-    runners = [Runner(f"r-{n}", front) for n in range(2)]
-    ports = [await runner.start() for runner in runners]
+async def measure_status_changes(count: int, seed: int) -> dict[str, float]:
+    """Turn one worker critical again and again under load; measure how long new jobs still reach it."""
+    client_port, drmaa_port, agent = reserved_port(), reserved_port(), FakeAgent()
+    workers = [FakeWorker(f"r-{n}", client_port) for n in range(2)]
+    ports = [await worker.start() for worker in workers]
     statuses = ["passing", "passing"]
 
-    def lines() -> list[dict[str, Any]]:
-        return [line(f"r-{n}", ports[n], statuses[n]) for n in range(2)]
+    def entries() -> list[dict[str, Any]]:
+        return [instance_entry(f"r-{n}", ports[n], statuses[n]) for n in range(2)]
 
-    agent.lines = lines()
-    text = FILE.replace('source = "list"\nlist = [{runners}]', 'source = "consul"\nservice = "job"\n{more}')
-    more = f'address = "127.0.0.1:{await agent.start()}"\n[membership]\nflaps = 1000000'
-    text = text.format(front=front, drmaa=drmaa, more=more)
-    late, failed = list[float](), 0
+    agent.entries = entries()
+    config_text = FILE.replace(
+        'source = "list"\nlist = [{runners}]', 'source = "consul"\nservice = "job"\n{more}'
+    )
+    consul_keys = f'address = "127.0.0.1:{await agent.start()}"\n[membership]\nflaps = 1000000'
+    config_text = config_text.format(front=client_port, drmaa=drmaa_port, more=consul_keys)
+    delays_ms, failed = list[float](), 0
     with tempfile.TemporaryDirectory() as folder:
-        file = Path(folder) / "flips.toml"
-        file.write_text(text)
-        command = [sys.executable, "-m", "grebestack", "--config", str(file), "--log-level", "error"]
+        config_file = Path(folder) / "flips.toml"
+        config_file.write_text(config_text)
+        command = [sys.executable, "-m", "grebestack", "--config", str(config_file), "--log-level", "error"]
         process = await asyncio.create_subprocess_exec(*command)
         stop = asyncio.Event()
-        source = random.Random(seed)
+        rng = random.Random(seed)
 
         async def client(number: int) -> None:
             nonlocal failed
-            peer, sent = Peer(front), 0
+            peer, sent = Peer(client_port), 0
             while not stop.is_set():
                 sent += 1
                 headers = f"X-Call-Id: c{number}-{sent}\r\nX-Call-Class: order\r\nX-Budget: 10\r\n"
                 status, _ = await peer.ask("POST", "/api", b"x", headers)
                 failed += status != 200
-                await asyncio.sleep(source.uniform(0.0, 0.002))
+                await asyncio.sleep(rng.uniform(0.0, 0.002))
 
         try:
-            await ready(front)
+            await ready(client_port)
             clients = [asyncio.create_task(client(n)) for n in range(8)]
             await asyncio.sleep(0.3)
             for flip in range(count):
                 statuses[flip % 2] = "critical"
-                told = await agent.tell(lines())
+                written_s = await agent.update(entries())
                 await asyncio.sleep(0.06)
-                after = [came for came in runners[flip % 2].came if came > told]
-                late.append((max(after) - told) * 1000.0 if after else 0.0)
+                later_s = [at_s for at_s in workers[flip % 2].arrived_s if at_s > written_s]
+                delays_ms.append((max(later_s) - written_s) * 1000.0 if later_s else 0.0)
                 statuses[flip % 2] = "passing"
-                await agent.tell(lines())
+                await agent.update(entries())
                 await asyncio.sleep(0.06)
             stop.set()
             await asyncio.gather(*clients)
         finally:
             process.send_signal(signal.SIGKILL)
             await process.wait()
-    jobs = sum(len(runner.came) for runner in runners)
+    jobs = sum(len(worker.arrived_s) for worker in workers)
     return {
         "flips": float(count),
-        "flip_p50_ms": percentile(late, 0.5),
-        "flip_p99_ms": percentile(late, 0.99),
-        "flip_max_ms": max(late),
+        "flip_p50_ms": percentile(delays_ms, 0.5),
+        "flip_p99_ms": percentile(delays_ms, 0.99),
+        "flip_max_ms": max(delays_ms),
         "flip_jobs": float(jobs),
         "flip_failed": float(failed),
     }
 
 
-class SoonClock:
-    """Real time; what is put off to now is made one call a turn, each turn measured."""
+class ManualClock:
+    """Real time; keeps the calls that are due at once, so that each can be made and timed on its own."""
 
     def __init__(self) -> None:
         self.calls: list[Callable[[], None]] = []
 
     def now_ms(self) -> float:
-        """The time."""
+        """Return the time."""
         return time.monotonic() * 1000.0
 
-    def call_at(self, at_ms: float, call: Callable[[], None]) -> SoonClock:
-        """Keep what is due at once."""
+    def call_at(self, at_ms: float, call: Callable[[], None]) -> ManualClock:
+        """Keep a call that is due at once."""
         if at_ms <= self.now_ms():
             self.calls.append(call)
         return self
 
     def cancel(self) -> None:
-        """Nothing that is due later is made here."""
+        """Do nothing: calls that are due later are never made here."""
 
 
-class NoPools:
-    """No connections: answers are handed in."""
+class FakePools:
+    """Stands for connections; the benchmark supplies the responses."""
 
     def pool(self, address: tuple[str, int]) -> Any:
-        """One that takes whatever is submitted."""
+        """Return a pool that accepts every exchange."""
         return self
 
     address = ("127.0.0.1", 1)
 
     def submit(self, exchange: Any) -> None:
-        """It is answered by the measurement."""
+        """Do nothing: the benchmark supplies the response."""
 
 
 class ConsulFleet:
-    """A service of many instances, read from an agent's answers into a server table."""
+    """A service of many instances, read from an agent's responses into a worker table."""
 
     def __init__(self, count: int) -> None:
-        self.clock: Any = SoonClock()
+        self.clock: Any = ManualClock()
         settings = api.Settings(classes=(ORDER,))
         self.engine = Engine(settings, 1, self.clock, WorkerTable())
         self.engine.workers = self  # type: ignore[assignment]
-        settings_of = MembershipSettings(max_flaps=1_000_000)
-        self.roster = MembershipAdapter(settings_of, self.clock, self.engine.table)
-        (listing,) = self.roster.replace_sources(["consul job"], 60_000.0, "")
-        pools: Any = NoPools()
+        membership_settings = MembershipSettings(max_flaps=1_000_000)
+        self.membership = MembershipAdapter(membership_settings, self.clock, self.engine.table)
+        (receiver,) = self.membership.replace_sources(["consul job"], 60_000.0, "")
+        pools: Any = FakePools()
         self.watch = ServiceWatch(
             pools,
             self.clock,
@@ -267,102 +274,105 @@
             ServiceQuery("job"),
             TokenFile(""),
             InstanceReader({"zones": ["here"]}, ReaderOptions()),
-            listing,
+            receiver,
         )
         self.watch.start()
-        self.raw = [json.dumps(line(f"s-{n}", 1 + n)).encode() for n in range(count)]
-        self.index, self.longest_ms = 1, 0.0
+        self.raw = [json.dumps(instance_entry(f"s-{n}", 1 + n)).encode() for n in range(count)]
+        self.index, self.max_turn_ms = 1, 0.0
 
     def apply_answer(self, changed: list[int], status: str) -> float:
-        """An answer in which some have changed; the CPU that it costs, in ms."""
+        """Process a response in which some instances have changed; return the CPU time in ms."""
         for n in changed:
-            self.raw[n] = json.dumps(line(f"s-{n}", 1 + n, status)).encode()
+            self.raw[n] = json.dumps(instance_entry(f"s-{n}", 1 + n, status)).encode()
         self.index += 1
         body = b"[" + b",".join(self.raw) + b"]"
         response = Response(200, {b"x-consul-index": b"%d" % self.index}, body)
         exchange = self.watch.exchange
         assert isinstance(exchange, QueryExchange)
-        began, cpu = time.perf_counter(), time.process_time()
+        start_s, cpu_start_s = time.perf_counter(), time.process_time()
         exchange.on_response(response)
-        self._note(began)
+        self._record_turn(start_s)
         while self.clock.calls:
-            began = time.perf_counter()
+            start_s = time.perf_counter()
             self.clock.calls.pop(0)()
-            self._note(began)
-        return (time.process_time() - cpu) * 1000.0
+            self._record_turn(start_s)
+        return (time.process_time() - cpu_start_s) * 1000.0
 
-    def change(self, rounds: int) -> float:
-        """CPU in us for one server that a source says has changed, from its word to the decision module."""
+    def measure_change_us(self, rounds: int) -> float:
+        """Return the CPU time in us that one changed worker takes, from the report to the decision module."""
         name, states = "s-7", (ReportedState.CRITICAL, ReportedState.READY)
-        report = self.roster.members.sources["consul job"].reports[name]
-        began = time.process_time()
+        report = self.membership.members.sources["consul job"].reports[name]
+        start_s = time.process_time()
         for n in range(rounds):
             changed = (replace(report, state=states[n % 2]),)
-            self.roster.handle_event(SourceUpdated("consul job", changed, is_complete=False))
-        return (time.process_time() - began) / rounds * 1e6
+            self.membership.handle_event(SourceUpdated("consul job", changed, is_complete=False))
+        return (time.process_time() - start_s) / rounds * 1e6
 
-    def _note(self, began: float) -> None:
-        self.longest_ms = max(self.longest_ms, (time.perf_counter() - began) * 1000.0)
+    def _record_turn(self, start_s: float) -> None:
+        self.max_turn_ms = max(self.max_turn_ms, (time.perf_counter() - start_s) * 1000.0)
 
 
-def fleet(seed: int, rounds: int) -> dict[str, float]:
-    """What answers of 1,000 and 10,000 instances cost, with one changed and with 1% changed."""
-    source, one, change = random.Random(seed), {}, {}
+def measure_large_service(seed: int, rounds: int) -> dict[str, float]:
+    """Measure the cost of responses with 1,000 and 10,000 instances, with one changed and with 1% changed."""
+    rng, answer_ms, change_us = random.Random(seed), {}, {}
     for count in (1000, 10_000):
-        made = ConsulFleet(count)
-        made.apply_answer([], "passing")
-        assert len(made.engine.table.workers) == count
-        made.longest_ms = 0.0
+        service = ConsulFleet(count)
+        service.apply_answer([], "passing")
+        assert len(service.engine.table.workers) == count
+        service.max_turn_ms = 0.0
         gc.collect()
         gc.freeze()
-        costs = [
-            made.apply_answer([source.randrange(count)], ("critical", "passing")[n % 2])
+        costs_ms = [
+            service.apply_answer([rng.randrange(count)], ("critical", "passing")[n % 2])
             for n in range(rounds)
         ]
-        one[count] = percentile(costs, 0.5)
-        change[count] = min(made.change(200) for _ in range(3))
-    one_longest = made.longest_ms
-    made.longest_ms = 0.0
-    churn = []
+        answer_ms[count] = percentile(costs_ms, 0.5)
+        change_us[count] = min(service.measure_change_us(200) for _ in range(3))
+    one_change_max_turn_ms = service.max_turn_ms
+    service.max_turn_ms = 0.0
+    churn_costs_ms = []
     for n in range(rounds):
-        changed = source.sample(range(10_000), 100)
-        churn.append(made.apply_answer(changed, ("critical", "passing")[n % 2]))
-    cost = sum(churn) / rounds
-    rests = AgentSettings((("127.0.0.1", 1),))
-    pause = max(rests.min_interval_ms, min(rests.max_pause_ms, rests.pause_per_read_time * cost))
+        changed = rng.sample(range(10_000), 100)
+        churn_costs_ms.append(service.apply_answer(changed, ("critical", "passing")[n % 2]))
+    churn_ms = sum(churn_costs_ms) / rounds
+    agent_settings = AgentSettings((("127.0.0.1", 1),))
+    pause_ms = max(
+        agent_settings.min_interval_ms,
+        min(agent_settings.max_pause_ms, agent_settings.pause_per_read_time * churn_ms),
+    )
     return {
-        "answer_ms_at_1000": one[1000],
-        "answer_ms_at_10000": one[10_000],
-        "change_us_at_1000": change[1000],
-        "change_us_at_10000": change[10_000],
-        "change_growth": change[10_000] / change[1000],
-        "churn_answer_ms": cost,
-        "churn_answers_per_s": 1000.0 / (cost + pause),
-        "churn_core_share": cost / (cost + pause),
-        "longest_turn_ms": max(one_longest, made.longest_ms),
+        "answer_ms_at_1000": answer_ms[1000],
+        "answer_ms_at_10000": answer_ms[10_000],
+        "change_us_at_1000": change_us[1000],
+        "change_us_at_10000": change_us[10_000],
+        "change_growth": change_us[10_000] / change_us[1000],
+        "churn_answer_ms": churn_ms,
+        "churn_answers_per_s": 1000.0 / (churn_ms + pause_ms),
+        "churn_core_share": churn_ms / (churn_ms + pause_ms),
+        "longest_turn_ms": max(one_change_max_turn_ms, service.max_turn_ms),
     }
 
 
-def herd(seed: int) -> float:
-    """Fifty watchers of an agent that restarts: the most that come back within a tenth of the window."""
-    times = []
+def max_reconnect_share(seed: int) -> float:
+    """Return the largest share of 50 watchers that retry a restarted agent within a tenth of the window."""
+    retries_ms = []
     for n in range(50):
         agents = AgentSelector(AgentSettings((("127.0.0.1", 1),)), random.Random(f"{seed} {n}"))
         for _ in range(6):
             agents.on_failure(0.0, 0, "restart")
-        times.append(agents.select(0.0)[1])
-    return max(sum(at <= t < at + 800.0 for t in times) for at in times) / len(times)
+        retries_ms.append(agents.select(0.0)[1])
+    return max(sum(at <= t < at + 800.0 for t in retries_ms) for at in retries_ms) / len(retries_ms)
 
 
 def main() -> int:
-    """Measure and print."""
-    parser = argparse.ArgumentParser(description="Membership: flips, and a large fleet.")
-    parser.add_argument("--quick", action="store_true", help="45 s at the most")
+    """Measure and print the figures."""
+    parser = argparse.ArgumentParser(description="Membership: status changes, and a large service.")
+    parser.add_argument("--quick", action="store_true", help="at most 45 s")
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    figures = fleet(options.seed, 10 if options.quick else 60)
-    figures["herd_share_in_a_tenth"] = herd(options.seed)
-    figures |= uvloop.run(flips(100 if options.quick else 200, options.seed))
+    figures = measure_large_service(options.seed, 10 if options.quick else 60)
+    figures["herd_share_in_a_tenth"] = max_reconnect_share(options.seed)
+    figures |= uvloop.run(measure_status_changes(100 if options.quick else 200, options.seed))
     return print_figures(figures, AIMS)
 
 
