--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -1,11 +1,11 @@
-"""Sums the logs of many dispatchers, second by second: what is harmless in one may not be in all.
+"""Sums the logs of many dispatchers by second: a load that is harmless in one may not be in all together.
 
     .venv/bin/python benchmarks/fleet_counts.py FOLDER [--slots 8]
     .venv/bin/python benchmarks/fleet_counts.py [--quick] [--seed N]
 
-FOLDER holds one log a dispatcher (`*.log`); lines of `event=tally` are read, with or without the seconds
-since the start before them. Without a folder the fleet of tests/test_many_dispatchers.py is played in
-simulated time: 24 dispatchers, 30 runners, six in ten of them replaced.
+FOLDER holds one log per dispatcher (`*.log`); lines with `event=tally` are read, whether or not the seconds
+since the start precede them. Without a folder the fleet of tests/test_many_dispatchers.py runs in simulated
+time: 24 dispatchers and 30 workers, six in ten of which are replaced.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 from grebestack.core import api
 
-PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
-SHOWN = (
+KEY_VALUE = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
+COLUMNS = (
     "sessions",
     "dispatches",
     "ok",
@@ -39,51 +39,55 @@
 
 
 class TrafficTotals:
-    """Sums over the fleet, by second."""
+    """Traffic counts of all dispatchers together, by second."""
 
     def __init__(self) -> None:
         self.seconds: dict[int, Counter[str]] = defaultdict(Counter)
-        self.open_jobs: dict[int, Counter[str]] = defaultdict(Counter)  # jobs at each server
+        self.open_jobs: dict[int, Counter[str]] = defaultdict(Counter)  # by second, jobs at each worker
 
     def add_line(self, text: str) -> None:
-        """Take one line of a log; others than tallies are passed over."""
+        """Add a line of a log; lines other than tallies are ignored."""
         if "event=tally" not in text:
             return
-        pairs = {name: value.strip('"') for name, value in PAIR.findall(text)}
-        second = int(datetime.fromisoformat(pairs["ts"].replace("Z", "+00:00")).timestamp())
-        for name in SHOWN:
-            self.seconds[second][name] += int(pairs.get(name, 0))
-        if "out" in pairs:
-            for part in pairs["out"].split(","):
-                server, _, number = part.rpartition(":")
-                self.open_jobs[second][server] += int(number)
+        fields = {name: value.strip('"') for name, value in KEY_VALUE.findall(text)}
+        second = int(datetime.fromisoformat(fields["ts"].replace("Z", "+00:00")).timestamp())
+        for name in COLUMNS:
+            self.seconds[second][name] += int(fields.get(name, 0))
+        if "out" in fields:
+            for part in fields["out"].split(","):
+                worker, _, number = part.rpartition(":")
+                self.open_jobs[second][worker] += int(number)
 
     def print_table(self, slots: int) -> dict[str, float]:
-        """Print a row a second; returns the figures of the whole."""
+        """Print a row per second; return the figures of the whole period."""
         if not self.seconds:
-            raise SystemExit("no line of event=tally in these logs")
+            raise SystemExit("no line with event=tally in these logs")
         first = min(self.seconds)
-        print("second " + " ".join(f"{name[:10]:>10}" for name in SHOWN) + "    busiest runners   over slots")
+        print(
+            "second " + " ".join(f"{name[:10]:>10}" for name in COLUMNS) + "    busiest workers   over slots"
+        )
         for second in sorted(self.seconds):
-            row, out = self.seconds[second], self.open_jobs[second]
-            top = ",".join(str(number) for _, number in out.most_common(4))
-            over = sum(max(0, number - slots) for number in out.values())
-            cells = " ".join(f"{row[name]:>10}" for name in SHOWN)
-            print(f"{second - first:>6} {cells} {top:>18} {over:>12}")
+            row, open_jobs = self.seconds[second], self.open_jobs[second]
+            busiest = ",".join(str(number) for _, number in open_jobs.most_common(4))
+            excess = sum(max(0, number - slots) for number in open_jobs.values())
+            cells = " ".join(f"{row[name]:>10}" for name in COLUMNS)
+            print(f"{second - first:>6} {cells} {busiest:>18} {excess:>12}")
         total = sum(self.seconds.values(), Counter[str]())
         return {
             "sessions": total["sessions"],
             "dispatches_each": total["dispatches"] / max(1, total["sessions"]),
-            "most_at_a_runner": max((max(out.values()) for out in self.open_jobs.values() if out), default=0),
+            "most_at_a_runner": max(
+                (max(open_jobs.values()) for open_jobs in self.open_jobs.values() if open_jobs), default=0
+            ),
             "most_list_calls_s": max(row["list_calls"] for row in self.seconds.values()),
             "most_not_up_s": max(row["not_up"] for row in self.seconds.values()),
         }
 
 
-def played(seed: int, seconds: float) -> dict[str, float]:
-    """The figures of a simulated fleet of which six runners in ten are replaced."""
+def simulate(seed: int, seconds: float) -> dict[str, float]:
+    """Return the figures of a simulated fleet in which six in ten workers are replaced."""
     clock = SimClock()
-    machines = SimWorkers(clock, seed, 30, 8, lambda d, r: r.uniform(300.0, 900.0), 3)
+    workers = SimWorkers(clock, seed, 30, 8, lambda attempt, rng: rng.uniform(300.0, 900.0), 3)
     order = api.JobClass(
         "order", 600, 8000, api.Effect.NOT_IDEMPOTENT, priority_weight=5, objective_stretch=2.5
     )
@@ -98,22 +102,22 @@
         report_fields=frozenset({"free_slots"}),
         tick_ms=5.0,
     )
-    fleet = Fleet(clock, settings, 24, machines, seed, 3)
+    fleet = Fleet(clock, settings, 24, workers, seed, 3)
     fleet.start_load(260.0, clock.now + seconds * 1000.0)
-    peak, until = 0.0, clock.now + seconds * 1000.0
-    while clock.now < until + 9000.0:
+    peak_slots, end_ms = 0.0, clock.now + seconds * 1000.0
+    while clock.now < end_ms + 9000.0:
         clock.advance_to(clock.now + 200.0)
-        peak = max(peak, *(machines.used_slots(name) for name in machines.free_slots))
+        peak_slots = max(peak_slots, *(workers.used_slots(name) for name in workers.free_slots))
         for n in range(18):
-            if f"s-{n}" in machines.zones and clock.now > 3000.0 + 300.0 * n:
-                machines.replace(f"s-{n}")
-    ends = fleet.listener.outcome_counts
+            if f"s-{n}" in workers.zones and clock.now > 3000.0 + 300.0 * n:
+                workers.replace(f"s-{n}")
+    outcome_counts = fleet.listener.outcome_counts
     return {
         "sessions": fleet.request_count,
-        "unanswered": fleet.request_count - ends.total(),
-        "in_time": (ends["served"] - fleet.listener.late_count) / fleet.request_count,
-        "most_at_a_runner": peak,
-        "dispatches_each": len(machines.arrivals) / fleet.request_count,
+        "unanswered": fleet.request_count - outcome_counts.total(),
+        "in_time": (outcome_counts["served"] - fleet.listener.late_count) / fleet.request_count,
+        "most_at_a_runner": peak_slots,
+        "dispatches_each": len(workers.arrivals) / fleet.request_count,
     }
 
 
@@ -126,7 +130,7 @@
 
 
 def main() -> int:
-    """Count logs, or play a fleet."""
+    """Sum logs, or simulate a fleet."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("folder", nargs="?", type=Path)
     parser.add_argument("--slots", type=int, default=8)
@@ -134,13 +138,13 @@
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     if options.folder is None:
-        return print_figures(played(options.seed, 14.0 if options.quick else 60.0), AIMS)
-    counts = TrafficTotals()
+        return print_figures(simulate(options.seed, 14.0 if options.quick else 60.0), AIMS)
+    totals = TrafficTotals()
     for path in sorted(options.folder.glob("*.log")):
         with path.open(errors="replace") as lines:
             for text in lines:
-                counts.add_line(text)
-    return print_figures(counts.print_table(options.slots), {})
+                totals.add_line(text)
+    return print_figures(totals.print_table(options.slots), {})
 
 
 if __name__ == "__main__":
