--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -1,10 +1,11 @@
-"""What operators do to a running dispatcher, under load: calls, bans, a drain, upgrades.
+"""Operations on a running dispatcher under load: admin commands, cordons, a drain, upgrades.
 
     .venv/bin/python benchmarks/operations.py [--quick] [--seed N]
 
-Played over sockets: the program on a listening socket that this process holds, as a platform would, stand-in
-runners and a stand-in discovery, and clients that keep their connections and never send anything twice. A job
-that meets a refused, reset or unread connection is met; one without an answer is lost.
+Runs over sockets: the program on a listening socket that this process holds, as a platform would, simulated
+workers, a simulated source of the worker list, and clients that keep their connections and never retry. The
+figure `jobs_met` counts jobs whose connection was refused, reset or closed early; `jobs_lost` counts jobs
+without a response.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
     "jobs_lost": ("<=", 0.0),
     "ran_twice": ("<=", 0.0),
 }
-RUNNERS, RATE_PER_S, CLIENTS = 5, 60.0, 24
+WORKERS, RATE_PER_S, CLIENTS = 5, 60.0, 24
 SETTINGS = {
     "services": [
         {"name": "order", "aimMs": 600.0, "hardLimitMs": 5000.0, "effect": "single_shot", "value": 5.0}
@@ -59,33 +60,33 @@
 }
 
 
-class Arrivals(deque[str]):
-    """A runner's queue that remembers when jobs came."""
+class TimedQueue(deque[str]):
+    """A worker's queue that records when jobs arrived."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.times: list[float] = []
+        self.arrived_s: list[float] = []
 
     def append(self, job: str) -> None:
-        self.times.append(time.monotonic())
+        self.arrived_s.append(time.monotonic())
         super().append(job)
 
 
-class Watched(Runner):
-    """A runner that remembers when jobs came."""
+class TimedWorker(Runner):
+    """A worker that records when jobs arrived."""
 
-    def __init__(self, uid: str, front: int, runs: Counter[str]) -> None:
-        super().__init__(uid, front, runs)
-        self.queue = self.arrivals = Arrivals()
+    def __init__(self, uid: str, dispatcher_port: int, run_counts: Counter[str]) -> None:
+        super().__init__(uid, dispatcher_port, run_counts)
+        self.queue = self.timed_queue = TimedQueue()
 
     @property
-    def came(self) -> list[float]:
-        """When jobs came, whole."""
-        return self.arrivals.times
+    def arrived_s(self) -> list[float]:
+        """The times at which complete jobs arrived."""
+        return self.timed_queue.arrived_s
 
 
-async def discovery(targets: list[dict[str, Any]]) -> int:
-    """A list that never changes; the port."""
+async def start_list_source(targets: list[dict[str, Any]]) -> int:
+    """Serve a worker list that never changes; return the port."""
     line = json.dumps({"rev": 1, "all": True, "targets": targets}).encode() + b"\n"
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -104,222 +105,238 @@
     return port
 
 
-async def say(door: int, line: str) -> tuple[str, float]:
-    """One call; the answer and how long it took, in milliseconds."""
-    began = time.monotonic()
-    reader, writer = await asyncio.open_connection("127.0.0.1", door)
+async def send_command(admin_port: int, line: str) -> tuple[str, float]:
+    """Send one admin command; return the response and how long it took, in milliseconds."""
+    start_s = time.monotonic()
+    reader, writer = await asyncio.open_connection("127.0.0.1", admin_port)
     writer.write(line.encode() + b"\n")
-    answer = (await reader.read()).decode()
+    response = (await reader.read()).decode()
     writer.close()
-    return answer, (time.monotonic() - began) * 1000.0
+    return response, (time.monotonic() - start_s) * 1000.0
 
 
-class Site:
-    """The dispatcher's processes, its clients and all round it."""
+class Deployment:
+    """The dispatcher's processes with its clients, its workers and the source of its worker list."""
 
     def __init__(self, folder: str, seed: int) -> None:
         self.folder, self.random = Path(folder), random.Random(seed)
-        self.front, self.runs = reserved_port(), Counter[str]()
-        self.held = socket.create_server(("127.0.0.1", self.front), backlog=512)
-        self.runners = [Watched(f"r-{n}", self.front, self.runs) for n in range(RUNNERS)]
+        self.client_port, self.run_counts = reserved_port(), Counter[str]()
+        self.listening_socket = socket.create_server(("127.0.0.1", self.client_port), backlog=512)
+        self.workers = [TimedWorker(f"r-{n}", self.client_port, self.run_counts) for n in range(WORKERS)]
         self.processes: list[subprocess.Popen[bytes]] = []
-        self.idle = [Peer(self.front) for _ in range(CLIENTS)]
-        self.all = list(self.idle)
-        self.answers: Counter[int] = Counter()
-        self.met = self.lost = self.number = 0
+        self.idle_peers = [Peer(self.client_port) for _ in range(CLIENTS)]
+        self.all_peers = list(self.idle_peers)
+        self.status_counts: Counter[int] = Counter()
+        self.disconnected_count = self.lost_count = self.job_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
-        self.flowing = True
+        self.sends_jobs = True
 
-    async def begin(self) -> int:
-        """Start all but the load; the door's port."""
+    async def start_all(self) -> int:
+        """Start everything but the load; return the admin port."""
         targets = [
-            {"uid": r.uid, "endpoint": f"127.0.0.1:{await r.start()}", "model": "c4", "state": "Ready"}
-            for r in self.runners
+            {
+                "uid": worker.uid,
+                "endpoint": f"127.0.0.1:{await worker.start()}",
+                "model": "c4",
+                "state": "Ready",
+            }
+            for worker in self.workers
         ]
-        self.source = await discovery(targets)
+        self.list_source_port = await start_list_source(targets)
         (self.folder / "config.json").write_text(
             json.dumps({"settings": SETTINGS, "seed": "5", "limits": {"sockets": 256}})
         )
-        return (await self.start())[0]
+        return (await self.start_process())[0]
 
-    async def start(self) -> tuple[int, float]:
-        """Start a process beside what runs; its door, and milliseconds until it says that it is ready."""
-        door, began = reserved_port(), time.monotonic()
-        environ = {
+    async def start_process(self) -> tuple[int, float]:
+        """Start one more process; return its admin port and the milliseconds until it reports ready."""
+        admin_port, start_s = reserved_port(), time.monotonic()
+        env = {
             "RELAY_NAME": "n0",
             "RELAY_CONFIG": str(self.folder / "config.json"),
             "TMPDIR": str(self.folder),
-            "RELAY_LISTEN": f"127.0.0.1:{self.front}",
-            "RELAY_LISTEN_FD": str(self.held.fileno()),
-            "RELAY_DISCOVERY": f"127.0.0.1:{self.source}",
-            "RELAY_CONTROL": f"127.0.0.1:{door}",
+            "RELAY_LISTEN": f"127.0.0.1:{self.client_port}",
+            "RELAY_LISTEN_FD": str(self.listening_socket.fileno()),
+            "RELAY_DISCOVERY": f"127.0.0.1:{self.list_source_port}",
+            "RELAY_CONTROL": f"127.0.0.1:{admin_port}",
         }
         with open(self.folder / "log", "ab") as log:
             self.processes.append(
                 subprocess.Popen(
                     [sys.executable, "-m", "grebestack"],
-                    env=os.environ | environ,
+                    env=os.environ | env,
                     stderr=log,
-                    pass_fds=[self.held.fileno()],
+                    pass_fds=[self.listening_socket.fileno()],
                 )
             )
-        while time.monotonic() < began + 20.0:
+        while time.monotonic() < start_s + 20.0:
             try:
-                if (await say(door, "health"))[0].startswith("SUCCESS"):
-                    return door, (time.monotonic() - began) * 1000.0
+                if (await send_command(admin_port, "health"))[0].startswith("SUCCESS"):
+                    return admin_port, (time.monotonic() - start_s) * 1000.0
             except OSError:
                 pass
             await asyncio.sleep(0.01)
         raise TimeoutError((self.folder / "log").read_text()[-2000:])
 
-    async def _job(self) -> None:
-        self.number += 1
-        peer = self.idle.pop(0) if self.idle else Peer(self.front)
-        if peer not in self.all:
-            self.all.append(peer)
-        headers = f"X-Call-Id: j{self.number}\r\nX-Call-Class: order\r\nX-Budget: 5\r\n"
+    async def _run_job(self) -> None:
+        self.job_count += 1
+        peer = self.idle_peers.pop(0) if self.idle_peers else Peer(self.client_port)
+        if peer not in self.all_peers:
+            self.all_peers.append(peer)
+        headers = f"X-Call-Id: j{self.job_count}\r\nX-Call-Class: order\r\nX-Budget: 5\r\n"
         try:
             async with asyncio.timeout(8.0):
                 status, _ = await peer.ask("POST", "/api", b"500 l", headers)
-            self.answers[status] += 1
-            self.idle.append(peer)
+            self.status_counts[status] += 1
+            self.idle_peers.append(peer)
         except TimeoutError:
-            self.lost += 1
+            self.lost_count += 1
         except (OSError, asyncio.IncompleteReadError):
-            self.met += 1
+            self.disconnected_count += 1
 
-    async def load(self) -> None:
-        """Jobs at a steady mean, whatever becomes of them."""
-        due = time.monotonic()
+    async def run_load(self) -> None:
+        """Send jobs at random times with a constant mean rate, whatever their outcome."""
+        due_s = time.monotonic()
         while True:
-            due += self.random.expovariate(RATE_PER_S)
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
-            if self.flowing:
-                task = asyncio.create_task(self._job())
+            due_s += self.random.expovariate(RATE_PER_S)
+            await asyncio.sleep(max(0.0, due_s - time.monotonic()))
+            if self.sends_jobs:
+                task = asyncio.create_task(self._run_job())
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
 
-    async def settle(self) -> None:
-        """Until no job is under way."""
-        self.flowing = False
+    async def wait_for_jobs(self) -> None:
+        """Stop sending jobs and wait until all have ended."""
+        self.sends_jobs = False
         while self.tasks:
             await asyncio.wait(self.tasks)
 
     def close(self) -> None:
-        """End what was started."""
+        """Kill the processes that still run and close the listening socket."""
         for process in self.processes:
             if process.poll() is None:
                 process.kill()
             process.wait()
-        self.held.close()
+        self.listening_socket.close()
 
 
-async def calls(site: Site, door: int, seconds: float) -> dict[str, float]:
-    """The door under load, beside callers that say nothing or half a line."""
-    took, wrong, until = list[float](), 0, time.monotonic() + seconds
-    silent = [await asyncio.open_connection("127.0.0.1", door) for _ in range(12)]
-    for n, (_, writer) in enumerate(silent):
+async def measure_commands(deployment: Deployment, admin_port: int, seconds: float) -> dict[str, float]:
+    """Send admin commands under load, beside connections that send nothing or half a line."""
+    taken_ms, wrong_count, end_s = list[float](), 0, time.monotonic() + seconds
+    stalled = [await asyncio.open_connection("127.0.0.1", admin_port) for _ in range(12)]
+    for n, (_, writer) in enumerate(stalled):
         writer.write((b"", b"cordon r-", b"\xff\0")[n % 3])
-    while time.monotonic() < until:
-        for line, word in (("health", "SUCCESS"), ("cordon nobody", "FAILURE"), ("nonsense", "FAILURE")):
-            answer, ms = await say(door, line)
-            took.append(ms)
-            wrong += not answer.startswith(word)
+    while time.monotonic() < end_s:
+        for line, expected in (("health", "SUCCESS"), ("cordon nobody", "FAILURE"), ("nonsense", "FAILURE")):
+            response, ms = await send_command(admin_port, line)
+            taken_ms.append(ms)
+            wrong_count += not response.startswith(expected)
         await asyncio.sleep(0.02)
-    for _, writer in silent:
+    for _, writer in stalled:
         writer.close()
-    return {"door_max_ms": max(took), "door_p99_ms": percentile(took, 0.99), "wrong_answers": float(wrong)}
+    return {
+        "door_max_ms": max(taken_ms),
+        "door_p99_ms": percentile(taken_ms, 0.99),
+        "wrong_answers": float(wrong_count),
+    }
 
 
-async def bans(site: Site, door: int, rounds: int) -> dict[str, float]:
-    """From a SUCCESS to the last job at that runner, and from the call back to the first."""
-    last, first = 0.0, 0.0
+async def measure_cordons(deployment: Deployment, admin_port: int, rounds: int) -> dict[str, float]:
+    """Measure from `cordon` to the last job at that worker, and from `uncordon` to the first."""
+    last_ms, first_ms = 0.0, 0.0
     for n in range(rounds):
-        runner = site.runners[n % RUNNERS]
-        assert (await say(door, f"cordon {runner.uid}"))[0].startswith("SUCCESS")
-        said = time.monotonic()
+        worker = deployment.workers[n % WORKERS]
+        assert (await send_command(admin_port, f"cordon {worker.uid}"))[0].startswith("SUCCESS")
+        success_s = time.monotonic()
         await asyncio.sleep(0.8)
-        last = max([last, *((at - said) * 1000.0 for at in runner.came if at > said)])
-        assert (await say(door, f"uncordon {runner.uid}"))[0].startswith("SUCCESS")
-        said = time.monotonic()
-        while not any(at > said for at in runner.came) and time.monotonic() < said + 6.0:
+        last_ms = max([last_ms, *((at - success_s) * 1000.0 for at in worker.arrived_s if at > success_s)])
+        assert (await send_command(admin_port, f"uncordon {worker.uid}"))[0].startswith("SUCCESS")
+        success_s = time.monotonic()
+        while not any(at > success_s for at in worker.arrived_s) and time.monotonic() < success_s + 6.0:
             await asyncio.sleep(0.005)
-        first = max(first, (time.monotonic() - said) * 1000.0)
-    return {"cordon_last_byte_ms": last, "uncordon_first_job_ms": first}
-
-
-async def drain(site: Site, door: int) -> dict[str, float]:
-    """From `quiesce` to the end of the last client's connection, and from `resume` to ready."""
-    assert (await say(door, "quiesce"))[0].startswith("SUCCESS")
-    said = time.monotonic()
-    await asyncio.sleep(0.3)  # the front still deals out connections for so long
-    await site.settle()
-    kept = [peer for peer in site.all if peer.writer is not None and not peer.writer.is_closing()]
-    for peer in kept:
+        first_ms = max(first_ms, (time.monotonic() - success_s) * 1000.0)
+    return {"cordon_last_byte_ms": last_ms, "uncordon_first_job_ms": first_ms}
+
+
+async def measure_drain(deployment: Deployment, admin_port: int) -> dict[str, float]:
+    """Measure from `quiesce` to the close of the last client connection, and from `resume` to ready."""
+    assert (await send_command(admin_port, "quiesce"))[0].startswith("SUCCESS")
+    success_s = time.monotonic()
+    await asyncio.sleep(0.3)  # new connections may still reach the dispatcher for this long
+    await deployment.wait_for_jobs()
+    open_peers = [
+        peer for peer in deployment.all_peers if peer.writer is not None and not peer.writer.is_closing()
+    ]
+    for peer in open_peers:
         assert peer.reader is not None
         async with asyncio.timeout(10.0):
             await peer.reader.read()
-    quiet = (time.monotonic() - said) * 1000.0
-    site.idle, site.all = [], []
-    answer, ms = await say(door, "resume")
-    said = time.monotonic()
-    assert answer == "SUCCESS serving\n"
-    while (await Peer(site.front).ask("GET", "/health/ready"))[0] != 200:
+    closed_ms = (time.monotonic() - success_s) * 1000.0
+    deployment.idle_peers, deployment.all_peers = [], []
+    response, ms = await send_command(admin_port, "resume")
+    success_s = time.monotonic()
+    assert response == "SUCCESS serving\n"
+    while (await Peer(deployment.client_port).ask("GET", "/health/ready"))[0] != 200:
         await asyncio.sleep(0.005)
-    site.flowing = True
-    return {"quiesce_last_client_ms": quiet, "resume_ready_ms": ms + (time.monotonic() - said) * 1000.0}
+    deployment.sends_jobs = True
+    return {
+        "quiesce_last_client_ms": closed_ms,
+        "resume_ready_ms": ms + (time.monotonic() - success_s) * 1000.0,
+    }
 
 
-async def upgrades(site: Site, rounds: int) -> dict[str, float]:
-    """One process after the other takes over under load."""
-    ready, left = list[float](), list[float]()
-    met, lost = site.met, site.lost
+async def measure_upgrades(deployment: Deployment, rounds: int) -> dict[str, float]:
+    """Let one new process after the other take over under load."""
+    ready_ms, exit_ms = list[float](), list[float]()
+    disconnected_before, lost_before = deployment.disconnected_count, deployment.lost_count
     for _ in range(rounds):
-        old = site.processes[-1]
-        ready.append((await site.start())[1])
+        old = deployment.processes[-1]
+        ready_ms.append((await deployment.start_process())[1])
         old.send_signal(signal.SIGTERM)
-        began = time.monotonic()
+        start_s = time.monotonic()
         while old.poll() is None:
             await asyncio.sleep(0.01)
-        assert old.returncode == 0, "the old process did not end by itself"
-        left.append((time.monotonic() - began) * 1000.0)
+        assert old.returncode == 0, "the old process did not exit on its own"
+        exit_ms.append((time.monotonic() - start_s) * 1000.0)
         await asyncio.sleep(0.5)
     return {
         "upgrades": float(rounds),
-        "upgrade_ready_max_ms": max(ready),
-        "old_left_max_ms": max(left),
-        "jobs_met": float(site.met - met),
-        "jobs_lost": float(site.lost - lost),
+        "upgrade_ready_max_ms": max(ready_ms),
+        "old_left_max_ms": max(exit_ms),
+        "jobs_met": float(deployment.disconnected_count - disconnected_before),
+        "jobs_lost": float(deployment.lost_count - lost_before),
     }
 
 
 async def measure(quick: bool, seed: int) -> dict[str, float]:
-    """All of it, on one site."""
+    """Run all measurements on one deployment."""
     with tempfile.TemporaryDirectory() as folder:
-        site = Site(folder, seed)
+        deployment = Deployment(folder, seed)
         try:
-            door = await site.begin()
-            load = asyncio.create_task(site.load())
+            admin_port = await deployment.start_all()
+            load_task = asyncio.create_task(deployment.run_load())
             await asyncio.sleep(1.0)
-            figures = await calls(site, door, 4.0 if quick else 20.0)
-            figures |= await bans(site, door, 4 if quick else 15)
-            figures |= await drain(site, door)
+            figures = await measure_commands(deployment, admin_port, 4.0 if quick else 20.0)
+            figures |= await measure_cordons(deployment, admin_port, 4 if quick else 15)
+            figures |= await measure_drain(deployment, admin_port)
             await asyncio.sleep(1.0)
-            figures |= await upgrades(site, 4 if quick else 10)
-            load.cancel()
-            await site.settle()
-            figures["jobs"] = float(sum(site.answers.values()))
-            figures["served_share"] = site.answers[200] / max(1, sum(site.answers.values()))
-            figures["ran_twice"] = float(sum(runs > 1 for runs in site.runs.values()))
+            figures |= await measure_upgrades(deployment, 4 if quick else 10)
+            load_task.cancel()
+            await deployment.wait_for_jobs()
+            figures["jobs"] = float(sum(deployment.status_counts.values()))
+            figures["served_share"] = deployment.status_counts[200] / max(
+                1, sum(deployment.status_counts.values())
+            )
+            figures["ran_twice"] = float(sum(count > 1 for count in deployment.run_counts.values()))
             return figures
         finally:
-            site.close()
+            deployment.close()
 
 
 def main() -> int:
-    """Measure and print."""
+    """Measure and print the figures."""
     parser = argparse.ArgumentParser(description="Operations on a running dispatcher.")
-    parser.add_argument("--quick", action="store_true", help="45 s at the most")
+    parser.add_argument("--quick", action="store_true", help="at most 45 s")
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
     return print_figures(uvloop.run(measure(options.quick, options.seed)), AIMS)
