--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,9 +1,10 @@
-"""Leases of a fleet under drawn faults: real processes, all links through proxies, disks that fail and lie.
+"""Leases of a fleet under random faults: real processes, all links through proxies, faulty disks.
 
     .venv/bin/python benchmarks/leases.py [--quick] [--seed N]
 
-Five processes, three tasks, clocks that drift within the stated bound. Every fault comes from the seed; the
-history of all processes decides (`tests/cluster.py`).
+Five processes, three tasks, clocks that drift within the configured bound. Disks report errors, or confirm
+writes that they then lose. Every fault follows from the seed; violations are found in the history of all
+processes (`tests/cluster.py`).
 """
 
 from __future__ import annotations
@@ -32,44 +33,44 @@
 }
 
 
-def waits(history: History, played: ScheduleResult) -> tuple[list[float], list[float]]:
-    """Seconds without a holder after kills and after heals, task by task."""
-    begins: dict[str, list[float]] = {task: [] for task in export_tasks()}
-    for act in history.exports:
-        if act.accepted:
-            begins[act.task].append(act.at)
+def seconds_without_holder(history: History, result: ScheduleResult) -> tuple[list[float], list[float]]:
+    """Return the seconds without a holder after each kill and after each heal, task by task."""
+    accepted_at_s: dict[str, list[float]] = {task: [] for task in export_tasks()}
+    for export in history.exports:
+        if export.accepted:
+            accepted_at_s[export.task].append(export.at)
 
-    def first(task: str, after: float) -> float:
-        return min((at for at in begins[task] if at > after), default=float("inf")) - after
+    def delay_s(task: str, after: float) -> float:
+        return min((at for at in accepted_at_s[task] if at > after), default=float("inf")) - after
 
-    killed = [first(task, at) for at, held in played.kills for task in held]
-    return killed, [first(task, at) for at in played.heals for task in export_tasks()]
+    kill_delays_s = [delay_s(task, at) for at, held_tasks in result.kills for task in held_tasks]
+    return kill_delays_s, [delay_s(task, at) for at in result.heals for task in export_tasks()]
 
 
 def main() -> int:
-    """Play, judge, print."""
-    parser = argparse.ArgumentParser(description="Leases of a fleet under drawn faults.")
-    parser.add_argument("--quick", action="store_true", help="45 s at the most")
+    """Inject the faults, check the history, print the figures."""
+    parser = argparse.ArgumentParser(description="Leases of a fleet under random faults.")
+    parser.add_argument("--quick", action="store_true", help="at most 45 s")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--keep", metavar="FOLDER", help="leave logs and disks in this folder")
+    parser.add_argument("--keep", metavar="FOLDER", help="keep logs and disks in this folder")
     options = parser.parse_args()
     print(f"seed={options.seed}")
-    drawn = random.Random(options.seed)
+    rng = random.Random(options.seed)
     with tempfile.TemporaryDirectory() as temporary:
         folder = Path(options.keep or temporary)
-        cluster = Cluster(folder, 5, [drawn.uniform(0.9955, 1.0045) for _ in range(5)], TERM_S)
+        cluster = Cluster(folder, 5, [rng.uniform(0.9955, 1.0045) for _ in range(5)], TERM_S)
         try:
             for name in cluster.names:
                 cluster.start(name)
-            until = time.monotonic() + 20.0
-            while len(cluster.holders()) < len(export_tasks()) and time.monotonic() < until:
+            deadline_s = time.monotonic() + 20.0
+            while len(cluster.holders()) < len(export_tasks()) and time.monotonic() < deadline_s:
                 time.sleep(0.05)
             faults = draw_schedule(options.seed, cluster.names, 22.0 if options.quick else 600.0)
-            played = FaultInjector(cluster, options.seed).run(faults, print)
-            until = time.monotonic() + 8.0
-            back = 0
-            while back < 5 and time.monotonic() < until:
-                back = sum(f"{name}: votes" in cluster.admin_output(name) for name in cluster.names)
+            result = FaultInjector(cluster, options.seed).run(faults, print)
+            deadline_s = time.monotonic() + 8.0
+            voting_count = 0
+            while voting_count < 5 and time.monotonic() < deadline_s:
+                voting_count = sum(f"{name}: votes" in cluster.admin_output(name) for name in cluster.names)
             for name in cluster.names:
                 print(
                     name,
@@ -80,22 +81,22 @@
             history = cluster.history()
         finally:
             cluster.close()
-    wrong = history.violations()
-    print("\n".join(wrong[:20]))
-    killed, healed = waits(history, played)
+    violations = history.violations()
+    print("\n".join(violations[:20]))
+    kill_delays_s, heal_delays_s = seconds_without_holder(history, result)
     figures = {
-        "acts": float(sum(act.accepted for act in history.exports)),
-        "wrong": float(len(wrong)),
-        "stale_accepted": float(sum("stale act" in line for line in wrong)),
-        "stale_refused": float(sum(not act.accepted for act in history.exports)),
+        "acts": float(sum(export.accepted for export in history.exports)),
+        "wrong": float(len(violations)),
+        "stale_accepted": float(sum("stale act" in line for line in violations)),
+        "stale_refused": float(sum(not export.accepted for export in history.exports)),
         "held": float(len(history.lease_periods)),
         "changes": float(len(history.changes)),
-        "faults": float(len(faults) - played.skipped),
-        "unplayed": float(played.skipped),
-        "kills": float(len(killed)),
-        "after_kill_p99_s": percentile(killed, 0.99) if killed else 0.0,
-        "after_heal_max_s": max(healed, default=0.0),
-        "members_back": float(back),
+        "faults": float(len(faults) - result.skipped),
+        "unplayed": float(result.skipped),
+        "kills": float(len(kill_delays_s)),
+        "after_kill_p99_s": percentile(kill_delays_s, 0.99) if kill_delays_s else 0.0,
+        "after_heal_max_s": max(heal_delays_s, default=0.0),
+        "members_back": float(voting_count),
     }
     return print_figures(figures, AIMS)
 
