--- a/benchmarks/vote_latency.py
+++ b/benchmarks/vote_latency.py
@@ -1,9 +1,9 @@
-"""How long a change of a register takes among members on one machine: two phases, each on the members' disks.
+"""How long a change of a register takes among members on one machine: two phases, each written to disk.
 
     .venv/bin/python benchmarks/vote_latency.py [--members N] [--changes N] [--quick]
 
-All members run in one process, with real connections and logs; a grant or a renewal of a lease and a version
-of the configuration are such a change each. It prints one line of JSON, in milliseconds.
+All members run in one process, with real connections and logs. Granting or renewing a lease takes one such
+change, and so does a new configuration version. Prints one line of JSON, in milliseconds.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 
 
 async def start(folder: Path, count: int) -> list[Node]:
-    """Found a cluster and wait until all its members vote."""
+    """Create a cluster and wait until all its members vote."""
     addresses = {f"m{n}": ("127.0.0.1", reserved_port()) for n in range(count)}
     config = MembershipConfig(1, tuple((name, INCARNATION) for name in addresses))
     loop, nodes = asyncio.get_running_loop(), []
     for name, address in addresses.items():
-        own_folder = str(folder / name)
-        create_log(own_folder, [encode(IncarnationStarted(CLUSTER, INCARNATION, config))])
-        others = {other: at for other, at in addresses.items() if other != name}
-        node = Node(loop, NodeSettings(name, CLUSTER, address, others, own_folder))
+        node_folder = str(folder / name)
+        create_log(node_folder, [encode(IncarnationStarted(CLUSTER, INCARNATION, config))])
+        others = {other: peer_address for other, peer_address in addresses.items() if other != name}
+        node = Node(loop, NodeSettings(name, CLUSTER, address, others, node_folder))
         node.listen(await loop.create_server(node.accept, *address))
         nodes.append(node)
     async with asyncio.timeout(READY_TIMEOUT_S):
@@ -51,38 +51,38 @@
 
 async def change(node: Node, number: int) -> float:
     """Change a register once; return how many milliseconds that took."""
-    ended: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+    chosen: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
     plan = RestartPlan(number, "m0", ())
 
     def on_ended(is_chosen: bool, value: Value) -> None:
-        ended.set_result(is_chosen)
+        chosen.set_result(is_chosen)
 
-    began_s = time.perf_counter()
+    start_s = time.perf_counter()
     node.propose("latency", lambda value: plan, on_ended)
-    if not await ended:
-        raise RuntimeError("a change was not chosen")
-    return 1000.0 * (time.perf_counter() - began_s)
+    if not await chosen:
+        raise RuntimeError("a proposal was not chosen")
+    return 1000.0 * (time.perf_counter() - start_s)
 
 
 async def measure(count: int, changes: int) -> dict[str, float]:
-    """Return the figures of a cluster of so many members."""
+    """Return the figures of a cluster of this many members."""
     with tempfile.TemporaryDirectory() as folder:
         nodes = await start(Path(folder), count)
         try:
-            taken = [await change(nodes[0], number) for number in range(WARM_UP_CHANGES + changes)]
+            taken_ms = [await change(nodes[0], number) for number in range(WARM_UP_CHANGES + changes)]
         finally:
             for node in nodes:
                 node.stop()
-    taken = taken[WARM_UP_CHANGES:]
+    taken_ms = taken_ms[WARM_UP_CHANGES:]
     return {
         "members": count,
-        "p50_ms": round(percentile(taken, 0.5), 3),
-        "p99_ms": round(percentile(taken, 0.99), 3),
+        "p50_ms": round(percentile(taken_ms, 0.5), 3),
+        "p99_ms": round(percentile(taken_ms, 0.99), 3),
     }
 
 
 def main() -> int:
-    """Measure once."""
+    """Measure and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--members", type=int, default=3)
     parser.add_argument("--changes", type=int, default=1000)
