--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -228,6 +228,6 @@
 def test_an_invalid_value_in_the_file_is_named_with_what_is_allowed(
     testbed: DispatcherTestbed, consul: Consul, line: str, message: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    with pytest.raises(AssertionError, match="the program ended"):
+    with pytest.raises(AssertionError, match="the dispatcher has ended"):
         testbed.start_from_operator_file("consul", consul_wait=line)
     assert message in capfd.readouterr().err
