--- a/benchmarks/scaling/__init__.py
+++ b/benchmarks/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""What `scale.py` is made of: processes and their cost, links to cut, hollow followers, a checker."""
+"""Parts of `scale.py`: process costs, links that can be cut, hollow followers and a history checker."""
--- a/benchmarks/scaling/fits.py
+++ b/benchmarks/scaling/fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, and how far the points lie from them."""
+"""Least-squares lines through measured points, with their error."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
     slope: float
     low: float
     high: float
-    error: float  # the greatest distance of a point from the line, as a share of the greatest value
+    error: float  # the largest distance of a point from the line, relative to the largest value
 
-    def at(self, size: float) -> float:
-        """The value foretold for a size."""
+    def value_at(self, size: float) -> float:
+        """Return the predicted value for a size."""
         return self.base + self.slope * size
 
-    def reaches(self, limit: float) -> float | None:
-        """The size at which the line meets a limit; None where it never does."""
+    def size_reaching(self, limit: float) -> float | None:
+        """Return the size at which the line reaches a limit; None if it never does."""
         return (limit - self.base) / self.slope if self.slope > 0.0 else None
 
-    def shown(self, per: str) -> dict[str, object]:
-        """As it stands in a figures file."""
+    def as_json(self, per: str) -> dict[str, object]:
+        """Return the entry for a figures file."""
         return {
             "base": _rounded(self.base),
             "slope": _rounded(self.slope),
@@ -39,14 +39,14 @@
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Line:
-    """Least squares. ValueError: fewer than two sizes."""
+    """Fit a line by least squares; raise ValueError for fewer than two sizes."""
     if len({x for x, _ in points}) < 2:
-        raise ValueError(f"points must be of at least two sizes, not {sorted({x for x, _ in points})}")
+        raise ValueError(f"a fit needs points of at least two sizes, not {sorted({x for x, _ in points})}")
     n = len(points)
-    middle_x, middle_y = sum(x for x, _ in points) / n, sum(y for _, y in points) / n
-    spread = sum((x - middle_x) ** 2 for x, _ in points)
-    slope = sum((x - middle_x) * (y - middle_y) for x, y in points) / spread
-    base = middle_y - slope * middle_x
-    most = max(abs(y) for _, y in points) or 1.0
-    error = max(abs(y - base - slope * x) for x, y in points) / most
+    mean_x, mean_y = sum(x for x, _ in points) / n, sum(y for _, y in points) / n
+    sum_squares_x = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum_squares_x
+    base = mean_y - slope * mean_x
+    max_value = max(abs(y) for _, y in points) or 1.0
+    error = max(abs(y - base - slope * x) for x, y in points) / max_value
     return Line(base, slope, min(x for x, _ in points), max(x for x, _ in points), error)
--- a/benchmarks/scaling/hollow.py
+++ b/benchmarks/scaling/hollow.py
@@ -1,10 +1,11 @@
-"""Hollow followers: many of the product's own `FollowerClient` in a process, no front, engine and runners.
+"""Hollow followers: many real `FollowerClient`s in one process, without HTTP API, engine and workers.
 
     PYTHONPATH=benchmarks python -m scaling.hollow FILE.json
 
-The file: `base` (an operator's file for the sections to be laid over), `fleet`, `followers` (name -> place,
-life), `relays` (name -> address, place), `acts` (where is written who acts under which version, and when). On
-standard input: `stop NAME LIFE`, `start NAME LIFE`. Each second the sums of all counts go to `acts` as well.
+The file has `base` (the operator's file whose sections the versions replace), `fleet`, `followers` (name ->
+place, incarnation), `relays` (name -> address, place) and `acts` (the file that records which follower
+applied which version when, and each second the sums of all counts). Standard input takes the commands
+`stop NAME INCARNATION` and `start NAME INCARNATION`.
 """
 
 from __future__ import annotations
@@ -28,29 +29,29 @@
 from grebestack.program.config.operator_file import from_file
 from grebestack.program.config_updates import AppliedConfig
 from grebestack.protocol.settings import changed_restart_fields
-from scaling.marks import whole
+from scaling.marks import is_complete
 
 FLUSH_S, COUNTS_S = 0.2, 1.0
 
 
 class HollowHost:
-    """In place of a dispatcher: what it is told to act under is kept, and there is no engine to move."""
+    """Stands in for the dispatcher: keeps the applied configuration, has no engine to reconfigure."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
 
     def fields_requiring_restart(self, config: Config) -> Sequence[str]:
-        """The fields that need a restart, of those that a version may have."""
+        """Return the changed fields that need a restart."""
         return changed_restart_fields(self.config.options, config.options)
 
     def apply_config(self, config: Config) -> str:
-        """Act under it."""
+        """Keep the configuration; never fails."""
         self.config = config
         return ""
 
 
-class Hollow:
-    """All followers of one process."""
+class HollowFollowers:
+    """All followers of this process."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, raw: dict[str, Any]) -> None:
         self.loop, self.raw = loop, raw
@@ -58,24 +59,24 @@
             name: RelayAddress((relay["host"], int(relay["port"])), relay["place"])
             for name, relay in raw["relays"].items()
         }
-        self.nodes: dict[str, FollowerClient] = {}
-        self.past: Counter[str] = Counter()  # counts of those that have been stopped
-        self.lines: list[str] = []
-        self.acts = os.open(raw["acts"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
-        self.rest = b""
+        self.clients: dict[str, FollowerClient] = {}
+        self.stopped_counts: Counter[str] = Counter()  # sums of the stopped followers
+        self.records: list[str] = []
+        self.record_fd = os.open(raw["acts"], os.O_WRONLY | os.O_CREAT | os.O_APPEND)
+        self.partial_line = b""
         self.base = from_file(raw["base"])
         self.applied: dict[str, AppliedConfig] = {}
 
     def begin(self) -> None:
-        """Start them all."""
-        for name, (_, life) in self.raw["followers"].items():
-            self.start(name, life)
-        self.loop.add_reader(0, self._ordered)
+        """Start all followers and the periodic records."""
+        for name, (_, incarnation) in self.raw["followers"].items():
+            self.start(name, incarnation)
+        self.loop.add_reader(0, self._read_commands)
         self._flush()
         self._count()
 
-    def start(self, name: str, life: int) -> None:
-        """Start one, anew if it was stopped: it has no disk."""
+    def start(self, name: str, incarnation: int) -> None:
+        """Start a follower; one that was stopped starts from nothing, as it has no disk."""
         self.applied[name] = AppliedConfig(HollowHost(self.base))
         settings = FollowerSettings(
             name=name,
@@ -84,52 +85,53 @@
             relays=self.relays,
             folder="",
         )
-        take = partial(self._take, name, life)
-        self.nodes[name] = node = FollowerClient(self.loop, settings, take)
-        node.start()
+        apply_version = partial(self._apply_version, name, incarnation)
+        self.clients[name] = client = FollowerClient(self.loop, settings, apply_version)
+        client.start()
 
     def stop(self, name: str) -> None:
-        """Stop one."""
-        node = self.nodes.pop(name)
-        self.past.update(node.counts)
-        node.stop()
-
-    def _take(self, name: str, life: int, version: Any, contents: bytes) -> str:
-        """Parse, check and say so as a real one does, and note it."""
-        if why := self.applied[name].apply(version, contents):
-            return why
+        """Stop a follower."""
+        client = self.clients.pop(name)
+        self.stopped_counts.update(client.counts)
+        client.stop()
+
+    def _apply_version(self, name: str, incarnation: int, version: Any, contents: bytes) -> str:
+        """Parse and check the contents as a real follower does, and record the result."""
+        if error := self.applied[name].apply(version, contents):
+            return error
         digest = hashlib.sha256(contents).hexdigest()
-        self.lines.append(
-            f"acted {time.time():.4f} {name} {life} {version.number} {digest} {int(whole(contents))}\n"
+        self.records.append(
+            f"acted {time.time():.4f} {name} {incarnation} {version.number} {digest} "
+            f"{int(is_complete(contents))}\n"
         )
         return ""
 
     def _flush(self) -> None:
-        if self.lines:
-            os.write(self.acts, "".join(self.lines).encode())
-            self.lines.clear()
+        if self.records:
+            os.write(self.record_fd, "".join(self.records).encode())
+            self.records.clear()
         self.loop.call_later(FLUSH_S, self._flush)
 
     def _count(self) -> None:
-        sums = Counter(self.past)
-        for node in self.nodes.values():
-            sums.update(node.counts)
+        sums = Counter(self.stopped_counts)
+        for client in self.clients.values():
+            sums.update(client.counts)
         pairs = " ".join(f"{name}={value}" for name, value in sorted(sums.items()))
-        self.lines.append(f"counts {time.time():.4f} {len(self.nodes)} {pairs}\n")
+        self.records.append(f"counts {time.time():.4f} {len(self.clients)} {pairs}\n")
         self.loop.call_later(COUNTS_S, self._count)
 
-    def _ordered(self) -> None:
+    def _read_commands(self) -> None:
         data = os.read(0, 65536)
         if not data:
             self.loop.stop()
             return
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
-            order, name, life = line.decode().split()
-            if order == "stop":
+            command, name, incarnation = line.decode().split()
+            if command == "stop":
                 self.stop(name)
             else:
-                self.start(name, int(life))
+                self.start(name, int(incarnation))
 
 
 def main() -> int:
@@ -139,8 +141,8 @@
         raw = json.load(file)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
-    hollow = Hollow(loop, raw)
-    loop.call_soon(hollow.begin)
+    followers = HollowFollowers(loop, raw)
+    loop.call_soon(followers.begin)
     loop.run_forever()
     return 0
 
--- a/benchmarks/scaling/processes.py
+++ b/benchmarks/scaling/processes.py
@@ -1,7 +1,7 @@
-"""Processes of a run, what the kernel says that they cost, and how late the machine is.
+"""Processes of a run, their cost as counted by the kernel, and how late the machine wakes threads.
 
 Processor time comes from /proc/PID/task/*/schedstat (nanoseconds), memory from /proc/PID/statm, bytes and
-messages from /proc/PID/io: what is read and written by `read` and `write`, as uvloop does with connections.
+messages from /proc/PID/io, which counts `read` and `write` calls; uvloop uses these on connections.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-PAGE = resource.getpagesize()
-MOST_PROCESSES = 150
-LATE_MS = 25.0  # p99 of how late a sleeping thread is woken; beyond it a run is late and counts for nothing
+PAGE_BYTES = resource.getpagesize()
+MAX_PROCESSES = 150
+MAX_WAKEUP_DELAY_MS = 25.0  # p99 of how late a sleeping thread is woken; a run beyond it is not used
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What a process has cost since it began: seconds and bytes; memory in MB is as it is now."""
+    """What a process has used since its start; `memory_mb` is the current value."""
 
     cpu_s: float
-    waited_s: float  # ready to run, and no core was free
+    waited_s: float  # runnable, but waiting for a core
     bytes_in: float
     bytes_out: float
     reads: float
@@ -40,21 +40,21 @@
 
     @classmethod
     def of(cls, pid: int) -> Cost:
-        """OSError: the process is gone."""
+        """Read the cost of a process; raise OSError if it is gone."""
         cpu = waited = 0.0
         for task in os.listdir(f"/proc/{pid}/task"):
             with contextlib.suppress(FileNotFoundError, ProcessLookupError):
-                words = Path(f"/proc/{pid}/task/{task}/schedstat").read_text().split()
-                cpu, waited = cpu + int(words[0]) / 1e9, waited + int(words[1]) / 1e9
+                fields = Path(f"/proc/{pid}/task/{task}/schedstat").read_text().split()
+                cpu, waited = cpu + int(fields[0]) / 1e9, waited + int(fields[1]) / 1e9
         pairs = (line.split(": ") for line in Path(f"/proc/{pid}/io").read_text().splitlines())
         io = {name: float(value) for name, value in pairs}
-        memory = int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE / 1e6
+        memory = int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
         return cls(cpu, waited, io["rchar"], io["wchar"], io["syscr"], io["syscw"], memory, time.monotonic())
 
 
 @dataclass(frozen=True, slots=True)
 class Rates:
-    """Per second between two looks."""
+    """Cost per second between two readings."""
 
     cpu_share: float
     waited_share: float
@@ -65,20 +65,20 @@
 
     @classmethod
     def between(cls, before: Cost, after: Cost) -> Rates:
-        """What it cost from one look to the next."""
-        took = after.at - before.at
+        """Return the rates between two readings."""
+        elapsed_s = after.at - before.at
         return cls(
-            (after.cpu_s - before.cpu_s) / took,
-            (after.waited_s - before.waited_s) / took,
-            (after.bytes_in - before.bytes_in + after.bytes_out - before.bytes_out) / took,
-            (after.reads - before.reads) / took,
-            (after.writes - before.writes) / took,
+            (after.cpu_s - before.cpu_s) / elapsed_s,
+            (after.waited_s - before.waited_s) / elapsed_s,
+            (after.bytes_in - before.bytes_in + after.bytes_out - before.bytes_out) / elapsed_s,
+            (after.reads - before.reads) / elapsed_s,
+            (after.writes - before.writes) / elapsed_s,
             after.memory_mb,
         )
 
 
-def mean(rates: Sequence[Rates]) -> Rates:
-    """The mean of each figure."""
+def mean_rates(rates: Sequence[Rates]) -> Rates:
+    """Return the mean of each field."""
 
     def of(name: str) -> float:
         return float(sum(getattr(one, name) for one in rates)) / len(rates)
@@ -87,33 +87,33 @@
 
 
 class Processes:
-    """All processes that a run has started; it ends them by their ids, and no others."""
+    """All processes that a run has started; ends them by id and touches no others."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.running: dict[str, subprocess.Popen[bytes]] = {}
 
-    def start(self, name: str, words: Sequence[str], orders: bool = False) -> subprocess.Popen[bytes]:
-        """`python -m WORDS`, its log beside its file; `orders`: one of the rig's own, told by its input.
+    def start(self, name: str, args: Sequence[str], reads_commands: bool = False) -> subprocess.Popen[bytes]:
+        """Start `python -m ARGS`, logging to NAME.log; raise RuntimeError at MAX_PROCESSES.
 
-        RuntimeError: there are too many.
+        With `reads_commands` it is a module of the benchmark that takes commands on standard input.
         """
-        if len(self.running) >= MOST_PROCESSES:
-            raise RuntimeError(f"a run has at most {MOST_PROCESSES} processes")
+        if len(self.running) >= MAX_PROCESSES:
+            raise RuntimeError(f"a run has at most {MAX_PROCESSES} processes")
         with (self.folder / f"{name}.log").open("ab") as log:
             process = subprocess.Popen(
-                [sys.executable, "-m", *words],
+                [sys.executable, "-m", *args],
                 cwd=ROOT,
                 stdout=log,
                 stderr=log,
-                env=os.environ | ({"PYTHONPATH": str(ROOT / "benchmarks")} if orders else {}),
-                stdin=subprocess.PIPE if orders else subprocess.DEVNULL,
+                env=os.environ | ({"PYTHONPATH": str(ROOT / "benchmarks")} if reads_commands else {}),
+                stdin=subprocess.PIPE if reads_commands else subprocess.DEVNULL,
             )
         self.running[name] = process
         return process
 
     def signal(self, name: str, number: int) -> None:
-        """To one of them; a killed one is waited for."""
+        """Send a signal to a process; wait for the end of one that is killed."""
         process = self.running[name]
         process.send_signal(number)
         if number in (signal.SIGKILL, signal.SIGTERM):
@@ -121,11 +121,11 @@
             del self.running[name]
 
     def cost(self, name: str) -> Cost:
-        """OSError: it is gone."""
+        """Return the cost of a process; raise OSError if it is gone."""
         return Cost.of(self.running[name].pid)
 
     def costs(self) -> dict[str, Cost]:
-        """Of all that run."""
+        """Return the cost of each running process."""
         found = {}
         for name in list(self.running):
             with contextlib.suppress(OSError):
@@ -133,11 +133,11 @@
         return found
 
     def ended(self) -> list[str]:
-        """Those that ended by themselves, which none should."""
+        """Return the processes that ended by themselves, which none should."""
         return [name for name, process in self.running.items() if process.poll() is not None]
 
     def close(self) -> None:
-        """End all."""
+        """Kill all processes and wait for them."""
         for process in self.running.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -149,24 +149,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """What a process's open connections have carried: payload bytes, TCP segments with payload."""
+    """Payload bytes and TCP segments with payload that a process's open connections have carried."""
 
     bytes_in: float = 0.0
     bytes_out: float = 0.0
     segments_in: float = 0.0
     segments_out: float = 0.0
 
-    def plus(self, other: Traffic) -> Traffic:
-        """The sums."""
+    def add(self, other: Traffic) -> Traffic:
+        """Return the sums."""
         return Traffic(*(getattr(self, name) + getattr(other, name) for name in Traffic.__dataclass_fields__))
 
     def total(self) -> tuple[float, float]:
-        """Bytes and segments, both ways."""
+        """Return bytes and segments, both directions together."""
         return self.bytes_in + self.bytes_out, self.segments_in + self.segments_out
 
 
-def read_sockets(text: str) -> dict[int, Traffic]:
-    """By process, from the output of `ss -tinpH`."""
+def parse_socket_traffic(text: str) -> dict[int, Traffic]:
+    """Return the traffic by process id from the output of `ss -tinpH`."""
     found: dict[int, Traffic] = {}
     pids: list[int] = []
     for line in text.splitlines():
@@ -177,54 +177,54 @@
         names = ("bytes_received", "bytes_sent", "data_segs_in", "data_segs_out")
         traffic = Traffic(*(numbers.get(name, 0.0) for name in names))
         for pid in pids:
-            found[pid] = found.get(pid, Traffic()).plus(traffic)
+            found[pid] = found.get(pid, Traffic()).add(traffic)
     return found
 
 
-def sockets() -> dict[int, Traffic]:
-    """Of all processes, as the kernel counts it. OSError: the machine has no `ss`."""
-    done = subprocess.run(["ss", "-tinpH"], capture_output=True, text=True, check=True)
-    return read_sockets(done.stdout)
+def socket_traffic() -> dict[int, Traffic]:
+    """Return the traffic of all processes; raise OSError if the machine has no `ss`."""
+    result = subprocess.run(["ss", "-tinpH"], capture_output=True, text=True, check=True)
+    return parse_socket_traffic(result.stdout)
 
 
-class Lateness:
-    """How late the machine wakes a thread that sleeps 10 ms at a time."""
+class WakeupDelay:
+    """Measures how late the machine wakes a thread that sleeps 10 ms at a time."""
 
     def __init__(self) -> None:
-        self.late_ms: list[float] = []
-        self.over = threading.Event()
-        self.thread = threading.Thread(target=self._watch, daemon=True)
+        self.delays_ms: list[float] = []
+        self.stopped = threading.Event()
+        self.thread = threading.Thread(target=self._measure, daemon=True)
 
-    def _watch(self) -> None:
-        while not self.over.is_set():
-            begun = time.monotonic()
+    def _measure(self) -> None:
+        while not self.stopped.is_set():
+            started_at = time.monotonic()
             time.sleep(0.01)
-            self.late_ms.append((time.monotonic() - begun - 0.01) * 1000.0)
+            self.delays_ms.append((time.monotonic() - started_at - 0.01) * 1000.0)
 
     @contextlib.contextmanager
-    def watch(self) -> Iterator[Lateness]:
-        """Look on for as long as this lasts."""
+    def watch(self) -> Iterator[WakeupDelay]:
+        """Measure while the context is open."""
         self.thread.start()
         try:
             yield self
         finally:
-            self.over.set()
+            self.stopped.set()
             self.thread.join()
 
-    def shown(self) -> dict[str, float]:
-        """p50, p99 and the most, milliseconds."""
-        ordered = sorted(self.late_ms) or [0.0]
+    def summary(self) -> dict[str, float]:
+        """Return p50, p99 and maximum in milliseconds."""
+        ordered = sorted(self.delays_ms) or [0.0]
         return {
             "p50_ms": round(ordered[len(ordered) // 2], 2),
             "p99_ms": round(ordered[min(len(ordered) - 1, int(0.99 * len(ordered)))], 2),
             "max_ms": round(ordered[-1], 2),
         }
 
-    def late(self) -> bool:
-        """Whether what was measured meanwhile counts for nothing."""
-        return self.shown()["p99_ms"] > LATE_MS
+    def is_late(self) -> bool:
+        """Whether measurements made meanwhile must be discarded."""
+        return self.summary()["p99_ms"] > MAX_WAKEUP_DELAY_MS
 
 
-def machine() -> dict[str, object]:
-    """What this was measured on."""
+def machine_info() -> dict[str, object]:
+    """Return core count and load of this machine."""
     return {"cores": os.cpu_count(), "load_1min": round(os.getloadavg()[0], 2)}
--- a/benchmarks/scaling/run.py
+++ b/benchmarks/scaling/run.py
@@ -1,4 +1,4 @@
-"""One size of a fleet: what it costs idle and under changes, faults where asked for, and the verdict."""
+"""Runs a fleet of one size: cost when idle and under changes, optional faults, and checks of the history."""
 
 from __future__ import annotations
 
@@ -12,52 +12,53 @@
 from harness import percentile
 
 from scaling.checker import History
-from scaling.faults import Changer, Player
-from scaling.fleet import EMPTY, RELAYS, VOTERS, Fleet
-from scaling.processes import Cost, Lateness, Rates, Traffic, mean, sockets
+from scaling.faults import ChangeGenerator, FaultInjector
+from scaling.fleet import EMPTY_HOLLOW, RELAYS, VOTERS, Fleet
+from scaling.processes import Cost, Rates, Traffic, WakeupDelay, mean_rates, socket_traffic
 
-WITHIN = 0.2  # hollow ones count where they cost what real ones do, but for so large a share
+# A figure of hollow followers is used only if it differs from that of real ones by at most this share.
+HOLLOW_TOLERANCE = 0.2
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """What all processes have cost so far."""
+class Sample:
+    """Cost and traffic of all processes at one time."""
 
     costs: Mapping[str, Cost]
     traffic: Mapping[str, Traffic]
 
 
-def look(fleet: Fleet) -> Look:
-    """Now. What goes to logs is no message."""
+def take_sample(fleet: Fleet) -> Sample:
+    """Read cost and traffic now; bytes written to logs are not counted."""
     costs = {}
     for name, cost in fleet.processes.costs().items():
         paths = (fleet.folder / f"{name}.log", fleet.folder / f"{name}.acts")
         logged = sum(path.stat().st_size for path in paths if path.exists())
         costs[name] = replace(cost, bytes_out=cost.bytes_out - logged)
-    by_pid = sockets()
+    by_pid = socket_traffic()
     pids = {name: process.pid for name, process in fleet.processes.running.items()}
-    return Look(costs, {name: by_pid.get(pid, Traffic()) for name, pid in pids.items()})
+    return Sample(costs, {name: by_pid.get(pid, Traffic()) for name, pid in pids.items()})
 
 
-def rates(before: Look, after: Look) -> dict[str, Rates]:
-    """Per second between two looks; bytes and messages (segments) as the kernel counts them."""
+def rates_between(before: Sample, after: Sample) -> dict[str, Rates]:
+    """Return each process's rates; bytes and messages (segments) are those that the kernel counts."""
     found = {}
     for name, cost in after.costs.items():
-        one = Rates.between(before.costs[name], cost)
-        took = cost.at - before.costs[name].at
-        was, now = before.traffic[name], after.traffic[name]
+        from_proc = Rates.between(before.costs[name], cost)
+        elapsed_s = cost.at - before.costs[name].at
+        earlier, later = before.traffic[name], after.traffic[name]
         found[name] = replace(
-            one,
-            bytes_s=(now.total()[0] - was.total()[0]) / took,
-            reads_s=(now.segments_in - was.segments_in) / took,
-            writes_s=(now.segments_out - was.segments_out) / took,
+            from_proc,
+            bytes_s=(later.total()[0] - earlier.total()[0]) / elapsed_s,
+            reads_s=(later.segments_in - earlier.segments_in) / elapsed_s,
+            writes_s=(later.segments_out - earlier.segments_out) / elapsed_s,
         )
     return found
 
 
 @dataclass
-class Windows:
-    """Rates of each process, idle and under changes, and how many changes a second there were."""
+class WindowRates:
+    """Rates of each process when idle and under changes, and the number of changes per second."""
 
     idle: dict[str, Rates]
     changed: dict[str, Rates]
@@ -65,8 +66,8 @@
     counts: dict[str, float] = field(default_factory=dict)
 
 
-def figures(idle: Rates, changed: Rates, changes_s: float, share: float = 1.0) -> dict[str, float]:
-    """Of one process, or of a share of it."""
+def role_figures(idle: Rates, changed: Rates, changes_s: float, share: float = 1.0) -> dict[str, float]:
+    """Return the figures of one process, or of a share of it."""
     return {
         "cpu_share_idle": idle.cpu_share * share,
         "cpu_share_changes": changed.cpu_share * share,
@@ -82,39 +83,42 @@
     }
 
 
-def less(one: Rates, base: Rates) -> Rates:
-    """What it costs above another."""
+def difference(rates: Rates, base: Rates) -> Rates:
+    """Return the rates above a base."""
     names = Rates.__dataclass_fields__
-    return Rates(*(getattr(one, name) - getattr(base, name) for name in names))
+    return Rates(*(getattr(rates, name) - getattr(base, name) for name in names))
 
 
-def roles(fleet: Fleet, windows: Windows) -> dict[str, dict[str, float]]:
-    """Figures of each role: of a process, but for hollow followers, which are those of one of them."""
+def figures_by_role(fleet: Fleet, windows: WindowRates) -> dict[str, dict[str, float]]:
+    """Return the figures of each role per process; those of hollow followers are per follower."""
 
     def of(role: str) -> dict[str, float]:
-        names = [name for name, place in fleet.places.items() if place.role == role]
-        idle, changed = (mean([rates[n] for n in names]) for rates in (windows.idle, windows.changed))
-        return figures(idle, changed, windows.changes_s)
+        names = [name for name, spec in fleet.process_specs.items() if spec.role == role]
+        idle, changed = (mean_rates([rates[n] for n in names]) for rates in (windows.idle, windows.changed))
+        return role_figures(idle, changed, windows.changes_s)
 
-    hollow = [name for name, place in fleet.places.items() if place.role == "hollow"]
-    number = sum(len(fleet.places[name].followers) for name in hollow)
+    hollow = [name for name, spec in fleet.process_specs.items() if spec.role == "hollow"]
+    follower_count = sum(len(fleet.process_specs[name].followers) for name in hollow)
 
-    def above(found: dict[str, Rates]) -> Rates:
-        return mean([less(found[name], found[EMPTY]) for name in hollow])
+    def above_empty(found: dict[str, Rates]) -> Rates:
+        return mean_rates([difference(found[name], found[EMPTY_HOLLOW]) for name in hollow])
 
     return {
         "real": of("real"),
         "relay": of("relay"),
         "voter": of("voter"),
         "alone": of("alone"),
-        "hollow": figures(
-            above(windows.idle), above(windows.changed), windows.changes_s, len(hollow) / number
+        "hollow": role_figures(
+            above_empty(windows.idle),
+            above_empty(windows.changed),
+            windows.changes_s,
+            len(hollow) / follower_count,
         ),
     }
 
 
-def agreement(found: Mapping[str, Mapping[str, float]]) -> dict[str, dict[str, float | bool]]:
-    """Hollow ones beside real ones, figure by figure; idle processor time is that above one that is alone."""
+def compare_hollow_to_real(found: Mapping[str, Mapping[str, float]]) -> dict[str, dict[str, float | bool]]:
+    """Compare hollow to real followers by figure; idle CPU time is that above a standalone dispatcher."""
     real, hollow, alone = found["real"], found["hollow"], found["alone"]
     pairs = {
         name: (real[name], hollow[name])
@@ -132,35 +136,35 @@
             "real": float(f"{a:.4g}"),
             "hollow": float(f"{b:.4g}"),
             "off": round(abs(b - a) / abs(a), 3) if a else 1.0,
-            "counts": bool(a) and abs(b - a) <= WITHIN * abs(a),
+            "counts": bool(a) and abs(b - a) <= HOLLOW_TOLERANCE * abs(a),
         }
         for name, (a, b) in pairs.items()
     }
 
 
-def judged(history: History) -> dict[str, Any]:
-    """Delays and what was wrong."""
-    delays, wrong = history.delays(), history.wrong()
-    calm = [d.seconds for d in delays if not d.faulty]
-    after = [d.seconds for d in delays if d.faulty]
+def summarize_history(history: History) -> dict[str, Any]:
+    """Return the delays and the violations of a history."""
+    delays, violations = history.delays(), history.violations()
+    fault_free = [d.seconds for d in delays if not d.faulty]
+    faulty = [d.seconds for d in delays if d.faulty]
     return {
         "decided": len(history.decided()),
-        "acts": len(history.acted),
+        "acts": len(history.applied),
         "delays": len(delays),
-        "delay_p50_s": round(percentile(calm, 0.5), 3),
-        "delay_p99_s": round(percentile(calm, 0.99), 3),
-        "delay_max_s": round(max(calm, default=0.0), 3),
-        "faulty_delays": len(after),
-        "faulty_p99_s": round(percentile(after, 0.99), 3),
-        "faulty_max_s": round(max(after, default=0.0), 3),
-        "wrong": {kind: len(lines) for kind, lines in wrong.items()},
-        "wrong_first": [line for lines in wrong.values() for line in lines[:3]],
+        "delay_p50_s": round(percentile(fault_free, 0.5), 3),
+        "delay_p99_s": round(percentile(fault_free, 0.99), 3),
+        "delay_max_s": round(max(fault_free, default=0.0), 3),
+        "faulty_delays": len(faulty),
+        "faulty_p99_s": round(percentile(faulty, 0.99), 3),
+        "faulty_max_s": round(max(faulty, default=0.0), 3),
+        "wrong": {kind: len(lines) for kind, lines in violations.items()},
+        "wrong_first": [line for lines in violations.values() for line in lines[:3]],
     }
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
-    """How long is waited and looked, seconds."""
+class Durations:
+    """Durations of the phases of a run."""
 
     settle_s: float
     idle_s: float
@@ -168,41 +172,43 @@
     end_s: float = 9.5
 
 
-def one(
-    size: int, seed: int, times: Times, faults: bool, quick: bool, bytes_each: int, keep: str = ""
+def run_size(
+    size: int, seed: int, times: Durations, faults: bool, quick: bool, bytes_each: int, keep: str = ""
 ) -> dict[str, Any]:
-    """Run one size once; `late` where the machine was."""
+    """Run one size once; `late` in the result says that the machine was late."""
     with tempfile.TemporaryDirectory() as temporary:
         folder = Path(keep or temporary)
-        lateness, fleet = Lateness(), Fleet(folder, size, seed, bytes_each)
+        wakeup_delay, fleet = WakeupDelay(), Fleet(folder, size, seed, bytes_each)
         try:
-            begun = time.monotonic()
+            started_at = time.monotonic()
             fleet.run()
-            up_s = time.monotonic() - begun
+            up_s = time.monotonic() - started_at
             print(f"size={size} up_s={up_s:.1f} processes={len(fleet.processes.running)}", flush=True)
             time.sleep(times.settle_s)
-            with lateness.watch():
-                first = look(fleet)
+            with wakeup_delay.watch():
+                first = take_sample(fleet)
                 time.sleep(times.idle_s)
-                second = look(fleet)
-                decided = len(fleet.asked)
-                begun = time.monotonic()
-                with Changer(fleet, seed):
+                second = take_sample(fleet)
+                decided = len(fleet.changes)
+                started_at = time.monotonic()
+                with ChangeGenerator(fleet, seed):
                     time.sleep(times.changes_s)
-                    third = look(fleet)
-                took = time.monotonic() - begun
-                changes = sum(ask.number > 0 for ask in fleet.asked[decided:])
-                windows = Windows(rates(first, second), rates(second, third), changes / took)
-                played = Player(fleet, seed, quick).play() if faults else []
+                    third = take_sample(fleet)
+                elapsed_s = time.monotonic() - started_at
+                changes = sum(change.number > 0 for change in fleet.changes[decided:])
+                windows = WindowRates(
+                    rates_between(first, second), rates_between(second, third), changes / elapsed_s
+                )
+                fault_results = FaultInjector(fleet, seed, quick).inject_all() if faults else []
             time.sleep(times.end_s)
-            shown = {name: fleet.shown(name) for name in ("v1", "r1", "real1")}
+            answers = {name: fleet.admin_answer(name) for name in ("v1", "r1", "real1")}
             history = fleet.history()
             ended = fleet.processes.ended()
-            found = roles(fleet, windows)
+            found = figures_by_role(fleet, windows)
             memory = sum(cost.memory_mb for cost in fleet.processes.costs().values())
         finally:
             fleet.close()
-    for name, line in shown.items():
+    for name, line in answers.items():
         print(f"{name}: {line[:300]}")
     return {
         "size": size,
@@ -212,11 +218,11 @@
         "contents_bytes": bytes_each,
         "changes_s": round(windows.changes_s, 4),
         "roles": {role: {k: float(f"{v:.4g}") for k, v in row.items()} for role, row in found.items()},
-        "agreement": agreement(found),
-        "judged": judged(history),
-        "faults": played,
+        "agreement": compare_hollow_to_real(found),
+        "judged": summarize_history(history),
+        "faults": fault_results,
         "ended_by_themselves": ended,
         "memory_mb": round(memory, 1),
-        "lateness": lateness.shown(),
-        "late": lateness.late(),
+        "lateness": wakeup_delay.summary(),
+        "late": wakeup_delay.is_late(),
     }
