--- a/benchmarks/soak_history.py
+++ b/benchmarks/soak_history.py
@@ -1,4 +1,4 @@
-"""What a soak has seen of each request, and the rules that it breaks. Pure."""
+"""The history of a soak round and the checks on it; no I/O."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-CROSSING_S = 0.25  # a close this soon after a request may have crossed it, unread
-HALF_REQUEST_S = 3.0  # by when a request that stops in its middle is answered or closed
+CLOSE_RACE_S = 0.25  # a connection that closes this soon after a request may not have read it
+PARTIAL_REQUEST_TIMEOUT_S = 3.0  # a partial request is answered or closed within this time
 
 
-class Ending(Enum):
-    """How the exchange of one request ended for its client."""
+class Outcome(Enum):
+    """How a request ended for its client."""
 
     ANSWERED = "answered"
     CLOSED = "closed without an answer"
@@ -21,69 +21,73 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """One request that a client has written in full."""
+    """A request that a client has sent completely."""
 
     call_id: str
     job_class: str
     sent_s: float
     ended_s: float
-    ending: Ending
+    outcome: Outcome
     status: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class HalfRequest:
-    """A request that stopped in its middle, and for how long its connection stayed as it was."""
+class PartialRequest:
+    """A request that was sent in part, and how long its connection stayed open."""
 
     waited_s: float
-    has_ended: bool
+    was_ended: bool
 
 
 @dataclass(slots=True)
 class History:
-    """One round of a soak: a dispatcher from its start to its end."""
+    """What was observed in one round of a soak, from the dispatcher's start to its end."""
 
     exchanges: list[Exchange] = field(default_factory=list)
-    half_requests: list[HalfRequest] = field(default_factory=list)
-    received: Counter[str] = field(default_factory=Counter)  # by call id: requests that workers had in full
+    partial_requests: list[PartialRequest] = field(default_factory=list)
+    received: Counter[str] = field(default_factory=Counter)  # complete requests at workers, by call id
     log_lines: list[str] = field(default_factory=list)
-    exit_code: int | None = None  # None: it was still there at the kill
-    allowed_lateness_s: float = 0.0  # of this machine
+    exit_code: int | None = None  # None: still running when it was killed
+    allowed_delay_s: float = 0.0  # how late the machine may be
 
 
-def problems(history: History, run_once: Iterable[str]) -> list[str]:
-    """Return every rule that a history breaks.
+def violations(history: History, run_once: Iterable[str]) -> list[str]:
+    """Return a description of every violation in a history.
 
     Parameters
     ----------
     run_once
-        The classes of which no job may run twice.
+        The classes whose jobs must not run twice.
     """
     return [
         *_unanswered(history),
         *_answered_twice(history),
         *_run_twice(history, frozenset(run_once)),
-        *_half_requests(history),
-        *_faults(history),
+        *_hanging_partial_requests(history),
+        *_process_faults(history),
     ]
 
 
 def _unanswered(history: History) -> Iterator[str]:
     for exchange in history.exchanges:
-        if exchange.ending is Ending.ANSWERED:
+        if exchange.outcome is Outcome.ANSWERED:
             continue
-        after_s = exchange.ended_s - exchange.sent_s
-        text = f"{exchange.call_id} ({exchange.job_class}): {exchange.ending.value} after {after_s:.3f} s"
+        elapsed_s = exchange.ended_s - exchange.sent_s
+        description = (
+            f"{exchange.call_id} ({exchange.job_class}): {exchange.outcome.value} after {elapsed_s:.3f} s"
+        )
         if history.received[exchange.call_id]:
-            yield f"{text}, and a worker had it"
-        elif exchange.ending is Ending.CUT and history.exit_code is None:
-            yield text
-        elif after_s > CROSSING_S + history.allowed_lateness_s:
-            yield f"{text}, too late for a close that crossed it"
+            yield f"{description}, but a worker received it"
+        elif exchange.outcome is Outcome.CUT and history.exit_code is None:
+            yield description
+        elif elapsed_s > CLOSE_RACE_S + history.allowed_delay_s:
+            yield f"{description}, too late to be a race with the close"
 
 
 def _answered_twice(history: History) -> Iterator[str]:
-    answers = Counter(e.call_id for e in history.exchanges if e.ending is Ending.ANSWERED)
+    answers = Counter(
+        exchange.call_id for exchange in history.exchanges if exchange.outcome is Outcome.ANSWERED
+    )
     yield from (f"{call_id}: {count} answers" for call_id, count in answers.items() if count > 1)
 
 
@@ -91,16 +95,16 @@
     classes = {exchange.call_id: exchange.job_class for exchange in history.exchanges}
     for call_id, count in history.received.items():
         if count > 1 and classes.get(call_id) in run_once:
-            yield f"{call_id} ({classes[call_id]}): workers had it {count} times"
+            yield f"{call_id} ({classes[call_id]}): received by workers {count} times"
 
 
-def _half_requests(history: History) -> Iterator[str]:
-    for half in history.half_requests:
-        if not half.has_ended and half.waited_s > HALF_REQUEST_S + history.allowed_lateness_s:
-            yield f"a request that stopped in its middle was left for {half.waited_s:.1f} s"
+def _hanging_partial_requests(history: History) -> Iterator[str]:
+    for partial in history.partial_requests:
+        if not partial.was_ended and partial.waited_s > PARTIAL_REQUEST_TIMEOUT_S + history.allowed_delay_s:
+            yield f"a partial request was left open for {partial.waited_s:.1f} s"
 
 
-def _faults(history: History) -> Iterator[str]:
+def _process_faults(history: History) -> Iterator[str]:
     for line in history.log_lines:
         if "traceback" in line.lower() or "level=error" in line:
             yield f"logged: {line[:300]}"
