--- a/benchmarks/alone.py
+++ b/benchmarks/alone.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 import uvloop
-from flood import Peer, Runner
+from flood import HttpConnection, QueueingWorker
 from harness import percentile, print_figures
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
@@ -43,7 +43,7 @@
 
     def __init__(self, dispatcher_port: int, seed: str) -> None:
         self.dispatcher_port, self.random = dispatcher_port, random.Random(seed)
-        self.idle_peers: list[Peer] = []
+        self.idle_connections: list[HttpConnection] = []
         self.overhead_ms: dict[bool, list[float]] = {False: [], True: []}
         self.answers: Counter[int] = Counter()
         self.lost = self.number = 0
@@ -52,19 +52,21 @@
 
     async def _job(self) -> None:
         self.number += 1
-        peer = self.idle_peers.pop() if self.idle_peers else Peer(self.dispatcher_port)
+        connection = (
+            self.idle_connections.pop() if self.idle_connections else HttpConnection(self.dispatcher_port)
+        )
         headers = (
             f"X-Call-Id: j{self.dispatcher_port}-{self.number}\r\nX-Call-Class: order\r\nX-Budget: 5\r\n"
         )
         start_s, isolated = time.monotonic(), self.isolated
         try:
             async with asyncio.timeout(8.0):
-                status, body = await peer.ask("POST", "/api", b"500 l", headers)
+                status, body = await connection.request("POST", "/api", b"500 l", headers)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             self.lost += 1
             return
         self.answers[status] += 1
-        self.idle_peers.append(peer)
+        self.idle_connections.append(connection)
         if status == 200:
             self.overhead_ms[isolated].append((time.monotonic() - start_s - float(body)) * 1000.0)
 
@@ -109,7 +111,7 @@
     for n, dispatcher_port in enumerate(dispatcher_ports):
         entries = []
         for m in range(8):  # enough that no job waits for a slot
-            runner = Runner(f"r{n}{m}", dispatcher_port, run_counts)
+            runner = QueueingWorker(f"r{n}{m}", dispatcher_port, run_counts)
             port = await runner.start()
             location = f'endpoint = "127.0.0.1:{port}", az = "here", model = "c8"'
             entries.append(f'{{uid = "r{n}{m}", {location}, state = "Ready"}}')
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,8 +1,8 @@
-"""The flood of benchmarks/waiting.py over sockets: the program, stand-in runners, and clients of both fronts.
+"""The overload of benchmarks/waiting.py over sockets: the program, stand-in workers, clients of both APIs.
 
     .venv/bin/python benchmarks/flood.py [--seconds S] [--seed N]
 
-Everything is on loopback and ends by itself. It prints one line of figures.
+Everything runs on loopback and ends by itself. It prints one line of figures.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from tests.ports import reserved_port  # noqa: E402
 
-RUNNERS, SLOTS, RUN_S = 4, 4, 0.25
-CAPACITY_PER_S = RUNNERS * SLOTS / RUN_S
-FLOOD, WAITING = 1.5, 0.06
-WANTED_S = (2.0, 5.0, 20.0)
-AIM_S, STRETCH, DEADLINE_S, LATE_WORTH = 0.6, 2.5, 10.0, 0.3
+WORKERS, SLOTS, RUN_S = 4, 4, 0.25
+CAPACITY_PER_S = WORKERS * SLOTS / RUN_S
+OVERLOAD_FACTOR, WAITING_JOBS_SHARE = 1.5, 0.06
+WANTED_TIMES_S = (2.0, 5.0, 20.0)
+OBJECTIVE_S, STRETCH, DEADLINE_S, LATE_VALUE = 0.6, 2.5, 10.0, 0.3
 AIMS = {"socket_stretch": ("<=", 2.0), "socket_worth_kept": (">=", 0.9)}
-FILE = """
+CONFIG_TEMPLATE = """
 name = "flood"
-listen = "127.0.0.1:{front}"
+listen = "127.0.0.1:{client_port}"
 platform = true
 sockets = 4096
 [servers]
 source = "list"
-list = [{runners}]
+list = [{workers}]
 [drmaa]
-listen = "127.0.0.1:{drmaa}"
+listen = "127.0.0.1:{drmaa_port}"
 store = "jobs.sqlite"
 [settings]
 zones = ["here"]
@@ -70,47 +70,49 @@
 """
 
 
-class Peer:
-    """A kept connection to an address, one exchange at a time."""
+class HttpConnection:
+    """A persistent connection to a local port, with one exchange at a time."""
 
     def __init__(self, port: int) -> None:
         self.port = port
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
 
-    async def ask(self, method: str, path: str, body: bytes = b"", headers: str = "") -> tuple[int, bytes]:
-        """One request and its answer."""
+    async def request(
+        self, method: str, path: str, body: bytes = b"", headers: str = ""
+    ) -> tuple[int, bytes]:
+        """Send a request; return the status and body of the response."""
         if self.writer is None or self.writer.is_closing():
             self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
         assert self.reader is not None
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: {len(body)}\r\n\r\n"
         self.writer.write(head.encode() + body)
-        status, answer, keep = await read_message(self.reader)
-        if not keep:
+        status, answer, keep_alive = await read_message(self.reader)
+        if not keep_alive:
             self.writer.close()
         return int(status.split()[1]), answer
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, bytes, bool]:
-    """The first line, the body and whether the connection is kept."""
+    """Read a message; return its first line, its body and whether the connection is kept alive."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-    length, lower = 0, head.lower()
-    if "content-length:" in lower:
-        length = int(lower.split("content-length:")[1].split("\r\n")[0])
-    return head.partition("\r\n")[0], await reader.readexactly(length), "connection: close" not in lower
+    length, lower_head = 0, head.lower()
+    if "content-length:" in lower_head:
+        length = int(lower_head.split("content-length:")[1].split("\r\n")[0])
+    return head.partition("\r\n")[0], await reader.readexactly(length), "connection: close" not in lower_head
 
 
-class Runner:
-    """A stand-in runner: so many slots, a queue in order, one call-back a job."""
+class QueueingWorker:
+    """A stand-in worker with SLOTS slots and a FIFO queue, which reports each finished job by a callback."""
 
-    def __init__(self, uid: str, front: int, runs: Counter[str]) -> None:
-        self.uid, self.front, self.runs = uid, front, runs
+    def __init__(self, uid: str, client_port: int, run_counts: Counter[str]) -> None:
+        self.uid, self.client_port, self.run_counts = uid, client_port, run_counts
         self.free, self.queue = SLOTS, deque[str]()
         self.random = random.Random(uid)
         self.calls: asyncio.Queue[bytes] = asyncio.Queue()
 
     async def start(self) -> int:
-        """Listen; the port."""
+        """Listen and return the port."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.tasks = [asyncio.create_task(self._call_back()) for _ in range(4)]
         port: int = server.sockets[0].getsockname()[1]
@@ -124,122 +126,138 @@
                 await reader.readexactly(int(fields.get("content-length", "0")))
                 if head.startswith("POST"):
                     self.queue.append(fields["x-call-id"])
-                    self._begin()
+                    self._start_jobs()
                     writer.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
                 else:
                     writer.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    def _begin(self) -> None:
+    def _start_jobs(self) -> None:
         while self.queue and self.free:
             job = self.queue.popleft()
             self.free -= 1
-            self.runs[job] += 1
-            took = min(3.0, self.random.expovariate(1.0 / RUN_S))
-            asyncio.get_running_loop().call_later(took, self._end, job, took)
+            self.run_counts[job] += 1
+            run_time_s = min(3.0, self.random.expovariate(1.0 / RUN_S))
+            asyncio.get_running_loop().call_later(run_time_s, self._end, job, run_time_s)
 
-    def _end(self, job: str, took: float) -> None:
+    def _end(self, job: str, run_time_s: float) -> None:
         self.free += 1
-        told: dict[str, Any] = {"id": job, "from": self.uid, "state": "done", "result": f"{took:.4f}"}
-        told["load"] = {"x0": self.free}
-        self.calls.put_nowait(json.dumps(told).encode())
-        self._begin()
+        message: dict[str, Any] = {
+            "id": job,
+            "from": self.uid,
+            "state": "done",
+            "result": f"{run_time_s:.4f}",
+        }
+        message["load"] = {"x0": self.free}
+        self.calls.put_nowait(json.dumps(message).encode())
+        self._start_jobs()
 
     async def _call_back(self) -> None:
-        peer = Peer(self.front)
+        connection = HttpConnection(self.client_port)
         while True:
             call = await self.calls.get()
             for _ in range(10):
                 try:
-                    await peer.ask("POST", "/callback", call)
+                    await connection.request("POST", "/callback", call)
                     break
                 except (OSError, asyncio.IncompleteReadError):
-                    peer = Peer(self.front)
+                    connection = HttpConnection(self.client_port)
                     await asyncio.sleep(0.1)
 
 
 class Clients:
-    """The flood at the platform's front, and jobs that wait at the DRMAA front."""
+    """Sends the orders to the client port, and waiting jobs to the DRMAA port."""
 
-    def __init__(self, front: int, drmaa: int, seed: int) -> None:
-        self.front, self.drmaa = front, drmaa
-        self.source, self.others = random.Random(seed), random.Random(seed + 1)
-        self.idle: list[Peer] = []
-        self.worth = self.asked = self.from_s = 0.0
+    def __init__(self, client_port: int, drmaa_port: int, seed: int) -> None:
+        self.client_port, self.drmaa_port = client_port, drmaa_port
+        self.order_random, self.job_random = random.Random(seed), random.Random(seed + 1)
+        self.idle_connections: list[HttpConnection] = []
+        self.served_value = self.order_count = self.measured_from_s = 0.0
         self.answers: Counter[int] = Counter()
         self.jobs: dict[str, float] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def _order(self, number: int) -> None:
-        began = time.monotonic()
-        peer = self.idle.pop() if self.idle else Peer(self.front)
-        headers = f"X-Call-Id: o{number:x}-{self.source.getrandbits(32):x}\r\nX-Call-Class: order\r\n"
+    async def _send_order(self, number: int) -> None:
+        started_at = time.monotonic()
+        connection = (
+            self.idle_connections.pop() if self.idle_connections else HttpConnection(self.client_port)
+        )
+        headers = f"X-Call-Id: o{number:x}-{self.order_random.getrandbits(32):x}\r\nX-Call-Class: order\r\n"
         try:
-            status, body = await peer.ask("POST", "/api", b"500 l", headers + f"X-Budget: {DEADLINE_S}\r\n")
+            status, body = await connection.request(
+                "POST", "/api", b"500 l", headers + f"X-Budget: {DEADLINE_S}\r\n"
+            )
         except (OSError, asyncio.IncompleteReadError):
             self.answers[0] += 1
             return
-        self.idle.append(peer)
+        self.idle_connections.append(connection)
         self.answers[status] += 1
-        if status == 200 and began >= self.from_s:
-            in_time = time.monotonic() - began <= AIM_S + STRETCH * float(body)
-            self.worth += 1.0 if in_time else LATE_WORTH
+        if status == 200 and started_at >= self.measured_from_s:
+            in_time = time.monotonic() - started_at <= OBJECTIVE_S + STRETCH * float(body)
+            self.served_value += 1.0 if in_time else LATE_VALUE
 
-    def _spawn(self, work: Any) -> None:
-        task = asyncio.create_task(work)
+    def _start_task(self, coroutine: Any) -> None:
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def flood(self, seconds: float) -> None:
-        """Orders at one and a half times what the runners can do, whatever becomes of them."""
-        due, until, number = time.monotonic(), time.monotonic() + seconds, 0
-        self.from_s = due + min(20.0, seconds / 4.0)  # before this the queues are only filling
-        while due < until:
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
+        """Send orders at OVERLOAD_FACTOR times the workers' capacity, whatever their outcome."""
+        next_at, ends_at, number = time.monotonic(), time.monotonic() + seconds, 0
+        self.measured_from_s = next_at + min(20.0, seconds / 4.0)  # the queues are still filling before this
+        while next_at < ends_at:
+            await asyncio.sleep(max(0.0, next_at - time.monotonic()))
             number += 1
-            self.asked += time.monotonic() >= self.from_s
-            self._spawn(self._order(number))
-            due += self.source.expovariate(CAPACITY_PER_S * FLOOD)
-
-    async def wait(self, seconds: float) -> None:
-        """Jobs that wait: half for another job, a third for an hour."""
-        peer, newest = Peer(self.drmaa), list[str]()
-        due, until, number = time.monotonic(), time.monotonic() + seconds, 0
-        while due < until:
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
+            self.order_count += time.monotonic() >= self.measured_from_s
+            self._start_task(self._send_order(number))
+            next_at += self.order_random.expovariate(CAPACITY_PER_S * OVERLOAD_FACTOR)
+
+    async def submit_jobs(self, seconds: float) -> None:
+        """Submit waiting jobs: half depend on another job, a third have a start time."""
+        connection, job_ids = HttpConnection(self.drmaa_port), list[str]()
+        next_at, ends_at, number = time.monotonic(), time.monotonic() + seconds, 0
+        while next_at < ends_at:
+            await asyncio.sleep(max(0.0, next_at - time.monotonic()))
             number += 1
-            wanted = self.others.choice(WANTED_S)
-            special: dict[str, Any] = {"wantedTime": wanted}
-            template: dict[str, Any] = {"jobCategory": "order", "implementationSpecific": special}
-            if newest and self.others.random() < 0.5:
-                special["after"] = [{"job": self.others.choice(newest[-50:]), "on": "ended"}]
-            if self.others.random() < 0.33:
-                template["startTime"] = time.time() + self.others.uniform(0.0, 20.0)
+            wanted_s = self.job_random.choice(WANTED_TIMES_S)
+            implementation_specific: dict[str, Any] = {"wantedTime": wanted_s}
+            template: dict[str, Any] = {
+                "jobCategory": "order",
+                "implementationSpecific": implementation_specific,
+            }
+            if job_ids and self.job_random.random() < 0.5:
+                implementation_specific["after"] = [
+                    {"job": self.job_random.choice(job_ids[-50:]), "on": "ended"}
+                ]
+            if self.job_random.random() < 0.33:
+                template["startTime"] = time.time() + self.job_random.uniform(0.0, 20.0)
             key = f"Idempotency-Key: w{number}\r\n"
-            status, body = await peer.ask("POST", "/drmaa2/jobs", json.dumps(template).encode(), key)
+            status, body = await connection.request(
+                "POST", "/drmaa2/jobs", json.dumps(template).encode(), key
+            )
             assert status == 201, body
             job = json.loads(body)["jobId"]
-            self.jobs[job] = wanted
-            newest.append(job)
-            due += self.others.expovariate(CAPACITY_PER_S * WAITING)
+            self.jobs[job] = wanted_s
+            job_ids.append(job)
+            next_at += self.job_random.expovariate(CAPACITY_PER_S * WAITING_JOBS_SHARE)
 
-    async def settle(self) -> list[dict[str, Any]]:
-        """What became of all jobs that waited."""
+    async def wait_for_jobs(self) -> list[dict[str, Any]]:
+        """Wait for all submitted jobs and return their job infos."""
         if self.tasks:
             await asyncio.wait(self.tasks)
-        peer, infos = Peer(self.drmaa), []
+        connection, infos = HttpConnection(self.drmaa_port), []
         for job in self.jobs:
-            await peer.ask("POST", f"/drmaa2/jobs/{job}/waitTerminated", b'{"timeout": 120}')
-            infos.append(json.loads((await peer.ask("GET", f"/drmaa2/jobs/{job}"))[1]))
+            await connection.request("POST", f"/drmaa2/jobs/{job}/waitTerminated", b'{"timeout": 120}')
+            infos.append(json.loads((await connection.request("GET", f"/drmaa2/jobs/{job}"))[1]))
         return infos
 
 
-async def ready(front: int) -> None:
-    """Wait until the program takes jobs."""
+async def wait_until_ready(client_port: int) -> None:
+    """Wait until the program accepts jobs."""
     for _ in range(500):
         try:
-            if (await Peer(front).ask("GET", "/health/ready"))[0] == 200:
+            if (await HttpConnection(client_port).request("GET", "/health/ready"))[0] == 200:
                 return
         except OSError:
             pass
@@ -247,34 +265,36 @@
     raise TimeoutError("the program is not ready")
 
 
-async def play(seconds: float, seed: int, waiting: bool) -> dict[str, float]:
-    """One flood against a program that is started for it."""
-    front, drmaa, runs = reserved_port(), reserved_port(), Counter[str]()
-    lines = []
-    for n in range(RUNNERS):
-        port = await Runner(f"r-{n}", front, runs).start()
-        place = f'endpoint = "127.0.0.1:{port}", az = "here", model = "c4"'
-        lines.append(f'{{ uid = "r-{n}", {place}, state = "Ready" }}')
+async def run_flood(seconds: float, seed: int, waiting: bool) -> dict[str, float]:
+    """Start the program, run one flood against it and return the figures."""
+    client_port, drmaa_port, run_counts = reserved_port(), reserved_port(), Counter[str]()
+    workers = []
+    for n in range(WORKERS):
+        port = await QueueingWorker(f"r-{n}", client_port, run_counts).start()
+        location = f'endpoint = "127.0.0.1:{port}", az = "here", model = "c4"'
+        workers.append(f'{{ uid = "r-{n}", {location}, state = "Ready" }}')
     with tempfile.TemporaryDirectory() as folder:
-        file = Path(folder) / "flood.toml"
-        file.write_text(FILE.format(front=front, drmaa=drmaa, runners=", ".join(lines)))
-        command = [sys.executable, "-m", "grebestack", "--config", str(file), "--log-level", "warning"]
+        config_path = Path(folder) / "flood.toml"
+        config_path.write_text(
+            CONFIG_TEMPLATE.format(client_port=client_port, drmaa_port=drmaa_port, workers=", ".join(workers))
+        )
+        command = [sys.executable, "-m", "grebestack", "--config", str(config_path), "--log-level", "warning"]
         process = await asyncio.create_subprocess_exec(*command)
         try:
-            await ready(front)
-            clients = Clients(front, drmaa, seed)
-            work = [clients.flood(seconds)] + ([clients.wait(seconds)] if waiting else [])
-            await asyncio.gather(*work)
-            infos = await clients.settle()
-            status = json.loads((await Peer(drmaa).ask("GET", "/console/status"))[1])
-            with open(f"/proc/{process.pid}/status") as text:
-                peak_kb = next(int(line.split()[1]) for line in text if line.startswith("VmHWM"))
+            await wait_until_ready(client_port)
+            clients = Clients(client_port, drmaa_port, seed)
+            loads = [clients.flood(seconds)] + ([clients.submit_jobs(seconds)] if waiting else [])
+            await asyncio.gather(*loads)
+            infos = await clients.wait_for_jobs()
+            status = json.loads((await HttpConnection(drmaa_port).request("GET", "/console/status"))[1])
+            with open(f"/proc/{process.pid}/status") as status_file:
+                peak_kb = next(int(line.split()[1]) for line in status_file if line.startswith("VmHWM"))
             stat = Path(f"/proc/{process.pid}/stat").read_text().rsplit(")", 1)[1].split()
             ticks = int(stat[11]) + int(stat[12])
         finally:
             process.send_signal(signal.SIGTERM)
             await process.wait()
-    assert not runs or max(runs.values()) == 1, "an order ran twice"
+    assert not run_counts or max(run_counts.values()) == 1, "an order ran twice"
     for info in infos:
         if info["jobState"] != "DONE":
             print(f"{info['jobId']} {info['jobState']}: {info['annotation']}", file=sys.stderr)
@@ -284,8 +304,8 @@
         if info["dispatchTime"] and info["implementationSpecific"]["readyTime"]
     ]
     return {
-        "worth": clients.worth / clients.asked,
-        "orders": clients.asked,
+        "worth": clients.served_value / clients.order_count,
+        "orders": clients.order_count,
         "served": float(clients.answers[200]),
         "refused": float(clients.answers[429] + clients.answers[503]),
         "unanswered": float(clients.answers[0]),
@@ -300,17 +320,17 @@
 
 
 def measure(seed: int, seconds: float) -> dict[str, float]:
-    """The flood alone for a fifth of the time, then with jobs that wait for all of it."""
-    alone = asyncio.run(play(max(10.0, seconds / 5.0), seed, False))
-    beside = asyncio.run(play(seconds, seed, True))
-    return {f"socket_{name}": value for name, value in beside.items()} | {
+    """Run the flood alone for a fifth of the time, then with waiting jobs for all of it."""
+    alone = asyncio.run(run_flood(max(10.0, seconds / 5.0), seed, False))
+    with_jobs = asyncio.run(run_flood(seconds, seed, True))
+    return {f"socket_{name}": value for name, value in with_jobs.items()} | {
         "socket_worth_alone": alone["worth"],
-        "socket_worth_kept": beside["worth"] / alone["worth"],
+        "socket_worth_kept": with_jobs["worth"] / alone["worth"],
     }
 
 
 if __name__ == "__main__":
-    parser = argparse.ArgumentParser(description="The flood over sockets.")
+    parser = argparse.ArgumentParser(description="The overload benchmark over sockets.")
     parser.add_argument("--seconds", type=float, default=600.0)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -25,7 +25,7 @@
 from typing import Any
 
 import uvloop
-from flood import FILE, Peer, read_message, ready
+from flood import CONFIG_TEMPLATE, HttpConnection, read_message, wait_until_ready
 from harness import percentile, print_figures
 
 from grebestack.consul.agents import AgentSelector, AgentSettings
@@ -151,11 +151,11 @@
             writer.close()
 
     async def _call_back(self) -> None:
-        peer = Peer(self.dispatcher_port)
+        connection = HttpConnection(self.dispatcher_port)
         while True:
             job = await self.accepted_jobs.get()
             message = {"id": job, "from": self.uid, "state": "done", "result": "", "load": {"x0": 64}}
-            await peer.ask("POST", "/callback", json.dumps(message).encode())
+            await connection.request("POST", "/callback", json.dumps(message).encode())
 
 
 async def measure_status_changes(count: int, seed: int) -> dict[str, float]:
@@ -169,11 +169,11 @@
         return [instance_entry(f"r-{n}", ports[n], statuses[n]) for n in range(2)]
 
     agent.entries = entries()
-    config_text = FILE.replace(
-        'source = "list"\nlist = [{runners}]', 'source = "consul"\nservice = "job"\n{more}'
+    config_text = CONFIG_TEMPLATE.replace(
+        'source = "list"\nlist = [{workers}]', 'source = "consul"\nservice = "job"\n{more}'
     )
     consul_keys = f'address = "127.0.0.1:{await agent.start()}"\n[membership]\nflaps = 1000000'
-    config_text = config_text.format(front=client_port, drmaa=drmaa_port, more=consul_keys)
+    config_text = config_text.format(client_port=client_port, drmaa_port=drmaa_port, more=consul_keys)
     delays_ms, failed = list[float](), 0
     with tempfile.TemporaryDirectory() as folder:
         config_file = Path(folder) / "flips.toml"
@@ -185,16 +185,16 @@
 
         async def client(number: int) -> None:
             nonlocal failed
-            peer, sent = Peer(client_port), 0
+            connection, sent = HttpConnection(client_port), 0
             while not stop.is_set():
                 sent += 1
                 headers = f"X-Call-Id: c{number}-{sent}\r\nX-Call-Class: order\r\nX-Budget: 10\r\n"
-                status, _ = await peer.ask("POST", "/api", b"x", headers)
+                status, _ = await connection.request("POST", "/api", b"x", headers)
                 failed += status != 200
                 await asyncio.sleep(rng.uniform(0.0, 0.002))
 
         try:
-            await ready(client_port)
+            await wait_until_ready(client_port)
             clients = [asyncio.create_task(client(n)) for n in range(8)]
             await asyncio.sleep(0.3)
             for flip in range(count):
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -26,7 +26,7 @@
 from typing import Any
 
 import uvloop
-from flood import Peer, Runner
+from flood import HttpConnection, QueueingWorker
 from harness import percentile, print_figures
 
 from tests.ports import reserved_port
@@ -72,7 +72,7 @@
         super().append(job)
 
 
-class TimedWorker(Runner):
+class TimedWorker(QueueingWorker):
     """A worker that records when jobs arrived."""
 
     def __init__(self, uid: str, dispatcher_port: int, run_counts: Counter[str]) -> None:
@@ -124,8 +124,8 @@
         self.listening_socket = socket.create_server(("127.0.0.1", self.client_port), backlog=512)
         self.workers = [TimedWorker(f"r-{n}", self.client_port, self.run_counts) for n in range(WORKERS)]
         self.processes: list[subprocess.Popen[bytes]] = []
-        self.idle_peers = [Peer(self.client_port) for _ in range(CLIENTS)]
-        self.all_peers = list(self.idle_peers)
+        self.idle_connections = [HttpConnection(self.client_port) for _ in range(CLIENTS)]
+        self.all_connections = list(self.idle_connections)
         self.status_counts: Counter[int] = Counter()
         self.disconnected_count = self.lost_count = self.job_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
@@ -180,15 +180,17 @@
 
     async def _run_job(self) -> None:
         self.job_count += 1
-        peer = self.idle_peers.pop(0) if self.idle_peers else Peer(self.client_port)
-        if peer not in self.all_peers:
-            self.all_peers.append(peer)
+        connection = (
+            self.idle_connections.pop(0) if self.idle_connections else HttpConnection(self.client_port)
+        )
+        if connection not in self.all_connections:
+            self.all_connections.append(connection)
         headers = f"X-Call-Id: j{self.job_count}\r\nX-Call-Class: order\r\nX-Budget: 5\r\n"
         try:
             async with asyncio.timeout(8.0):
-                status, _ = await peer.ask("POST", "/api", b"500 l", headers)
+                status, _ = await connection.request("POST", "/api", b"500 l", headers)
             self.status_counts[status] += 1
-            self.idle_peers.append(peer)
+            self.idle_connections.append(connection)
         except TimeoutError:
             self.lost_count += 1
         except (OSError, asyncio.IncompleteReadError):
@@ -264,19 +266,21 @@
     success_s = time.monotonic()
     await asyncio.sleep(0.3)  # new connections may still reach the dispatcher for this long
     await deployment.wait_for_jobs()
-    open_peers = [
-        peer for peer in deployment.all_peers if peer.writer is not None and not peer.writer.is_closing()
+    open_connections = [
+        connection
+        for connection in deployment.all_connections
+        if connection.writer is not None and not connection.writer.is_closing()
     ]
-    for peer in open_peers:
-        assert peer.reader is not None
+    for connection in open_connections:
+        assert connection.reader is not None
         async with asyncio.timeout(10.0):
-            await peer.reader.read()
+            await connection.reader.read()
     closed_ms = (time.monotonic() - success_s) * 1000.0
-    deployment.idle_peers, deployment.all_peers = [], []
+    deployment.idle_connections, deployment.all_connections = [], []
     response, ms = await send_command(admin_port, "resume")
     success_s = time.monotonic()
     assert response == "SUCCESS serving\n"
-    while (await Peer(deployment.client_port).ask("GET", "/health/ready"))[0] != 200:
+    while (await HttpConnection(deployment.client_port).request("GET", "/health/ready"))[0] != 200:
         await asyncio.sleep(0.005)
     deployment.sends_jobs = True
     return {
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -34,8 +34,7 @@
 
 import msgspec
 import uvloop
-from flood import Peer
-from flood import Runner as FloodRunner
+from flood import HttpConnection, QueueingWorker
 from harness import Fleet, SimClock, SimWorkers, create_engine, percentile, print_figures
 from membership import ConsulFleet
 from sizes import OPTIONS, worker_list_json
@@ -283,7 +282,7 @@
 """
 
 
-class Runner(FloodRunner):
+class Runner(QueueingWorker):
     """A stand-in runner that counts bytes. Jobs take a fixed time; it has room for all."""
 
     took_s = 0.2
@@ -351,7 +350,7 @@
             reserved_port(),
             dispatcher_count,
         )
-        self.idle: list[Peer] = []
+        self.idle: list[HttpConnection] = []
         self.answers = Counter[int]()
         self.tasks: set[asyncio.Task[None]] = set()
         self.number = 0
@@ -386,10 +385,10 @@
 
     async def _job(self) -> None:
         self.number += 1
-        peer = self.idle.pop() if self.idle else Peer(self.front)
+        peer = self.idle.pop() if self.idle else HttpConnection(self.front)
         headers = f"X-Call-Id: j{self.number:x}\r\nX-Call-Class: order\r\nX-Budget: 120\r\n"
         try:
-            status, _ = await peer.ask("POST", "/api", b"500 l", headers)
+            status, _ = await peer.request("POST", "/api", b"500 l", headers)
         except (OSError, asyncio.IncompleteReadError):
             status = 0
         self.answers[status] += 1
