--- a/tests/standins.py
+++ b/tests/standins.py
@@ -24,6 +24,8 @@
 T = TypeVar("T")
 Address = tuple[str, int]
 Response = tuple[int, dict[str, str], bytes]
+WAIT_SECONDS = 20.0
+CALL_BACK_INTERVAL_SECONDS = 0.3
 SETTINGS: dict[str, Any] = {
     "services": [
         {"name": "order", "aimMs": 600.0, "hardLimitMs": 10_000.0, "effect": "single_shot", "value": 5.0},
@@ -87,7 +89,7 @@
 """
 
 
-def wait_until(condition: Callable[[], bool], seconds: float = 20.0) -> None:
+def wait_until(condition: Callable[[], bool], seconds: float = WAIT_SECONDS) -> None:
     """Wait until a condition holds; the timeout is generous, since a busy machine may be slow."""
     deadline = time.monotonic() + seconds
     while not condition():
@@ -238,13 +240,15 @@
         )
 
     def call_back(self, call_id: str, **fields: Any) -> int | None:
-        """Send a callback, with at most ten tries, until there is a response."""
+        """Send a callback until there is a response, `WAIT_SECONDS` pass or the testbed is closed."""
         message = json.dumps({"id": call_id, "from": self.uid, **fields}).encode()
-        for _ in range(10):
+        # A killed dispatcher may take some seconds to listen again on a busy machine.
+        deadline = time.monotonic() + WAIT_SECONDS
+        while not self.testbed.closed and time.monotonic() < deadline:
             try:
                 return send_request(self.testbed.client_address, "POST", "/callback", message, {})[0]
             except OSError:
-                time.sleep(0.3)
+                time.sleep(CALL_BACK_INTERVAL_SECONDS)
         return None
 
 
