--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -163,7 +163,7 @@
     """Overload the workers with orders, and readings if `order_share` is below 1; optionally queue jobs."""
     clock = SimClock()
     engine = create_engine(clock, SETTINGS, seed)
-    # Running times depend on the seed and the call id only, so that both runs have the same ones.
+    # Depends on the seed and the call id only, so that the requests take the same in both runs.
     listener = ValueCounter(clock)
 
     def draw_run_ms(attempt: Attempt, _: random.Random) -> float:
