--- a/benchmarks/waiting.py
+++ b/benchmarks/waiting.py
@@ -163,7 +163,7 @@
     """Overload the workers with orders, and readings if `order_share` is below 1; optionally queue jobs."""
     clock = SimClock()
     engine = create_engine(clock, SETTINGS, seed)
-    # Depends on the seed and the call id only, so that the requests take the same in both runs.
+    # A running time depends on the seed and the call id only: both runs use the same ones for requests.
     listener = ValueCounter(clock)
 
     def draw_run_ms(attempt: Attempt, _: random.Random) -> float:
